--- a/crates/core/src/fetches.rs
+++ b/crates/core/src/fetches.rs
@@ -1,82 +1,93 @@
-//! The keys that are being fetched from the origin, who waits for each, and the line of fetches that
-//! have not begun, sorted by what their answers are worth and then by age.
+//! Fetches from the origin: those in progress by key with the requests that wait for them, and the queue of
+//! fetches that have not begun, ordered by payoff and then by age.
 
 use crate::host::{Node, RequestId};
 use hashbrown::HashMap;
 use std::collections::BTreeSet;
 
+/// Fetches in progress and the queue for the origin.
 #[derive(Default)]
 pub struct Fetches {
     by_key: HashMap<u64, Fetch>,
-    line: BTreeSet<(u64, RequestId)>,
+    queue: BTreeSet<(u64, RequestId)>,
 }
 
+/// One fetch of a key, on behalf of all requests for it.
 pub struct Fetch {
-    /// Who fetches it.
-    pub by: RequestId,
+    /// The request that fetches.
+    pub leader: RequestId,
     /// The node that will hold the key.
-    pub fills: Node,
-    /// What the answer is worth to all who wait for it.
-    pub worth: u64,
-    pub waiting: Vec<RequestId>,
+    pub target_node: Node,
+    /// Payoff of the answer for the leader and all waiters together, in thousandths.
+    pub payoff_milli: u64,
+    /// Requests that wait for the fetch.
+    pub waiters: Vec<RequestId>,
 }
 
 impl Fetches {
+    /// Registers the key's fetch.
     pub fn start(&mut self, key: u64, fetch: Fetch) {
         self.by_key.insert(key, fetch);
     }
 
+    /// The key's fetch, if there is one.
     pub fn get(&self, key: Option<u64>) -> Option<&Fetch> {
         self.by_key.get(&key?)
     }
 
-    /// The node that is to hold the key, if it is being fetched.
-    pub fn fills(&self, key: Option<u64>) -> Option<Node> {
-        self.get(key).map(|fetch| fetch.fills)
+    /// The node that will hold the key, if it is being fetched.
+    pub fn target_node(&self, key: Option<u64>) -> Option<Node> {
+        self.get(key).map(|fetch| fetch.target_node)
     }
 
-    pub fn wait(&mut self, key: Option<u64>, id: RequestId, worth: u64) {
+    /// Adds a request that waits for the key's fetch, whose payoff grows by that of the request.
+    pub fn add_waiter(&mut self, key: Option<u64>, id: RequestId, payoff_milli: u64) {
         let Some(fetch) = key.and_then(|key| self.by_key.get_mut(&key)) else { return };
-        let in_line = self.line.remove(&(fetch.worth, fetch.by));
-        fetch.waiting.push(id);
-        fetch.worth += worth;
-        if in_line {
-            self.line.insert((fetch.worth, fetch.by));
+        let queued = self.queue.remove(&(fetch.payoff_milli, fetch.leader));
+        fetch.waiters.push(id);
+        fetch.payoff_milli += payoff_milli;
+        if queued {
+            self.queue.insert((fetch.payoff_milli, fetch.leader));
         }
     }
 
-    pub fn end(&mut self, key: u64) -> Option<Fetch> {
+    /// Removes the key's fetch and returns it.
+    pub fn finish(&mut self, key: u64) -> Option<Fetch> {
         self.by_key.remove(&key)
     }
 
-    /// What the answer is worth to all who wait if this request fetches, else to itself.
-    fn worth(&self, key: Option<u64>, id: RequestId, own: u64) -> u64 {
-        self.get(key).filter(|fetch| fetch.by == id).map_or(own, |fetch| fetch.worth)
+    /// The payoff of the whole fetch if this request leads it, otherwise the request's own.
+    fn payoff_milli(&self, key: Option<u64>, id: RequestId, own_payoff_milli: u64) -> u64 {
+        self.get(key).filter(|fetch| fetch.leader == id).map_or(own_payoff_milli, |fetch| fetch.payoff_milli)
     }
 
-    pub fn line_up(&mut self, key: Option<u64>, id: RequestId, own: u64) {
-        self.line.insert((self.worth(key, id, own), id));
+    /// Adds a request to the queue for the origin.
+    pub fn enqueue(&mut self, key: Option<u64>, id: RequestId, own_payoff_milli: u64) {
+        self.queue.insert((self.payoff_milli(key, id, own_payoff_milli), id));
     }
 
-    pub fn leave_line(&mut self, key: Option<u64>, id: RequestId, own: u64) {
-        self.line.remove(&(self.worth(key, id, own), id));
+    /// Removes a request from the queue for the origin, if it is there.
+    pub fn dequeue(&mut self, key: Option<u64>, id: RequestId, own_payoff_milli: u64) {
+        self.queue.remove(&(self.payoff_milli(key, id, own_payoff_milli), id));
     }
 
-    pub fn in_line(&self) -> usize {
-        self.line.len()
+    /// The length of the queue for the origin.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
     }
 
-    /// The one whose answer is worth most, of those the latest.
-    pub fn worthiest(&self) -> Option<RequestId> {
-        self.line.last().map(|&(_, id)| id)
+    /// The queued request with the highest payoff, the latest among equals.
+    pub fn highest_payoff(&self) -> Option<RequestId> {
+        self.queue.last().map(|&(_, id)| id)
     }
 
-    pub fn take_worthiest(&mut self) {
-        self.line.pop_last();
+    /// Removes the queued request with the highest payoff.
+    pub fn pop_highest_payoff(&mut self) {
+        self.queue.pop_last();
     }
 
-    /// The one whose answer is worth least, of those the oldest.
-    pub fn least_worthy(&self) -> Option<RequestId> {
-        self.line.first().map(|&(_, id)| id)
+    /// The queued request with the lowest payoff, the oldest among equals.
+    pub fn lowest_payoff(&self) -> Option<RequestId> {
+        self.queue.first().map(|&(_, id)| id)
     }
 }
--- a/crates/core/src/groups.rs
+++ b/crates/core/src/groups.rs
@@ -1,176 +1,187 @@
-//! Which nodes a key's group ranks highest, kept for as long as the list of nodes allows, so that a key finds its
-//! two highest rendezvous hashes among so many and not among all.
+//! Candidate nodes for keys: a key belongs to one of a fixed number of groups, and each group keeps its
+//! highest ranking nodes for as long as the node list allows. A key then finds its two highest rendezvous
+//! hashes among these candidates instead of among all nodes.
 //!
-//! A group's nodes are the first `SPAN` ready ones by rendezvous hash of the group: all of a smaller fleet. They
-//! follow from the list alone, not from what happened before, so that all proxies agree.
+//! The candidates of a group are the first `GROUP_SIZE` ready nodes by the group's rendezvous hash, or all
+//! nodes of a smaller fleet. They depend on the current node list alone, not on its history, so that all
+//! proxies agree.
 
 use crate::host::Node;
-use crate::ranks::Bits;
+use crate::node_set::NodeSet;
 use crate::table::rendezvous;
 use hashbrown::HashMap;
 use smallvec::SmallVec;
 use std::collections::VecDeque;
 
-/// Nodes of a group, and how many more are remembered for those that leave.
-pub const SPAN: usize = 128;
-const MORE: usize = 64;
-pub const GROUPS: u64 = 2048;
-/// Nodes that became ready lately: a group that has missed more ranks all anew.
-const LATELY: usize = 1024;
+/// Candidate nodes of a group.
+pub const GROUP_SIZE: usize = 128;
+/// Further nodes that a group remembers to replace candidates that leave.
+const SPARE_MEMBERS: usize = 64;
+/// The number of groups.
+pub const GROUP_COUNT: u64 = 2048;
+/// How many nodes that became ready are remembered. A group that has missed more of them is rebuilt.
+const MAX_RECENT_JOINS: usize = 1024;
 
+/// The groups and the node list that they follow from.
 #[derive(Clone, Debug, Default)]
-pub struct Groups {
-    groups: HashMap<u64, Group>,
+pub struct CandidateGroups {
+    groups: HashMap<u64, CandidateGroup>,
     identities: Vec<u64>,
-    ready: Bits,
-    /// The nodes that became ready, and how many had before them.
-    lately: VecDeque<(Node, u64)>,
-    joined: u64,
+    ready: NodeSet,
+    /// The nodes that became ready last, with their identities.
+    recent_joins: VecDeque<(Node, u64)>,
+    /// How many nodes have become ready so far.
+    join_count: u64,
     scratch: Vec<(u64, Node)>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Group {
-    /// By falling rank, with the identity they had. No ready node that is missing ranks above any of them.
-    nodes: Vec<(u32, u32)>,
-    /// How many had become ready when it was last brought up to date.
-    seen: u64,
-    /// Whether no node is missing.
-    whole: bool,
+struct CandidateGroup {
+    /// Nodes by descending rank, with a fingerprint of the identity they had. No ready node outside ranks
+    /// above any of them.
+    members: Vec<(u32, u32)>,
+    /// The join count when the group was last updated.
+    joins_seen: u64,
+    /// Whether all ready nodes are members.
+    complete: bool,
 }
 
 /// The group of a key.
-pub fn group(key: u64) -> u64 {
-    rendezvous(key, 0x6772_6f75_7073) % GROUPS
+pub fn group_of_key(key: u64) -> u64 {
+    rendezvous(key, 0x6772_6f75_7073) % GROUP_COUNT
 }
 
-pub fn rank(group: u64, identity: u64) -> u64 {
+/// How high a node ranks for a group.
+pub fn group_rank(group: u64, identity: u64) -> u64 {
     rendezvous(group.wrapping_add(1), identity)
 }
 
-/// The two that rank highest of those that `takes` admits, asked by falling rank; leaves the rest in any order.
-pub fn two_highest(ranked: &mut Vec<(u64, Node)>, takes: impl Fn(Node) -> bool) -> SmallVec<[Node; 2]> {
+/// The two highest ranking nodes that `admits` accepts, which is asked in descending order of rank. The
+/// remaining entries of `ranked` are left in any order.
+pub fn two_highest(ranked: &mut Vec<(u64, Node)>, admits: impl Fn(Node) -> bool) -> SmallVec<[Node; 2]> {
     let mut two = SmallVec::new();
     while two.len() < 2 && !ranked.is_empty() {
-        // Both at once, as they are mostly admitted.
+        // Finds the two highest in one pass, since both are usually admitted.
         let (mut first, mut second) = (0, usize::MAX);
-        for place in 1..ranked.len() {
-            if ranked[place] > ranked[first] {
-                (first, second) = (place, first);
-            } else if second == usize::MAX || ranked[place] > ranked[second] {
-                second = place;
+        for index in 1..ranked.len() {
+            if ranked[index] > ranked[first] {
+                (first, second) = (index, first);
+            } else if second == usize::MAX || ranked[index] > ranked[second] {
+                second = index;
             }
         }
-        let places = [first, second].into_iter().filter(|&place| place != usize::MAX);
-        let nodes: SmallVec<[Node; 2]> = places.clone().map(|place| ranked[place].1).collect();
+        let indices = [first, second].into_iter().filter(|&index| index != usize::MAX);
+        let nodes: SmallVec<[Node; 2]> = indices.clone().map(|index| ranked[index].1).collect();
         for node in nodes {
-            if two.len() < 2 && takes(node) {
+            if two.len() < 2 && admits(node) {
                 two.push(node);
             }
         }
-        let mut places: SmallVec<[usize; 2]> = places.collect();
-        places.sort_unstable();
-        places.into_iter().rev().for_each(|place| _ = ranked.swap_remove(place));
+        let mut indices: SmallVec<[usize; 2]> = indices.collect();
+        indices.sort_unstable();
+        indices.into_iter().rev().for_each(|index| _ = ranked.swap_remove(index));
     }
     two
 }
 
-/// Tells apart the nodes that have had one number, one after another.
-fn short(identity: u64) -> u32 {
+/// Distinguishes the nodes that have had the same index one after another.
+fn fingerprint(identity: u64) -> u32 {
     (identity ^ identity >> 32) as u32
 }
 
-impl Groups {
-    pub fn put(&mut self, node: Node, identity: u64, ready: bool) {
+impl CandidateGroups {
+    /// Stores a node's identity and whether it is ready.
+    pub fn update_node(&mut self, node: Node, identity: u64, ready: bool) {
         if node >= self.identities.len() {
             self.identities.resize(node + 1, 0);
         }
-        let other = std::mem::replace(&mut self.identities[node], identity) != identity;
-        let changed = self.ready.set(node, ready);
-        if ready && (changed || other) {
-            if self.lately.len() == LATELY {
-                self.lately.pop_front();
+        let identity_changed = std::mem::replace(&mut self.identities[node], identity) != identity;
+        let readiness_changed = self.ready.set(node, ready);
+        if ready && (readiness_changed || identity_changed) {
+            if self.recent_joins.len() == MAX_RECENT_JOINS {
+                self.recent_joins.pop_front();
             }
-            self.lately.push_back((node, identity));
-            self.joined += 1;
+            self.recent_joins.push_back((node, identity));
+            self.join_count += 1;
         }
     }
 
-    /// Adds the nodes of the key's group, each with its rank for the key.
-    pub fn of(&mut self, key: u64, into: &mut Vec<(u64, Node)>) {
+    /// Appends the candidate nodes of the key's group, each with its rank for the key.
+    pub fn candidates(&mut self, key: u64, into: &mut Vec<(u64, Node)>) {
         let ranked = |node: Node| (rendezvous(key, self.identities[node]), node);
-        if self.ready.len() <= SPAN {
+        if self.ready.len() <= GROUP_SIZE {
             return into.extend(self.ready.iter().map(ranked));
         }
-        let number = group(key);
-        self.refresh(number);
-        if let Some(group) = self.groups.get(&number) {
-            let there = group.nodes.iter().filter(|entry| self.there(entry)).take(SPAN);
+        let group_number = group_of_key(key);
+        self.refresh(group_number);
+        if let Some(group) = self.groups.get(&group_number) {
+            let current = group.members.iter().filter(|entry| self.is_current(entry)).take(GROUP_SIZE);
             into.extend(
-                there.map(|&(node, _)| (rendezvous(key, self.identities[node as Node]), node as Node)),
+                current.map(|&(node, _)| (rendezvous(key, self.identities[node as Node]), node as Node)),
             );
         }
     }
 
-    /// Still ready, and the same node.
-    fn there(&self, &(node, identity): &(u32, u32)) -> bool {
-        self.ready.has(node as Node) && short(self.identities[node as Node]) == identity
+    /// Whether the member is still ready and still the same node.
+    fn is_current(&self, &(node, identity): &(u32, u32)) -> bool {
+        self.ready.contains(node as Node) && fingerprint(self.identities[node as Node]) == identity
     }
 
-    fn refresh(&mut self, number: u64) {
-        let mut group = self.groups.remove(&number).unwrap_or_default();
-        let missed = (self.joined - group.seen) as usize;
-        if group.nodes.is_empty() || missed > self.lately.len() {
-            self.fill(number, &mut group);
+    /// Brings a group up to date with the node list.
+    fn refresh(&mut self, group_number: u64) {
+        let mut group = self.groups.remove(&group_number).unwrap_or_default();
+        let missed = (self.join_count - group.joins_seen) as usize;
+        if group.members.is_empty() || missed > self.recent_joins.len() {
+            self.rebuild(group_number, &mut group);
         } else if missed > 0 {
-            for at in self.lately.len() - missed..self.lately.len() {
-                let (node, identity) = self.lately[at];
-                self.join(number, &mut group, node, identity);
+            for index in self.recent_joins.len() - missed..self.recent_joins.len() {
+                let (node, identity) = self.recent_joins[index];
+                self.insert_joined(group_number, &mut group, node, identity);
             }
-            group.seen = self.joined;
+            group.joins_seen = self.join_count;
         }
-        let there = group.nodes.iter().filter(|entry| self.there(entry)).take(SPAN).count();
-        if there < SPAN && !(group.whole && there == self.ready.len()) {
-            self.fill(number, &mut group);
+        let current = group.members.iter().filter(|entry| self.is_current(entry)).take(GROUP_SIZE).count();
+        if current < GROUP_SIZE && !(group.complete && current == self.ready.len()) {
+            self.rebuild(group_number, &mut group);
         }
-        self.groups.insert(number, group);
+        self.groups.insert(group_number, group);
     }
 
-    /// Ranks all nodes anew.
-    fn fill(&mut self, number: u64, group: &mut Group) {
+    /// Ranks all nodes again.
+    fn rebuild(&mut self, group_number: u64, group: &mut CandidateGroup) {
         self.scratch.clear();
-        let ranked = self.ready.iter().map(|node| (rank(number, self.identities[node]), node));
+        let ranked = self.ready.iter().map(|node| (group_rank(group_number, self.identities[node]), node));
         self.scratch.extend(ranked);
-        let most = SPAN + MORE;
-        group.whole = self.scratch.len() <= most;
-        if !group.whole {
-            self.scratch.select_nth_unstable_by(most, |one, other| other.cmp(one));
-            self.scratch.truncate(most);
+        let max_members = GROUP_SIZE + SPARE_MEMBERS;
+        group.complete = self.scratch.len() <= max_members;
+        if !group.complete {
+            self.scratch.select_nth_unstable_by(max_members, |one, other| other.cmp(one));
+            self.scratch.truncate(max_members);
         }
         self.scratch.sort_unstable_by(|one, other| other.cmp(one));
-        group.nodes.clear();
-        let entry = |&(_, node): &(u64, Node)| (node as u32, short(self.identities[node]));
-        group.nodes.extend(self.scratch.iter().map(entry));
-        group.seen = self.joined;
+        group.members.clear();
+        let entry = |&(_, node): &(u64, Node)| (node as u32, fingerprint(self.identities[node]));
+        group.members.extend(self.scratch.iter().map(entry));
+        group.joins_seen = self.join_count;
     }
 
-    /// A node became ready: it takes its place, unless it is below all that are remembered.
-    fn join(&self, number: u64, group: &mut Group, node: Node, identity: u64) {
-        let new = (node as u32, short(identity));
-        if identity != self.identities[node] || group.nodes.contains(&new) {
+    /// Inserts a node that became ready, unless it ranks below all members.
+    fn insert_joined(&self, group_number: u64, group: &mut CandidateGroup, node: Node, identity: u64) {
+        let entry = (node as u32, fingerprint(identity));
+        if identity != self.identities[node] || group.members.contains(&entry) {
             return;
         }
-        group.nodes.retain(|entry| entry.0 != new.0);
-        let order = |node: Node| (rank(number, self.identities[node]), node);
-        // Entries of nodes whose number another has now rank as that one would: they go first.
-        group.nodes.retain(|&(node, identity)| short(self.identities[node as Node]) == identity);
-        let place = group.nodes.partition_point(|&(other, _)| order(other as Node) > order(node));
-        if place < group.nodes.len() || group.whole {
-            group.nodes.insert(place, new);
+        group.members.retain(|other| other.0 != entry.0);
+        let order = |node: Node| (group_rank(group_number, self.identities[node]), node);
+        // Members whose index another node has now would rank as that node does, so they are removed first.
+        group.members.retain(|&(node, identity)| fingerprint(self.identities[node as Node]) == identity);
+        let index = group.members.partition_point(|&(other, _)| order(other as Node) > order(node));
+        if index < group.members.len() || group.complete {
+            group.members.insert(index, entry);
         }
-        if group.nodes.len() > SPAN + MORE {
-            group.nodes.truncate(SPAN + MORE);
-            group.whole = false;
+        if group.members.len() > GROUP_SIZE + SPARE_MEMBERS {
+            group.members.truncate(GROUP_SIZE + SPARE_MEMBERS);
+            group.complete = false;
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,21 +1,24 @@
-//! The decisions of pumicebay, free of wire, I/O and clock. Start reading at [`balance`].
+//! The load balancing and retry decisions of pumicebay, without network code, I/O or a clock. Start reading
+//! at [`balancer`].
 
-pub mod balance;
-pub mod classes;
+pub mod balancer;
 pub mod fetches;
-pub mod fleet;
 pub mod groups;
 pub mod host;
+pub mod key_queues;
+pub mod load_buckets;
+pub mod node_set;
+pub mod nodes;
 pub mod policy;
-pub mod ranks;
-pub mod ring;
 pub mod settings;
+pub mod sliding_window;
 pub mod state;
 pub mod status;
 pub mod table;
-pub mod turns;
 
-pub use balance::Balance;
-pub use host::{Ask, GiveUp, Held, Host, Listed, Nanos, Node, Outcome, RequestId, Standing};
+pub use balancer::Balancer;
+pub use host::{
+    GiveUpReason, Host, ListedNode, Nanos, Node, NodeStatus, Outcome, ReportedLoad, RequestId, RequestParams,
+};
 pub use settings::Settings;
 pub use status::Status;
--- a/crates/core/src/policy/deadline.rs
+++ b/crates/core/src/policy/deadline.rs
@@ -1,13 +1,14 @@
-//! How long an attempt may tell its server that it will be waited for.
+//! The timeout that an attempt advertises to its server.
 
 use crate::host::Nanos;
 
 const MILLISECOND: Nanos = 1_000_000;
 
-/// The time to tell, in whole milliseconds, rounded down: the attempt's own, and never past the end of its
-/// client's patience, also where the attempt outlives it. `None` where less than one is left: then no attempt
-/// begins. Guards servers, the origin among them, from work for clients that have gone.
-pub fn time_to_tell(now: Nanos, attempt_ends: Nanos, client_ends: Nanos) -> Option<u64> {
-    let left = attempt_ends.min(client_ends).saturating_sub(now) / MILLISECOND;
+/// The timeout to advertise, in whole milliseconds, rounded down. It is what is left of the attempt's own
+/// time, and never extends past the client's deadline, even where the attempt itself does. None if less than
+/// one millisecond is left: then the attempt must not begin. This keeps servers, including the origin, from
+/// working for clients that have gone.
+pub fn advertised_timeout_ms(now: Nanos, attempt_deadline: Nanos, client_deadline: Nanos) -> Option<u64> {
+    let left = attempt_deadline.min(client_deadline).saturating_sub(now) / MILLISECOND;
     (left > 0).then_some(left)
 }
--- a/crates/core/src/policy/events.rs
+++ b/crates/core/src/policy/events.rs
@@ -1,86 +1,106 @@
-//! What can happen to a proxy, one method each. Each hands what it means to the module whose matter it is.
+//! The events that a proxy reacts to, one method each. Decisions about them are in the other modules.
 
-use crate::balance::Balance;
-use crate::fleet::Finder;
-use crate::host::{Ask, GiveUp, Host, Nanos, Outcome, RequestId};
+use crate::balancer::Balancer;
+use crate::host::{GiveUpReason, Host, Nanos, Outcome, RequestId, RequestParams};
+use crate::nodes::NodeIndex;
 use crate::policy::TICK;
 use crate::state::RequestState;
 use smallvec::SmallVec;
 
-/// Requests count from 1.
+/// The timer token of the periodic tick. Request ids, which are the other tokens, count from 1.
 const TICK_TOKEN: u64 = 0;
 
-impl<H: Host, F: Finder> Balance<H, F> {
-    pub fn arrived(&mut self, now: Nanos, id: RequestId, ask: Ask) {
-        self.at(now);
-        self.pace.asked.add(now, ask.work());
-        let route = self.route(ask.route);
-        let request = RequestState::new(ask, route, now, self.worth(&ask, &route));
-        request.ordered().into_iter().for_each(|key| self.turns.enter(key, id));
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// A client's request has arrived under a new id.
+    pub fn request_arrived(&mut self, now: Nanos, id: RequestId, params: RequestParams) {
+        self.advance_to(now);
+        self.demand.requests.add(now, params.work());
+        let route = self.route(params.route);
+        let request = RequestState::new(params, route, now, self.payoff_milli(&params, &route));
+        request.ordering_key().into_iter().for_each(|key| self.key_queues.enqueue(key, id));
         self.requests.insert(id, request);
-        self.place(id);
+        self.place_request(id);
     }
 
-    /// An attempt ended; `over` says that its request has its final answer.
-    pub fn ended(&mut self, now: Nanos, id: RequestId, attempt: usize, outcome: Outcome, over: bool) {
-        self.at(now);
+    /// An attempt has ended. `answered` tells whether its request has its final answer.
+    pub fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        answered: bool,
+    ) {
+        self.advance_to(now);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(this) = request.end(attempt, outcome, over) else { return };
-        let (over, held, late) =
-            (request.over, request.held(), (now >= request.ends()).then_some(request.route.objective));
-        let rests = request.ordered().filter(|_| outcome.may_still_run());
-        rests.into_iter().for_each(|key| self.turns.rest(key, now + self.rules.turn_gap));
-        // Served here, it was no fault of its own that it failed elsewhere.
-        let blamed = if outcome.serves() { request.blamed() } else { SmallVec::new() };
-        self.learn(this.node, this.sent, outcome, late);
-        blamed.into_iter().for_each(|node| self.blame(node, Outcome::Errored));
-        if over {
+        let Some(ended) = request.end_attempt(attempt, outcome, answered) else { return };
+        let (answered, awaits_decision, objective_if_expired) = (
+            request.answered,
+            request.awaits_decision(),
+            (now >= request.client_deadline()).then_some(request.route.latency_objective),
+        );
+        let blocked_key = request.ordering_key().filter(|_| outcome.may_still_run());
+        blocked_key
+            .into_iter()
+            .for_each(|key| self.key_queues.block_until(key, now + self.settings.key_block_time));
+        // Another node served the request, so its earlier errors count against the nodes that returned them.
+        let failed_nodes = if outcome.is_success() { request.take_errored_nodes() } else { SmallVec::new() };
+        self.record_outcome(ended.node, ended.sent_at, outcome, objective_if_expired);
+        failed_nodes.into_iter().for_each(|node| self.record_failure(node, Outcome::Errored));
+        if answered {
             self.finish(id);
-        } else if held {
-            self.again(id, this.node, outcome);
+        } else if awaits_decision {
+            self.retry_or_give_up(id, ended.node, outcome);
         }
-        self.serve_line();
-        let queue = std::mem::take(&mut self.queue);
-        self.place_all(queue);
+        self.drain_fetch_queue();
+        let waiting = std::mem::take(&mut self.capacity_queue);
+        self.place_waiting(waiting);
     }
 
-    pub fn under_way(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).into_iter().for_each(|request| request.under_way = true);
+    /// The client has received a first part of the response, so the request can't be retried any more.
+    pub fn response_started(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).into_iter().for_each(|request| request.response_started = true);
     }
 
-    pub fn dropped(&mut self, now: Nanos, id: RequestId) {
-        self.at(now);
+    /// The client has gone and needs no answer.
+    pub fn request_cancelled(&mut self, now: Nanos, id: RequestId) {
+        self.advance_to(now);
         self.requests.contains_key(&id).then(|| self.finish(id));
     }
 
-    pub fn woke(&mut self, now: Nanos, token: u64) {
-        self.at(now);
+    /// A timer set with this token has fired: the periodic tick, or that of the request with this id.
+    pub fn timer_fired(&mut self, now: Nanos, token: u64) {
+        self.advance_to(now);
         match self
             .requests
             .get(&token)
-            .filter(|request| !request.over)
-            .map(|request| (request.until, request.waits))
+            .filter(|request| !request.answered)
+            .map(|request| (request.give_up_at, request.waits_for_key))
         {
             _ if token == TICK_TOKEN => self.tick(),
-            Some((until, _)) if now >= until => {
-                let sent = self.requests[&token].out() > 0;
-                self.give_up(token, if sent { GiveUp::OutOfTime } else { GiveUp::WaitedTooLong });
+            Some((give_up_at, _)) if now >= give_up_at => {
+                let attempt_sent = self.requests[&token].attempts_in_flight() > 0;
+                self.give_up(
+                    token,
+                    if attempt_sent { GiveUpReason::OutOfTime } else { GiveUpReason::WaitedTooLong },
+                );
             }
-            Some((_, true)) => self.place(token),
+            Some((_, true)) => self.place_request(token),
             _ => {}
         }
     }
 
+    /// Does the periodic work and sets the timer for the next tick.
     pub(crate) fn tick(&mut self) {
-        self.host.wake(self.now + TICK, TICK_TOKEN);
-        self.take_turns();
-        self.measure_all();
+        self.host.set_timer(self.now + TICK, TICK_TOKEN);
+        self.update_node_slice();
+        self.update_limits();
         self.probe_ejected();
-        self.serve_line();
-        self.turns.sweep(self.now);
-        if self.follow_at <= self.now && self.rules.asks_list {
-            self.follow_at = Nanos::MAX;
-            self.host.follow();
+        self.drain_fetch_queue();
+        self.key_queues.prune(self.now);
+        if self.watch_at <= self.now && self.settings.watches_list {
+            self.watch_at = Nanos::MAX;
+            self.host.watch_node_list();
         }
     }
 }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,119 +1,152 @@
-//! Which nodes are left out for a while: outlier ejection by failures, probes, and slow start of cold nodes.
-//! Cold nodes must not be pushed over by all proxies together.
+//! Which nodes are temporarily avoided: outlier ejection by failures, probes of ejected nodes, and slow start
+//! of cold nodes, which all proxies together must not overload.
 
-use crate::balance::Balance;
-use crate::fleet::Finder;
+use crate::balancer::Balancer;
 use crate::host::{Host, Nanos, Node, Outcome};
-use crate::policy::{FEW, SECOND, TICK};
-use crate::state::Cache;
+use crate::nodes::NodeIndex;
+use crate::policy::{INITIAL_REQUESTS, SECOND, TICK};
+use crate::state::NodeState;
 use smallvec::SmallVec;
 
-/// Failures beyond the answers since, of the whole fleet, that set a node aside; probes that bring it back.
-const FAILURES: f64 = 9.0;
-const PROBES: usize = 2;
-/// A node that let a first attempt run out counts as refusing for FEW of this proxy's asks, no longer than
-/// this.
-const SLOW_LAST: Nanos = 10 * SECOND;
+/// Failures, less the successes since, that eject a node: the number for all proxies together, of which each
+/// counts its share.
+const EJECT_FAILURES: f64 = 9.0;
+/// Probes in a row that an ejected node must answer to be reinstated.
+const REINSTATE_PROBES: usize = 2;
+/// A node that let a first attempt time out counts as refusing for as long as this proxy takes to send it
+/// `INITIAL_REQUESTS` requests on average, but no longer than this.
+const MAX_REFUSAL_TIME: Nanos = 10 * SECOND;
 
-impl<H: Host, F: Finder> Balance<H, F> {
-    pub(crate) fn warm(&self, node: Node) -> bool {
-        self.nodes.caches[node].warm(self.now, self.rules.cold)
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// Whether the node has finished its warm-up.
+    pub(crate) fn is_warm(&self, node: Node) -> bool {
+        self.nodes.states[node].is_warm(self.now, self.settings.warm_up)
     }
 
-    /// Rule 4: a cold node gets its part of normal work, spread evenly, and nothing heavy for all its parts.
-    pub(crate) fn within_budget(&self, node: Node, work: f64) -> bool {
-        self.warm(node)
-            || self.now >= self.nodes.caches[node].rests_until
-                && self.pause(node, work) <= self.fleet * self.rules.fall as f64
+    /// Whether a node may be sent this much work now; always true for a warm node. A cold node gets from each
+    /// proxy its share of normal load, evenly spaced, and no work so heavy that it exceeds the shares of all
+    /// proxies within the overload window. Otherwise all proxies together could overload a cold node.
+    pub(crate) fn within_cold_budget(&self, node: Node, work: f64) -> bool {
+        self.is_warm(node)
+            || self.now >= self.nodes.states[node].paced_until
+                && self.cold_send_interval(node, work)
+                    <= self.proxy_count * self.settings.overload_window as f64
     }
 
-    /// How long this work takes up this proxy's part of a cold node. Normal is what warm ones did at best.
-    pub(crate) fn pause(&self, node: Node, work: f64) -> f64 {
-        let part = self.nodes.caches[node].part(self.now, &self.rules);
-        let normal = self.pace.normal.most_mean(self.now).unwrap_or(0.0);
-        let usual = self.pace.asked.mean(self.now).unwrap_or(work);
-        SECOND as f64 * work / usual / (normal * part).max(1.0 / self.fleet)
+    /// How long this work uses up this proxy's share of a cold node, in nanoseconds. The share is taken of
+    /// the highest mean rate of warm nodes in the last minute.
+    pub(crate) fn cold_send_interval(&self, node: Node, work: f64) -> f64 {
+        let share = self.nodes.states[node].capacity_share(self.now, &self.settings);
+        let warm_rate = self.demand.warm_rates.max_bucket_mean(self.now).unwrap_or(0.0);
+        let mean_work = self.demand.requests.mean(self.now).unwrap_or(work);
+        SECOND as f64 * work / mean_work / (warm_rate * share).max(1.0 / self.proxy_count)
     }
 
-    /// A node's process is new. Guards it from the first requests of many proxies at once.
-    pub(crate) fn cool(&mut self, node: Node) {
-        let pause = self.pause(node, self.pace.asked.mean(self.now).unwrap_or(1.0));
-        let until = self.now + (pause * f64::from(self.rng.rand_float())) as Nanos;
-        self.nodes.change(node, |cache| cache.rests_until = until);
-        self.host.log(&format!("node {node} cold: one exchange in {:.1} s at first", pause / 1e9));
+    /// Starts pacing requests to a node whose process is new. The first one waits for a random time, to avoid
+    /// requests from many proxies at once.
+    pub(crate) fn start_pacing(&mut self, node: Node) {
+        let interval = self.cold_send_interval(node, self.demand.requests.mean(self.now).unwrap_or(1.0));
+        let until = self.now + (interval * f64::from(self.rng.rand_float())) as Nanos;
+        self.nodes.change(node, |state| state.paced_until = until);
+        self.host.log(&format!("node {node} is cold: at first one request every {:.1} s", interval / 1e9));
     }
 
-    pub(crate) fn learn(&mut self, node: Node, sent: Nanos, outcome: Outcome, late: Option<Nanos>) {
+    /// Records how an attempt at a node ended. `objective_if_expired` is the request's latency objective if its
+    /// client's deadline has passed, otherwise None.
+    pub(crate) fn record_outcome(
+        &mut self,
+        node: Node,
+        sent_at: Nanos,
+        outcome: Outcome,
+        objective_if_expired: Option<Nanos>,
+    ) {
         let now = self.now;
         let until = match outcome {
-            // Guards from keys that scatter over other nodes where all are full: it then tells of no node.
-            Outcome::Saturated => self.for_asks(self.all.answered(now).powi(2)).max(now + TICK),
-            _ => self.for_asks(FEW),
+            // Where many nodes refuse, a refusal says little about this one: it then counts for a shorter
+            // time, so that keys don't scatter over other nodes.
+            Outcome::Saturated => {
+                self.until_expected_sends(self.all_caches.answered_share(now).powi(2)).max(now + TICK)
+            }
+            _ => self.until_expected_sends(INITIAL_REQUESTS),
         };
-        let fails = self.nodes.change(node, |cache| {
-            cache.end(now, sent, outcome);
+        let fails = self.nodes.change(node, |state| {
+            state.end_attempt(now, sent_at, outcome);
             match outcome {
-                _ if outcome.serves() => cache.failures = cache.failures.saturating_sub(1),
-                Outcome::Saturated => cache.refuses_until = until,
-                // An error may be the request's own: others must show that it is not.
+                _ if outcome.is_success() => state.failures = state.failures.saturating_sub(1),
+                Outcome::Saturated => state.refusing_until = until,
+                // The request itself may cause the error; it counts only once another node serves the
+                // request.
                 Outcome::Errored | Outcome::Withdrawn | Outcome::Unsent | Outcome::Rejected => {}
-                // Slow while its request has time left; else a failure if attempts waited for an objective in
-                // vain.
-                Outcome::Overdue if late.is_none() => cache.refuses_until = until,
-                Outcome::Overdue if cache.owes_since > sent || Some(cache.waited) < late => {}
+                // Before the client's deadline, a timeout means that the node is slow. After it, a timeout is
+                // a failure only if attempts have waited for a whole latency objective without a response.
+                Outcome::Overdue if objective_if_expired.is_none() => state.refusing_until = until,
+                Outcome::Overdue
+                    if state.unanswered_since > sent_at
+                        || Some(state.timed_out_wait) < objective_if_expired => {}
                 _ => return true,
             }
             false
         });
-        fails.then(|| self.blame(node, outcome));
+        fails.then(|| self.record_failure(node, outcome));
         if Some(node) != self.origin {
-            self.all.end(now, sent, outcome);
+            self.all_caches.end(now, sent_at, outcome);
             if outcome == Outcome::Completed {
-                self.kinds.add(now, self.nodes.caches[node].listed.kind, now.saturating_sub(sent));
+                self.machine_types.record(
+                    now,
+                    self.nodes.states[node].listed.machine_type,
+                    now.saturating_sub(sent_at),
+                );
             }
         }
     }
 
-    /// Guards against nodes that fail quickly: their empty queues would attract load. Where no probe may
-    /// bring them back, they count as refusing for a while. Without a second attempt errors show nothing.
-    pub(crate) fn blame(&mut self, node: Node, outcome: Outcome) {
-        let (probes, slow, enough) =
-            (self.rules.probes, self.for_asks(FEW), (FAILURES / self.fleet).max(1.0));
-        let failures = self.nodes.change(node, |cache| {
-            cache.failures += 1;
-            let fails = cache.failures as f64 >= enough && cache.serves();
-            cache.aside = if fails && probes { Some(0) } else { cache.aside };
-            cache.refuses_until = if fails && !probes { slow } else { cache.refuses_until };
-            (fails && probes).then_some(cache.failures)
+    /// Counts a failure and ejects the node after enough of them: the empty queue of a node that fails
+    /// quickly would otherwise attract load. Where probes are not permitted nothing could reinstate the node,
+    /// so it counts as refusing for a while instead. An error is counted only if another attempt of its
+    /// request has shown that the node is at fault.
+    pub(crate) fn record_failure(&mut self, node: Node, outcome: Outcome) {
+        let (may_probe, refusing_until, threshold) = (
+            self.settings.may_probe,
+            self.until_expected_sends(INITIAL_REQUESTS),
+            (EJECT_FAILURES / self.proxy_count).max(1.0),
+        );
+        let failures = self.nodes.change(node, |state| {
+            state.failures += 1;
+            let fails = state.failures as f64 >= threshold && state.is_serving();
+            state.ejected = if fails && may_probe { Some(0) } else { state.ejected };
+            state.refusing_until = if fails && !may_probe { refusing_until } else { state.refusing_until };
+            (fails && may_probe).then_some(state.failures)
         });
         let Some(failures) = failures else { return };
-        self.host.log(&format!("node {node} aside: {failures} failures, last {outcome:?}"));
+        self.host.log(&format!("node {node} ejected: {failures} failures, last {outcome:?}"));
     }
 
-    /// Until when this proxy asks a node so many times on average.
-    fn for_asks(&self, asks: f64) -> Nanos {
-        let last = asks * self.serving() / self.all.answers.rate(self.now);
-        self.now + SLOW_LAST.min((last * SECOND as f64) as Nanos)
+    /// The time at which this proxy will have sent a node this many more requests, on average.
+    fn until_expected_sends(&self, sends: f64) -> Nanos {
+        let seconds = sends * self.serving_count() / self.all_caches.recent_answers.rate(self.now);
+        self.now + MAX_REFUSAL_TIME.min((seconds * SECOND as f64) as Nanos)
     }
 
-    pub fn probed(&mut self, node: Node, outcome: Outcome) {
-        let Some(cache) = self.nodes.caches.get_mut(node) else { return };
-        cache.probing = false;
-        let Some(answered) = &mut cache.aside else { return };
-        *answered = if outcome == Outcome::Completed { *answered + 1 } else { 0 };
-        if *answered >= PROBES {
-            self.nodes.change(node, Cache::back);
-            self.host.log(&format!("node {node} back: {PROBES} probes answered"));
+    /// A probe has ended. Enough answered probes in a row reinstate an ejected node.
+    pub fn probe_finished(&mut self, node: Node, outcome: Outcome) {
+        let Some(state) = self.nodes.states.get_mut(node) else { return };
+        state.probe_in_flight = false;
+        let Some(answered_probes) = &mut state.ejected else { return };
+        *answered_probes = if outcome == Outcome::Completed { *answered_probes + 1 } else { 0 };
+        if *answered_probes >= REINSTATE_PROBES {
+            self.nodes.change(node, NodeState::reinstate);
+            self.host.log(&format!("node {node} reinstated: {REINSTATE_PROBES} probes answered"));
         }
     }
 
-    /// Guards what may be a sick node from the probes of many proxies.
+    /// Probes ejected nodes. Each proxy takes part at random only, so that a node that may be unhealthy does
+    /// not get probes from all proxies.
     pub(crate) fn probe_ejected(&mut self) {
-        let idle = |cache: &Cache| cache.ready() && !cache.probing;
-        let due = self.nodes.aside().filter(|&node| idle(&self.nodes.caches[node]));
-        for node in due.collect::<SmallVec<[Node; 8]>>() {
-            if f64::from(self.rng.rand_float()) < (FEW / self.fleet).max(0.1) {
-                self.nodes.caches[node].probing = true;
+        let can_probe = |state: &NodeState| state.is_ready() && !state.probe_in_flight;
+        let to_probe = self.nodes.ejected().filter(|&node| can_probe(&self.nodes.states[node]));
+        for node in to_probe.collect::<SmallVec<[Node; 8]>>() {
+            if f64::from(self.rng.rand_float()) < (INITIAL_REQUESTS / self.proxy_count).max(0.1) {
+                self.nodes.states[node].probe_in_flight = true;
                 self.host.probe(node);
             }
         }
--- a/crates/core/src/policy/membership.rs
+++ b/crates/core/src/policy/membership.rs
@@ -1,90 +1,97 @@
-//! Which nodes there are and which of them may be sent anything: the list, drains, maintenance, and the
-//! routes as settings change. It must never send new work to a node that is not ready.
+//! Which nodes exist and which of them may be sent requests: the node list, draining, maintenance, and the
+//! routes when settings change. A node that is not ready must never be sent new requests.
 
-use crate::balance::Balance;
-use crate::fleet::Finder;
-use crate::host::{Host, Listed, Nanos, Node, RequestId};
+use crate::balancer::Balancer;
+use crate::host::{Host, ListedNode, Nanos, Node, RequestId};
+use crate::nodes::NodeIndex;
 use crate::policy::{SECOND, TICK};
 use crate::settings::Settings;
-use crate::state::{Attempt, Route, Rules};
+use crate::state::{Attempt, PolicySettings, Route};
 use std::collections::BTreeSet;
 
 /// The longest wait before discovery is asked again.
-const FOLLOW_WAIT: Nanos = 4 * SECOND;
-/// How long after new settings clients may still mean the old ones.
-const CHANGING: Nanos = 2 * SECOND;
+const MAX_WATCH_BACKOFF: Nanos = 4 * SECOND;
+/// How long after a change of settings clients may still refer to the old ones.
+const SETTINGS_OVERLAP: Nanos = 2 * SECOND;
 
-impl<H: Host, F: Finder> Balance<H, F> {
-    pub fn listed(&mut self, now: Nanos, node: Node, listed: Listed) {
-        self.at(now);
-        self.follow_wait = TICK;
-        let before = self.nodes.caches.get(node).map_or(0, |cache| cache.listed.started);
-        let started = listed.started.max(before);
-        self.nodes.list(node, Listed { started, ..listed });
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// Discovery has listed a node, or changed its entry.
+    pub fn node_listed(&mut self, now: Nanos, node: Node, listed: ListedNode) {
+        self.advance_to(now);
+        self.watch_backoff = TICK;
+        let previous_start = self.nodes.states.get(node).map_or(0, |state| state.listed.started);
+        let started = listed.started.max(previous_start);
+        self.nodes.update_listing(node, ListedNode { started, ..listed });
         if listed.origin && self.origin != Some(node) {
             self.origin = Some(node);
-            self.begin_fetches(node);
+            self.init_origin_credit(node);
         }
-        (started > before && !self.warm(node)).then(|| self.cool(node));
-        (self.nodes.caches[node].flow.room == 0.0).then(|| self.measure_node(node));
-        (!self.nodes.caches[node].ready()).then(|| self.recall());
+        (started > previous_start && !self.is_warm(node)).then(|| self.start_pacing(node));
+        (self.nodes.states[node].stats.limit == 0.0).then(|| self.update_node_limit(node));
+        (!self.nodes.states[node].is_ready()).then(|| self.cancel_unsent_to_unready());
     }
 
-    pub fn listed_all(&mut self, named: &[Node]) {
-        self.nodes.list_only(named);
-        self.measure_all();
-        self.recall();
+    /// Discovery has listed all nodes; those that are not named are gone.
+    pub fn list_completed(&mut self, listed_nodes: &[Node]) {
+        self.nodes.retain_listed(listed_nodes);
+        self.update_limits();
+        self.cancel_unsent_to_unready();
     }
 
-    /// Takes back what is not yet on its way to nodes that get nothing new: guards rule 3 from sends that
-    /// wait.
-    fn recall(&mut self) {
-        let unready = |t: &Attempt| t.out && !self.nodes.caches[t.node].ready();
-        let back = self
+    /// Cancels attempts that are not yet sent to nodes that may get no new requests. A send that waits could
+    /// otherwise reach a draining node after its drain grace.
+    fn cancel_unsent_to_unready(&mut self) {
+        let to_unready = |attempt: &Attempt| attempt.in_flight && !self.nodes.states[attempt.node].is_ready();
+        let affected = self
             .requests
             .iter()
-            .filter(|(_, request)| request.attempts.iter().any(unready))
+            .filter(|(_, request)| request.attempts.iter().any(to_unready))
             .map(|(&id, _)| id);
-        back.collect::<BTreeSet<RequestId>>().into_iter().for_each(|id| self.host.recall(id));
+        affected.collect::<BTreeSet<RequestId>>().into_iter().for_each(|id| self.host.cancel_unsent(id));
     }
 
-    /// Operators take a node out of service or put it back, as one that started now, whatever the list tells:
-    /// guards a restarted process from all its old work, and from what was held against the last one.
-    pub fn maintained(&mut self, now: Nanos, identity: u64, out: bool) {
-        self.at(now);
-        let (true, Some(node)) = self.nodes.ban(identity, out) else { return };
-        if out {
-            self.recall();
-            return self.host.log(&format!("node {node} out of service"));
+    /// Operators have taken a node out of service or put it back, whatever discovery lists. A node that is
+    /// put back counts as one whose process started now: it would otherwise get its full load at once, and
+    /// keep the penalties of the process previous.
+    pub fn maintenance_changed(&mut self, now: Nanos, identity: u64, out_of_service: bool) {
+        self.advance_to(now);
+        let (true, Some(node)) = self.nodes.set_maintenance(identity, out_of_service) else { return };
+        if out_of_service {
+            self.cancel_unsent_to_unready();
+            return self.host.log(&format!("node {node} taken out of service by an operator"));
         }
-        self.nodes.renew(node);
-        self.cool(node);
+        self.nodes.restart(node);
+        self.start_pacing(node);
     }
 
-    /// Other routes from now on, under the numbers they had; open requests keep theirs. For a while clients
-    /// mean either, and the stricter binds: guards from an effect that may no longer come twice.
-    pub fn retuned(&mut self, now: Nanos, settings: &Settings) {
-        self.at(now);
-        let routes = Route::all(settings);
-        self.rules = Rules::new(settings, &routes);
-        self.before = (now + CHANGING, std::mem::replace(&mut self.routes, routes));
+    /// Applies new settings. Routes keep their index, and open requests keep their route. For a while clients
+    /// may mean the old or the new route, and the stricter rule applies to each: an effect that may no longer
+    /// happen twice must not be repeated under the old rule.
+    pub fn settings_changed(&mut self, now: Nanos, settings: &Settings) {
+        self.advance_to(now);
+        let routes = Route::all_from(settings);
+        self.settings = PolicySettings::new(settings, &routes);
+        self.previous_routes = (now + SETTINGS_OVERLAP, std::mem::replace(&mut self.routes, routes));
     }
 
-    pub(crate) fn route(&self, at: usize) -> Route {
-        let (until, before) = &self.before;
-        let mut route = self.routes[at];
-        if let Some(before) = before.get(at).filter(|_| self.now < *until) {
-            route.repeat = route.repeat.max(before.repeat);
-            route.window = route.window.min(before.window);
-            route.most_attempts = route.most_attempts.min(before.most_attempts);
-            route.ordered |= before.ordered;
+    /// The settings of a route for a request arriving now: for a while after a change, the stricter of the old
+    /// and the new ones.
+    pub(crate) fn route(&self, index: usize) -> Route {
+        let (until, previous) = &self.previous_routes;
+        let mut route = self.routes[index];
+        if let Some(previous) = previous.get(index).filter(|_| self.now < *until) {
+            route.retry_safety = route.retry_safety.max(previous.retry_safety);
+            route.dedup_window = route.dedup_window.min(previous.dedup_window);
+            route.max_attempts = route.max_attempts.min(previous.max_attempts);
+            route.keeps_order |= previous.keeps_order;
         }
         route
     }
 
-    /// Guards the list service, which many proxies that ask again at once would drown.
-    pub fn list_failed(&mut self, now: Nanos) {
-        self.follow_at = now + (self.follow_wait as f64 * (0.5 + f64::from(self.rng.rand_float()))) as Nanos;
-        self.follow_wait = (2 * self.follow_wait).min(FOLLOW_WAIT);
+    /// A request for the node list has failed. It is repeated after a growing, randomized delay: many proxies
+    /// that asked again at once would overload discovery.
+    pub fn list_request_failed(&mut self, now: Nanos) {
+        self.watch_at = now + (self.watch_backoff as f64 * (0.5 + f64::from(self.rng.rand_float()))) as Nanos;
+        self.watch_backoff = (2 * self.watch_backoff).min(MAX_WATCH_BACKOFF);
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,5 +1,6 @@
-//! The decisions of a proxy, one matter a module: each adds methods to [`Balance`](crate::balance::Balance),
-//! which holds the state. Numbers that several modules share stand here.
+//! The decisions of a proxy, one subject per module. Each module adds methods to
+//! [`Balancer`](crate::balancer::Balancer), which holds the state. Constants that several modules share are
+//! here.
 
 mod attempts;
 pub mod deadline;
@@ -14,20 +15,26 @@
 use crate::host::Nanos;
 
 pub(crate) const SECOND: Nanos = 1_000_000_000;
+/// The interval between ticks.
 pub(crate) const TICK: Nanos = SECOND / 10;
-/// Keys in the table; members leave their set when unpicked for so long.
-pub(crate) const TABLE_KEYS: usize = 1 << 16;
-pub(crate) const UNPICKED: Nanos = 10 * SECOND;
-/// How long a report counts: a queue is gone soon.
-pub(crate) const REPORT_LAST: Nanos = SECOND / 2;
-/// So many answers in a bucket of time are enough to measure by.
-pub(crate) const ENOUGH: u32 = 10;
-/// What is allowed while nothing is measured: so many requests for the whole fleet of proxies.
-pub(crate) const FEW: f64 = 9.0;
-/// Answers are quick below the shortest objective over this: the least room is then so many times as large.
-pub(crate) const QUICK: f64 = 3.0;
-/// Requests that unused room adds up to at most: a part below one is one now and then.
-pub(crate) const SAVED: f64 = 3.0;
-/// What a request waits for room, a shed client to come back, or a fetch to begin: its objective over this.
-pub(crate) const PATIENCE: u64 = 8;
-pub(crate) const ORIGIN_PATIENCE: u64 = 3;
+/// The most keys in the replica table.
+pub(crate) const MAX_TABLE_KEYS: usize = 1 << 16;
+/// A node leaves a key's replicas when not picked for this long.
+pub(crate) const REPLICA_IDLE_TIMEOUT: Nanos = 10 * SECOND;
+/// How long a load report counts. Queues change quickly, so it is short.
+pub(crate) const REPORT_LIFETIME: Nanos = SECOND / 2;
+/// The least number of answers in a bucket of time that makes its mean usable.
+pub(crate) const MIN_SAMPLES: u32 = 10;
+/// Requests that all proxies together may have in flight while nothing has been measured.
+pub(crate) const INITIAL_REQUESTS: f64 = 9.0;
+/// Answers are quick when they take less than the shortest objective divided by this. The minimum limit is
+/// then scaled up by as much as they are quicker.
+pub(crate) const QUICK_DIVISOR: f64 = 3.0;
+/// The most requests that unused concurrency adds up to. With a limit below one, a request is sent each time
+/// that enough credit has been earned.
+pub(crate) const MAX_BURST_CREDIT: f64 = 3.0;
+/// A request waits for capacity, and a shed client before it retries, for the latency objective divided by
+/// this.
+pub(crate) const WAIT_DIVISOR: u64 = 8;
+/// A fetch waits to begin for the latency objective divided by this.
+pub(crate) const ORIGIN_WAIT_DIVISOR: u64 = 3;
--- a/crates/core/src/policy/origin.rs
+++ b/crates/core/src/policy/origin.rs
@@ -1,99 +1,116 @@
-//! Fetches from the origin: one a key, bounded by what the origin bears, the worthiest first. Misses must not
-//! stop it.
+//! Fetches from the origin: one per key, within the origin's concurrency limit, those with the highest payoff
+//! first. Cache misses must not overload the origin.
 
-use crate::balance::Balance;
+use crate::balancer::Balancer;
 use crate::fetches::Fetch;
-use crate::fleet::Finder;
-use crate::host::{GiveUp, Host, Nanos, Node, RequestId};
-use crate::policy::{ENOUGH, FEW, ORIGIN_PATIENCE, QUICK, SAVED, SECOND};
-use crate::state::Cache;
+use crate::host::{GiveUpReason, Host, Nanos, Node, RequestId};
+use crate::nodes::NodeIndex;
+use crate::policy::{
+    INITIAL_REQUESTS, MAX_BURST_CREDIT, MIN_SAMPLES, ORIGIN_WAIT_DIVISOR, QUICK_DIVISOR, SECOND,
+};
+use crate::state::NodeState;
 
-/// Fetches in flight for each cache of the fleet, while nothing is measured and once it is.
-const ORIGIN_FEW: [f64; 2] = [1.8, 1.3];
-/// As `QUICK`, where the origin can't stop from too much.
-const ORIGIN_QUICK: f64 = 1.5;
+/// Fetches in flight for each serving cache, by all proxies together: before the origin's latency is known,
+/// and after.
+const ORIGIN_FETCHES_PER_CACHE: [f64; 2] = [1.8, 1.3];
+/// `QUICK_DIVISOR` for an origin that does not stop when overloaded.
+const ORIGIN_QUICK_DIVISOR: f64 = 1.5;
 
-impl<H: Host, F: Finder> Balance<H, F> {
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// Lets the request wait for the fetch of its key.
     pub(crate) fn wait_for_fetch(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        self.fetches.wait(request.ask.key, id, request.worth);
-        self.hold(id, ORIGIN_PATIENCE);
+        self.fetches.add_waiter(request.params.key, id, request.payoff_milli);
+        self.hold_request(id, ORIGIN_WAIT_DIVISOR);
     }
 
-    /// One fetch a key, the others wait for it; past the origin's bound a fetch waits in line.
-    pub(crate) fn ask_origin(&mut self, id: RequestId) {
-        let Some(origin) = self.origin.filter(|&node| self.may_take(&self.requests[&id], node)) else {
-            return self.give_up(id, GiveUp::NoNode);
+    /// Sends a request to the origin. Of the requests that miss a key one fetches it and the others wait for
+    /// it; beyond the origin's limit a request is queued.
+    pub(crate) fn send_to_origin(&mut self, id: RequestId) {
+        let Some(origin) = self.origin.filter(|&node| self.may_send(&self.requests[&id], node)) else {
+            return self.give_up(id, GiveUpReason::NoNode);
         };
-        let request = self.requests.get_mut(&id).expect("placed requests are known");
-        let (key, worth) = (request.ask.key, request.worth);
-        if let (Some(key), Some(fills), false) = (key, request.missed(), request.fetching) {
+        let request = self.requests.get_mut(&id).expect("a request being placed is open");
+        let (key, payoff_milli) = (request.params.key, request.payoff_milli);
+        if let (Some(key), Some(target_node), false) = (key, request.first_missed_node(), request.leads_fetch)
+        {
             if self.fetches.get(Some(key)).is_some() {
                 return self.wait_for_fetch(id);
             }
-            request.fetching = true;
-            self.fetches.start(key, Fetch { by: id, fills, worth, waiting: Vec::new() });
+            request.leads_fetch = true;
+            self.fetches.start(key, Fetch { leader: id, target_node, payoff_milli, waiters: Vec::new() });
         }
-        if self.origin_fits(id) {
+        if self.origin_has_capacity(id) {
             return self.send(id, origin);
         }
-        self.fetches.line_up(key, id, worth);
-        let wait = self.hold(id, ORIGIN_PATIENCE);
-        self.shorten_line(origin, wait);
+        self.fetches.enqueue(key, id, payoff_milli);
+        let max_wait = self.hold_request(id, ORIGIN_WAIT_DIVISOR);
+        self.trim_fetch_queue(origin, max_wait);
     }
 
-    /// The line is no longer than the origin's rate times what the request waits: the least worthy is shed.
-    fn shorten_line(&mut self, origin: Node, wait: Nanos) {
-        let most = self.nodes.caches[origin].flow.answers.rate(self.now) * wait as f64 / SECOND as f64;
-        if self.fetches.in_line() as f64 > most.max(2.0)
-            && let Some(id) = self.fetches.least_worthy()
+    /// Keeps the queue no longer than the origin can answer within the waiting time: the request with the
+    /// lowest payoff is given up.
+    fn trim_fetch_queue(&mut self, origin: Node, max_wait: Nanos) {
+        let max_queued =
+            self.nodes.states[origin].stats.recent_answers.rate(self.now) * max_wait as f64 / SECOND as f64;
+        if self.fetches.queued() as f64 > max_queued.max(2.0)
+            && let Some(id) = self.fetches.lowest_payoff()
         {
-            self.give_up(id, GiveUp::FetchQueueFull);
+            self.give_up(id, GiveUpReason::FetchQueueFull);
         }
     }
 
-    pub(crate) fn serve_line(&mut self) {
-        while let Some(id) = self.fetches.worthiest().filter(|&id| self.origin_fits(id)) {
-            self.fetches.take_worthiest();
-            self.ask_origin(id);
+    /// Sends queued requests to the origin while it has capacity.
+    pub(crate) fn drain_fetch_queue(&mut self) {
+        while let Some(id) = self.fetches.highest_payoff().filter(|&id| self.origin_has_capacity(id)) {
+            self.fetches.pop_highest_payoff();
+            self.send_to_origin(id);
         }
     }
 
-    /// Guards the origin in the same way; a proxy's part below one is one fetch now and then.
-    pub(crate) fn origin_fits(&self, id: RequestId) -> bool {
-        let Some(Cache { flow, .. }) = self.origin.map(|node| &self.nodes.caches[node]) else { return false };
-        let reserve = if self.surplus(self.requests[&id].ask.tenant) { SAVED - 1.0 } else { 0.0 };
-        flow.in_flight as f64 + 1.0 <= flow.room.ceil().min(flow.room + flow.saved - reserve)
+    /// Whether the origin's concurrency limit allows this request. A limit below one allows a fetch each time
+    /// that enough credit has been earned. Tenants over their quota leave some credit to others.
+    pub(crate) fn origin_has_capacity(&self, id: RequestId) -> bool {
+        let Some(NodeState { stats, .. }) = self.origin.map(|n| &self.nodes.states[n]) else { return false };
+        let reserve =
+            if self.over_quota(self.requests[&id].params.tenant) { MAX_BURST_CREDIT - 1.0 } else { 0.0 };
+        stats.in_flight as f64 + 1.0 <= stats.limit.ceil().min(stats.limit + stats.burst_credit - reserve)
     }
 
-    /// Guards an origin that stops when asked for too much: more than its part only while quicker still, and never more
-    /// than follows from what it has answered, or from what is asked where it has answered too little. The part goes by
-    /// the number of caches, of which thousands may share what a few bore.
-    pub(crate) fn origin_few(&self, node: Node) -> f64 {
-        let flow = &self.nodes.caches[node].flow;
-        let known = flow.minute.least_mean(self.now, ENOUGH).is_some();
-        let quick = if self.rules.origin_falls { QUICK } else { ORIGIN_QUICK };
-        let took = flow.answers.mean(self.now).unwrap_or(0.0);
-        let more = self.more(took, quick);
-        let part = ORIGIN_FEW[usize::from(known)] * more * (self.serving() / self.fleet);
-        if !self.rules.origin_falls {
-            return part;
+    /// The minimum limit for fetches. It protects an origin that stops when overloaded: a proxy gets more
+    /// than its share only while answers are quick, and never more than follows from what the origin has
+    /// answered or, where that is too little, from the rate of requests. The share alone is not safe, since
+    /// it grows with the number of caches: thousands may share an origin that has only handled a few fetches.
+    pub(crate) fn origin_min_limit(&self, node: Node) -> f64 {
+        let stats = &self.nodes.states[node].stats;
+        let measured = stats.minute_answers.min_bucket_mean(self.now, MIN_SAMPLES).is_some();
+        let quick_divisor =
+            if self.settings.origin_may_collapse { QUICK_DIVISOR } else { ORIGIN_QUICK_DIVISOR };
+        let latency = stats.recent_answers.mean(self.now).unwrap_or(0.0);
+        let scale = self.minimum_scale(latency, quick_divisor);
+        let share = ORIGIN_FETCHES_PER_CACHE[usize::from(measured)]
+            * scale
+            * (self.serving_count() / self.proxy_count);
+        if !self.settings.origin_may_collapse {
+            return share;
         }
-        let shown = if known { more * flow.best(self.now) } else { 0.0 };
-        part.min(shown.max(self.origin_asked(took)).max(FEW / self.fleet))
+        let proven = if measured { scale * stats.best_in_flight(self.now) } else { 0.0 };
+        share.min(proven.max(self.expected_origin_fetches(latency)).max(INITIAL_REQUESTS / self.proxy_count))
     }
 
-    /// Of proxies whose part is less than one fetch only so many begin with one: guards an origin from one fetch of each
+    /// Sets the initial credit for fetches where a proxy's share is less than one: with a random part of a
+    /// fetch each, only some proxies begin with one. Otherwise the origin would get a fetch from each proxy
     /// at once.
-    pub(crate) fn begin_fetches(&mut self, node: Node) {
-        if self.rules.origin_falls && FEW < self.fleet {
-            self.nodes.caches[node].flow.saved = self.first_fetch;
+    pub(crate) fn init_origin_credit(&mut self, node: Node) {
+        if self.settings.origin_may_collapse && INITIAL_REQUESTS < self.proxy_count {
+            self.nodes.states[node].stats.burst_credit = self.first_fetch_credit;
         }
     }
 
-    /// Requests that come while a quick fetch takes, each of which may miss; so many fewer as fetches take longer.
-    fn origin_asked(&self, took: f64) -> f64 {
-        let quick = self.rules.objective as f64 / SECOND as f64 / QUICK;
-        self.pace.asked.peak_rate(self.now) * quick * (quick / took).min(1.0)
+    /// Requests that arrive while a quick fetch takes place, each of which may miss; fewer as fetches take
+    /// longer.
+    fn expected_origin_fetches(&self, latency: f64) -> f64 {
+        let quick_latency = self.settings.shortest_objective as f64 / SECOND as f64 / QUICK_DIVISOR;
+        self.demand.requests.peak_rate(self.now) * quick_latency * (quick_latency / latency).min(1.0)
     }
 }
--- a/crates/core/src/policy/queueing.rs
+++ b/crates/core/src/policy/queueing.rs
@@ -1,101 +1,114 @@
-//! Who waits, for what and how long, and who is shed: turns on a key, room at nodes, quotas of tenants.
+//! Which requests wait, for what and for how long, and which are shed: order of requests for one key,
+//! capacity of nodes, quotas of tenants.
 
-use crate::balance::Balance;
-use crate::fleet::Finder;
-use crate::host::{Ask, GiveUp, Host, Nanos, Node, RequestId};
-use crate::policy::{ORIGIN_PATIENCE, PATIENCE, SAVED, SECOND};
+use crate::balancer::Balancer;
+use crate::host::{GiveUpReason, Host, Nanos, Node, RequestId, RequestParams};
+use crate::nodes::NodeIndex;
+use crate::policy::{MAX_BURST_CREDIT, ORIGIN_WAIT_DIVISOR, SECOND, WAIT_DIVISOR};
 use crate::state::{RequestState, Route, Tenant};
 
-/// How much more than its part of the traffic a proxy may see.
-const UNEVEN: f64 = 1.5;
+/// A tenant counts as over quota at a proxy once it uses this multiple of the proxy's share of the quota, since
+/// traffic is spread unevenly over proxies.
+const QUOTA_TOLERANCE: f64 = 1.5;
 
-impl<H: Host, F: Finder> Balance<H, F> {
-    /// Whether those of its key that came first, or the key's rest, keep the request from going: guards the
-    /// order of effects on a key. What can't be first as soon as a fetch would begin is given up at once.
-    pub(crate) fn waits_for_turn(&mut self, id: RequestId) -> bool {
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// Whether earlier requests for the key, or a block of the key, keep the request from being sent. This
+    /// preserves the order of effects on a key. A request that can't become first before a fetch would have
+    /// to begin is given up immediately.
+    pub(crate) fn waits_for_key_order(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        let Some(key) = request.ordered().filter(|_| request.attempts.is_empty()) else { return false };
-        let (before, rests) = (self.turns.before(key, id), self.turns.rests_until(key));
-        let waits = before > 0 || self.now < rests;
-        let last = request.arrived + request.route.objective / ORIGIN_PATIENCE;
-        // Writes go to the origin.
-        let took = self.origin.and_then(|node| self.nodes.caches[node].flow.answers.mean(self.now));
-        let turns = (before as f64 * took.unwrap_or(self.kinds.usual) * SECOND as f64) as Nanos;
-        self.requests.get_mut(&id).expect("placed requests are known").waits = waits;
-        if waits && self.now.max(rests) + turns > last {
-            self.give_up(id, GiveUp::KeyBusy);
+        let Some(key) = request.ordering_key().filter(|_| request.attempts.is_empty()) else { return false };
+        let (ahead, blocked_until) = (self.key_queues.position(key, id), self.key_queues.blocked_until(key));
+        let waits = ahead > 0 || self.now < blocked_until;
+        let latest_start = request.arrived_at + request.route.latency_objective / ORIGIN_WAIT_DIVISOR;
+        // The wait is estimated by the latency of the origin, where writes go.
+        let origin_latency =
+            self.origin.and_then(|node| self.nodes.states[node].stats.recent_answers.mean(self.now));
+        let expected_wait = (ahead as f64
+            * origin_latency.unwrap_or(self.machine_types.mean_latency)
+            * SECOND as f64) as Nanos;
+        self.requests.get_mut(&id).expect("a request being placed is open").waits_for_key = waits;
+        if waits && self.now.max(blocked_until) + expected_wait > latest_start {
+            self.give_up(id, GiveUpReason::KeyBusy);
         } else if waits {
-            self.hold(id, ORIGIN_PATIENCE);
-            // Behind others it is placed again when those are over.
-            (before == 0).then(|| self.host.wake(rests, id));
+            self.hold_request(id, ORIGIN_WAIT_DIVISOR);
+            // Behind other requests it is placed again when those are finished.
+            (ahead == 0).then(|| self.host.set_timer(blocked_until, id));
         }
         waits
     }
 
-    /// Holds a request with nothing out, for this part of its objective since it arrived; then it is shed.
-    pub(crate) fn hold(&mut self, id: RequestId, part: u64) -> Nanos {
-        let request = self.requests.get_mut(&id).expect("waiting requests are known");
-        let patience = request.route.objective / part;
-        request.until = (request.arrived + patience.min(request.ask.grace)).max(self.now);
-        self.host.wake(request.until, id);
-        patience
+    /// Holds a request without attempts in flight until the latency objective divided by `divisor` has passed
+    /// since its arrival, or its client stops waiting; then it is shed. Returns the waiting time.
+    pub(crate) fn hold_request(&mut self, id: RequestId, divisor: u64) -> Nanos {
+        let request = self.requests.get_mut(&id).expect("a waiting request is open");
+        let max_wait = request.route.latency_objective / divisor;
+        request.give_up_at = (request.arrived_at + max_wait.min(request.params.client_timeout)).max(self.now);
+        self.host.set_timer(request.give_up_at, id);
+        max_wait
     }
 
-    /// No cache has room: surplus is shed. Within quota the origin serves if it has room; else the
-    /// request waits, in a queue so short (rate times time) that waits mostly end in an answer.
-    pub(crate) fn wait_for_room(&mut self, id: RequestId) {
-        let RequestState { arrived, ask, route, .. } = &self.requests[&id];
-        let patience = route.objective / PATIENCE;
-        let rate = self.all.answers.rate(self.now);
-        if self.surplus(ask.tenant) {
-            self.give_up(id, GiveUp::OverQuota);
-        } else if self.now - arrived >= patience {
-            self.give_up(id, GiveUp::WaitedTooLong);
-        } else if self.origin_fits(id) {
-            self.ask_origin(id);
-        } else if self.queue.len() as f64 >= (rate * patience as f64 / SECOND as f64).max(1.0) {
-            self.give_up(id, GiveUp::QueueFull);
+    /// Decides on a request for which no cache has capacity. Over the tenant's quota it is shed. Otherwise
+    /// the origin serves it if it has capacity; if not, the request waits, in a queue short enough (rate
+    /// times waiting time) that most of those waiting are answered.
+    pub(crate) fn wait_for_capacity(&mut self, id: RequestId) {
+        let RequestState { arrived_at, params, route, .. } = &self.requests[&id];
+        let max_wait = route.latency_objective / WAIT_DIVISOR;
+        let rate = self.all_caches.recent_answers.rate(self.now);
+        if self.over_quota(params.tenant) {
+            self.give_up(id, GiveUpReason::OverQuota);
+        } else if self.now - arrived_at >= max_wait {
+            self.give_up(id, GiveUpReason::WaitedTooLong);
+        } else if self.origin_has_capacity(id) {
+            self.send_to_origin(id);
+        } else if self.capacity_queue.len() as f64 >= (rate * max_wait as f64 / SECOND as f64).max(1.0) {
+            self.give_up(id, GiveUpReason::QueueFull);
         } else {
-            self.hold(id, PATIENCE);
-            self.queue.push(id);
+            self.hold_request(id, WAIT_DIVISOR);
+            self.capacity_queue.push(id);
         }
     }
 
-    pub(crate) fn place_all(&mut self, requests: Vec<RequestId>) {
+    /// Places those of the requests that still wait for a decision.
+    pub(crate) fn place_waiting(&mut self, requests: Vec<RequestId>) {
         for id in requests {
-            if self.requests.get(&id).is_some_and(RequestState::held) {
-                self.place(id);
+            if self.requests.get(&id).is_some_and(RequestState::awaits_decision) {
+                self.place_request(id);
             }
         }
     }
 
-    /// What an answer is worth, in thousandths: a fetch costs the origin about the same for each.
-    pub(crate) fn worth(&self, ask: &Ask, route: &Route) -> u64 {
-        let part = if self.surplus(ask.tenant) { self.rules.surplus_payoff } else { 1.0 };
-        (1000.0 * route.payoff * part) as u64
+    /// The payoff of answering a request, in thousandths. Fetches are ordered by it alone, as each costs the
+    /// origin about the same.
+    pub(crate) fn payoff_milli(&self, params: &RequestParams, route: &Route) -> u64 {
+        let share = if self.over_quota(params.tenant) { self.settings.over_quota_payoff } else { 1.0 };
+        (1000.0 * route.payoff * share) as u64
     }
 
-    /// Guards nodes that lose capacity when crowded; little or shrunk room is rounded down, since the odd one
-    /// more from each proxy is many. Guards large fleets, with one from each at every node: all caches are
-    /// bounded together, and what room was saved goes first to tenants that had little of their part.
-    pub(crate) fn fits(&self, id: RequestId, node: Node) -> bool {
-        let (here, all) = (&self.nodes.caches[node].flow, &self.all);
-        let little = here.room < 2.0 || here.squeeze < 1.0;
-        let room = if little { here.room.floor().max(1.0) } else { here.room };
-        let had = (self.part_had(self.requests[&id].ask.tenant) / UNEVEN).min(1.0);
-        let in_all = (all.room + all.saved - SAVED * had).max(1.0);
-        (here.in_flight as f64) < room && all.in_flight as f64 + 1.0 <= in_all
+    /// Whether the limits of the node and of all caches together allow this request. This protects nodes that
+    /// lose capacity when crowded: a small or reduced limit is rounded down, since one request too many from
+    /// each proxy adds up. It also protects large fleets, where each proxy could have a request at every
+    /// node: the limit for all caches together prevents that. Burst credit goes first to tenants that have
+    /// used little of their share.
+    pub(crate) fn has_capacity(&self, id: RequestId, node: Node) -> bool {
+        let (here, all) = (&self.nodes.states[node].stats, &self.all_caches);
+        let is_small = here.limit < 2.0 || here.limit_scale < 1.0;
+        let limit = if is_small { here.limit.floor().max(1.0) } else { here.limit };
+        let used_share = (self.quota_use(self.requests[&id].params.tenant) / QUOTA_TOLERANCE).min(1.0);
+        let total_limit = (all.limit + all.burst_credit - MAX_BURST_CREDIT * used_share).max(1.0);
+        (here.in_flight as f64) < limit && all.in_flight as f64 + 1.0 <= total_limit
     }
 
-    /// What the tenant had lately of this proxy's part of its quota. Guards proxies that see far more than an
-    /// equal part of all tenants' traffic: their part of each quota is as much larger.
-    fn part_had(&self, tenant: Option<usize>) -> f64 {
-        let part = (1.0 / self.fleet).max(self.tenants.all_had(self.now));
-        let served = |tenant: &Tenant| tenant.served.rate(self.now) / tenant.quota / part;
+    /// The tenant's recent use of this proxy's share of its quota; 1 is all of it. A proxy that sees far more
+    /// than an even share of all tenants' traffic has a share of each quota that is larger by as much.
+    fn quota_use(&self, tenant: Option<usize>) -> f64 {
+        let share = (1.0 / self.proxy_count).max(self.tenants.quota_use(self.now));
+        let served = |tenant: &Tenant| tenant.served.rate(self.now) / tenant.quota / share;
         self.tenants.get(tenant).map_or(0.0, served)
     }
 
-    pub(crate) fn surplus(&self, tenant: Option<usize>) -> bool {
-        self.part_had(tenant) > UNEVEN
+    /// Whether the tenant has used more than its share of the quota at this proxy.
+    pub(crate) fn over_quota(&self, tenant: Option<usize>) -> bool {
+        self.quota_use(tenant) > QUOTA_TOLERANCE
     }
 }
--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -1,137 +1,158 @@
-//! A request that is not wholly over, and its attempts. A plain record, no choices.
+//! An open request and its attempts. A plain record without decisions.
 
-use crate::host::{Ask, Nanos, Node, Outcome, Repeat};
+use crate::host::{Nanos, Node, Outcome, RequestParams, RetrySafety};
 use crate::state::Route;
 use smallvec::SmallVec;
 
-/// A request that is not wholly over: it awaits its final answer, or outcomes of its attempts.
+/// An open request: it lacks its final answer, or has attempts in flight.
 #[derive(Clone, Debug)]
 pub struct RequestState {
-    pub ask: Ask,
-    /// Its route as it was when the request arrived, whatever became of the settings since.
+    /// What the client sent.
+    pub params: RequestParams,
+    /// The route's settings when the request arrived, whatever changes later.
     pub route: Route,
-    pub arrived: Nanos,
+    /// When the request arrived.
+    pub arrived_at: Nanos,
+    /// Its attempts in the order of their numbers.
     pub attempts: SmallVec<[Attempt; 2]>,
-    /// Has its final answer.
-    pub over: bool,
-    /// The answer has begun to stream.
-    pub under_way: bool,
-    /// Fetches its key for others too.
-    pub fetching: bool,
-    /// What its answer is worth.
-    pub worth: u64,
-    /// How long it is held at most, and how long its client waits once an attempt is out.
-    pub until: Nanos,
-    /// Waits until those of its key that were taken before it are over.
-    pub waits: bool,
+    /// Whether it has its final answer.
+    pub answered: bool,
+    /// Whether the client has received a part of the response.
+    pub response_started: bool,
+    /// Whether it fetches its key for other requests too.
+    pub leads_fetch: bool,
+    /// Payoff of answering it, in thousandths.
+    pub payoff_milli: u64,
+    /// When the request is given up: the end of its waiting time or, once an attempt has been sent, its
+    /// client's deadline.
+    pub give_up_at: Nanos,
+    /// Whether it waits for earlier requests for its key.
+    pub waits_for_key: bool,
 }
 
+/// An upstream attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
+    /// The node it was sent to.
     pub node: Node,
-    pub sent: Nanos,
-    pub out: bool,
+    /// When it was sent.
+    pub sent_at: Nanos,
+    /// Whether it has not ended yet.
+    pub in_flight: bool,
+    /// Whether the node lacked the key.
     pub missed: bool,
-    /// Ended in an error that nobody has been blamed for.
-    pub errored: bool,
+    /// Ended in an error that has not been counted against its node.
+    pub unattributed_error: bool,
+    /// Whether the node may have run the request.
     pub may_have_run: bool,
 }
 
 impl RequestState {
-    pub fn new(ask: Ask, route: Route, now: Nanos, worth: u64) -> Self {
+    /// A request without attempts.
+    pub fn new(params: RequestParams, route: Route, now: Nanos, payoff_milli: u64) -> Self {
         RequestState {
-            ask,
+            params,
             route,
-            arrived: now,
+            arrived_at: now,
             attempts: SmallVec::new(),
-            over: false,
-            under_way: false,
-            fetching: false,
-            until: 0,
-            waits: false,
-            worth,
+            answered: false,
+            response_started: false,
+            leads_fetch: false,
+            give_up_at: 0,
+            waits_for_key: false,
+            payoff_milli,
         }
     }
 
-    pub fn start(&mut self, now: Nanos, node: Node) {
+    /// Adds an attempt that is sent now.
+    pub fn start_attempt(&mut self, now: Nanos, node: Node) {
         self.attempts.push(Attempt {
             node,
-            sent: now,
-            out: true,
+            sent_at: now,
+            in_flight: true,
             missed: false,
-            errored: false,
+            unattributed_error: false,
             may_have_run: true,
         });
     }
 
-    /// Notes how an attempt ended; nothing for one that is not out.
-    pub fn end(&mut self, attempt: usize, outcome: Outcome, over: bool) -> Option<Attempt> {
-        let this = self.attempts.get_mut(attempt).filter(|t| t.out)?;
-        self.over |= over;
-        this.out = false;
-        this.missed = outcome == Outcome::Missed;
-        this.errored = outcome == Outcome::Errored;
-        this.may_have_run = !outcome.never_ran();
-        Some(*this)
+    /// Records how an attempt ended and returns it; None for one that is not in flight.
+    pub fn end_attempt(&mut self, index: usize, outcome: Outcome, answered: bool) -> Option<Attempt> {
+        let ended = self.attempts.get_mut(index).filter(|attempt| attempt.in_flight)?;
+        self.answered |= answered;
+        ended.in_flight = false;
+        ended.missed = outcome == Outcome::Missed;
+        ended.unattributed_error = outcome == Outcome::Errored;
+        ended.may_have_run = !outcome.never_ran();
+        Some(*ended)
     }
 
-    /// Until when its last attempt is discarded where an earlier one ran; for ever where it need not be. Guards rule 2
-    /// from a repeat that waits to go out: it goes out within the window or not at all.
-    pub fn discarded_until(&self) -> Nanos {
-        let earlier =
-            self.attempts.split_last().and_then(|(_, earlier)| earlier.iter().find(|t| t.may_have_run));
-        match (self.route.repeat, earlier) {
-            (Repeat::Deduped(_), Some(first)) => first.sent + self.route.window,
+    /// Until when nodes discard the last attempt as a duplicate if an earlier one ran; `Nanos::MAX` where
+    /// they need not. A retry that waits for a connection must be sent within this time or not at all, since
+    /// its effect could otherwise happen twice.
+    pub fn dedup_deadline(&self) -> Nanos {
+        let earlier = self
+            .attempts
+            .split_last()
+            .and_then(|(_, earlier)| earlier.iter().find(|attempt| attempt.may_have_run));
+        match (self.route.retry_safety, earlier) {
+            (RetrySafety::Deduped(_), Some(first)) => first.sent_at + self.route.dedup_window,
             _ => Nanos::MAX,
         }
     }
 
-    pub fn tried(&self, node: Node) -> bool {
-        self.attempts.iter().any(|t| t.node == node)
+    /// Whether an attempt was sent to this node.
+    pub fn attempted_on(&self, node: Node) -> bool {
+        self.attempts.iter().any(|attempt| attempt.node == node)
     }
 
-    /// The nodes that were tried, by number, each once.
-    pub fn nodes(&self, into: &mut Vec<Node>) {
+    /// Fills `into` with the nodes of all attempts, sorted and without duplicates.
+    pub fn attempted_nodes(&self, into: &mut Vec<Node>) {
         into.clear();
-        into.extend(self.attempts.iter().map(|t| t.node));
+        into.extend(self.attempts.iter().map(|attempt| attempt.node));
         into.sort_unstable();
         into.dedup();
     }
 
-    /// The nodes of attempts that ended in errors; each is named once.
-    pub fn blamed(&mut self) -> SmallVec<[Node; 2]> {
-        let errored = |t: &mut Attempt| std::mem::take(&mut t.errored).then_some(t.node);
-        self.attempts.iter_mut().filter_map(errored).collect()
+    /// Returns the nodes of attempts that ended in errors, each attempt once only.
+    pub fn take_errored_nodes(&mut self) -> SmallVec<[Node; 2]> {
+        let unattributed_error =
+            |attempt: &mut Attempt| std::mem::take(&mut attempt.unattributed_error).then_some(attempt.node);
+        self.attempts.iter_mut().filter_map(unattributed_error).collect()
     }
 
-    pub fn errors(&self) -> usize {
-        self.attempts.iter().filter(|t| t.errored).count()
+    /// The number of attempts with errors that have not been counted against their node.
+    pub fn error_count(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.unattributed_error).count()
     }
 
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|t| t.may_have_run)
+        self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 
-    pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|t| t.out).count()
+    /// The number of attempts in flight.
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// The key whose order it keeps.
-    pub fn ordered(&self) -> Option<u64> {
-        self.ask.key.filter(|_| self.route.ordered)
+    /// The key if the route keeps the order of requests for one key.
+    pub fn ordering_key(&self) -> Option<u64> {
+        self.params.key.filter(|_| self.route.keeps_order)
     }
 
-    /// Awaits a decision: no answer yet and nothing out.
-    pub fn held(&self) -> bool {
-        !self.over && self.out() == 0
+    /// Whether something must be decided: there is neither a final answer nor an attempt in flight.
+    pub fn awaits_decision(&self) -> bool {
+        !self.answered && self.attempts_in_flight() == 0
     }
 
-    pub fn ends(&self) -> Nanos {
-        self.arrived + self.ask.grace
+    /// When the client stops waiting.
+    pub fn client_deadline(&self) -> Nanos {
+        self.arrived_at + self.params.client_timeout
     }
 
-    /// The first node that lacked the key: the origin's answer will be kept there.
-    pub fn missed(&self) -> Option<Node> {
-        self.attempts.iter().find(|t| t.missed).map(|t| t.node)
+    /// The first node that lacked the key: it will store the origin's answer.
+    pub fn first_missed_node(&self) -> Option<Node> {
+        self.attempts.iter().find(|attempt| attempt.missed).map(|attempt| attempt.node)
     }
 }
--- a/crates/core/src/state/route.rs
+++ b/crates/core/src/state/route.rs
@@ -1,88 +1,102 @@
-//! The settings as the decisions look them up for each request. Plain records, no choices.
+//! Settings in the form that decisions use. Plain records without decisions.
 
-use crate::host::{Nanos, Repeat, Scope};
+use crate::host::{DedupScope, Nanos, RetrySafety};
 use crate::settings::Settings;
 use crate::state::SECOND;
 
-/// The settings that hold for all routes, as the decisions look them up for each request.
+/// The settings that hold for all routes.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    pub cold: Nanos,
-    pub fall: Nanos,
+pub struct PolicySettings {
+    /// How long a new node takes to warm up.
+    pub warm_up: Nanos,
+    /// The time within which excess load makes a cold node fail.
+    pub overload_window: Nanos,
+    /// The share of full capacity that a new node starts with.
     pub start_capacity: f64,
-    /// The shortest of all routes.
-    pub objective: Nanos,
-    /// The origin stops for a while when it is asked for too much; so it may where nothing is said of it.
-    pub origin_falls: bool,
-    pub surplus_payoff: f64,
-    pub pauses: bool,
-    pub probes: bool,
-    /// The list must be asked for.
-    pub asks_list: bool,
-    /// How long a key rests after an attempt that may still run.
-    pub turn_gap: Nanos,
+    /// The shortest latency objective of all routes.
+    pub shortest_objective: Nanos,
+    /// Whether the origin stops for a while when overloaded. Assumed unless the settings say otherwise.
+    pub origin_may_collapse: bool,
+    /// Factor on the payoff of requests over their tenant's quota.
+    pub over_quota_payoff: f64,
+    /// Whether shed clients are told how long to wait before a retry.
+    pub sends_retry_after: bool,
+    /// Whether nodes may be sent probes.
+    pub may_probe: bool,
+    /// Whether the proxy must ask discovery for the node list, rather than being sent it.
+    pub watches_list: bool,
+    /// How long a key is blocked after an attempt that may still be running.
+    pub key_block_time: Nanos,
 }
 
-impl Rules {
-    pub fn new(settings: &Settings, routes: &[Route]) -> Rules {
-        let objectives = routes.iter().filter(|route| !route.dropped).map(|route| route.objective);
-        Rules {
-            cold: settings.time("cold", 0),
-            fall: settings.time("fall", SECOND),
+impl PolicySettings {
+    /// Reads the settings; `routes` are those of the same settings.
+    pub fn new(settings: &Settings, routes: &[Route]) -> PolicySettings {
+        let objectives = routes.iter().filter(|route| !route.removed).map(|route| route.latency_objective);
+        PolicySettings {
+            warm_up: settings.time("cold", 0),
+            overload_window: settings.time("fall", SECOND),
             start_capacity: settings.number("start_capacity", 1.0),
-            objective: objectives.min().unwrap_or(SECOND),
-            origin_falls: settings.number("origin_fall_multiple", 1.0) > 0.0,
-            surplus_payoff: settings.number("surplus_payoff", 1.0),
-            pauses: settings.flag("pauses"),
-            probes: settings.flag("probes"),
-            asks_list: settings.text("discovery") == "ask",
-            turn_gap: settings.time("turn_gap", 0),
+            shortest_objective: objectives.min().unwrap_or(SECOND),
+            origin_may_collapse: settings.number("origin_fall_multiple", 1.0) > 0.0,
+            over_quota_payoff: settings.number("surplus_payoff", 1.0),
+            sends_retry_after: settings.flag("pauses"),
+            may_probe: settings.flag("probes"),
+            watches_list: settings.text("discovery") == "ask",
+            key_block_time: settings.time("turn_gap", 0),
         }
     }
 }
 
+/// The settings of one route.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    pub objective: Nanos,
-    pub repeat: Repeat,
-    pub window: Nanos,
+    /// The time within which requests should be answered.
+    pub latency_objective: Nanos,
+    /// Whether its requests may run more than once.
+    pub retry_safety: RetrySafety,
+    /// How long nodes remember a request to discard duplicates.
+    pub dedup_window: Nanos,
+    /// Payoff of an answer.
     pub payoff: f64,
-    pub most_attempts: usize,
-    /// Its requests of one key run one at a time, in the order in which they were taken.
-    pub ordered: bool,
-    /// No longer in the settings: kept for clients that still name it.
-    pub dropped: bool,
+    /// The most upstream attempts of a request.
+    pub max_attempts: usize,
+    /// Whether its requests for one key run one at a time, in the order in which they arrived.
+    pub keeps_order: bool,
+    /// No longer in the settings; kept for clients that still name it.
+    pub removed: bool,
 }
 
 impl Route {
-    /// May run again anywhere.
-    pub fn free(&self) -> bool {
-        self.repeat == Repeat::Retriable
+    /// Whether its requests may run again on any node.
+    pub fn is_retriable(&self) -> bool {
+        self.retry_safety == RetrySafety::Retriable
     }
 
-    pub fn all(settings: &Settings) -> Vec<Route> {
-        (0..settings.number("routes", 0.0) as usize).map(|at| Route::one(settings, at)).collect()
+    /// All routes of the settings, by index.
+    pub fn all_from(settings: &Settings) -> Vec<Route> {
+        (0..settings.number("routes", 0.0) as usize).map(|at| Route::from_index(settings, at)).collect()
     }
 
-    fn one(settings: &Settings, at: usize) -> Route {
+    fn from_index(settings: &Settings, at: usize) -> Route {
         let name = |field: &str| format!("route.{at}.{field}");
         let scope = match settings.text(&name("scope")) {
-            "zone" => Scope::Zone,
-            "cell" => Scope::Cell,
-            _ => Scope::Fleet,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
+            _ => DedupScope::Fleet,
         };
         Route {
-            objective: settings.time(&name("objective"), SECOND),
-            repeat: match settings.text(&name("repeat")) {
-                "retriable" => Repeat::Retriable,
-                "deduped" => Repeat::Deduped(scope),
-                _ => Repeat::NonRetriable,
+            latency_objective: settings.time(&name("objective"), SECOND),
+            retry_safety: match settings.text(&name("repeat")) {
+                "retriable" => RetrySafety::Retriable,
+                "deduped" => RetrySafety::Deduped(scope),
+                _ => RetrySafety::NonRetriable,
             },
-            window: settings.time(&name("window"), 0),
+            dedup_window: settings.time(&name("window"), 0),
             payoff: settings.number(&name("payoff"), 1.0),
-            most_attempts: settings.number("most_tries", 1.0) as usize,
-            ordered: settings.flag(&name("ordered")),
-            dropped: settings.flag(&name("dropped")),
+            max_attempts: settings.number("most_tries", 1.0) as usize,
+            keeps_order: settings.flag(&name("ordered")),
+            removed: settings.flag(&name("dropped")),
         }
     }
 }
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -1,8 +1,8 @@
-//! What the decisions tell of themselves for counters and logs. Reading it changes nothing.
+//! Figures about the balancer for counters and logs. Reading them changes nothing.
 
-use crate::balance::Balance;
-use crate::fleet::Finder;
+use crate::balancer::Balancer;
 use crate::host::Host;
+use crate::nodes::NodeIndex;
 
 /// A proxy's view at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -11,27 +11,30 @@
     pub serving: usize,
     /// Ejected nodes.
     pub ejected: usize,
-    /// Requests that are not wholly over.
+    /// Requests that lack their final answer or have attempts in flight.
     pub requests: usize,
-    /// Attempts out at caches.
+    /// Attempts in flight at caches.
     pub attempts: usize,
-    /// Fetches out at the origin, how many may be on average, and how many wait to begin.
+    /// Fetches in flight at the origin.
     pub fetches: usize,
-    pub fetches_bound: f64,
+    /// Fetches that may be in flight at the origin on average.
+    pub fetch_limit: f64,
+    /// Fetches that wait for capacity at the origin.
     pub fetches_queued: usize,
 }
 
-impl<H: Host, F: Finder> Balance<H, F> {
+impl<H: Host, F: NodeIndex> Balancer<H, F> {
+    /// The current figures.
     pub fn status(&self) -> Status {
-        let origin = self.origin.map(|node| &self.nodes.caches[node].flow);
+        let origin = self.origin.map(|node| &self.nodes.states[node].stats);
         Status {
             serving: self.nodes.serving(),
-            ejected: self.nodes.aside().count(),
+            ejected: self.nodes.ejected().count(),
             requests: self.requests.len(),
-            attempts: self.all.in_flight,
-            fetches: origin.map_or(0, |flow| flow.in_flight),
-            fetches_bound: origin.map_or(0.0, |flow| flow.room),
-            fetches_queued: self.fetches.in_line(),
+            attempts: self.all_caches.in_flight,
+            fetches: origin.map_or(0, |stats| stats.in_flight),
+            fetch_limit: origin.map_or(0.0, |stats| stats.limit),
+            fetches_queued: self.fetches.queued(),
         }
     }
 }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -1,48 +1,54 @@
-//! The table from key to set of cache nodes: bounded, and aged by when its members were last picked.
+//! The table from a key to the cache nodes that hold it, and the hash that ranks nodes for a key. The table
+//! is bounded, and replicas expire by when they were last picked.
 
 use crate::host::{Nanos, Node};
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-pub struct Table {
-    sets: LruCache<u64, Vec<Member>>,
-    unpicked: Nanos,
+/// Replicas by key.
+pub struct ReplicaTable {
+    replicas_by_key: LruCache<u64, Vec<Replica>>,
+    idle_timeout: Nanos,
 }
 
-struct Member {
+struct Replica {
     node: Node,
-    picked: Nanos,
+    last_picked: Nanos,
 }
 
-impl Table {
-    /// Holds at most `keys`, those used longest ago leave first; members unpicked for so long leave.
-    pub fn new(keys: usize, unpicked: Nanos) -> Self {
-        Table { sets: LruCache::new(NonZeroUsize::new(keys).unwrap_or(NonZeroUsize::MIN)), unpicked }
+impl ReplicaTable {
+    /// Holds at most `max_keys`, dropping the least recently used; replicas expire when not picked for
+    /// `idle_timeout`.
+    pub fn new(max_keys: usize, idle_timeout: Nanos) -> Self {
+        ReplicaTable {
+            replicas_by_key: LruCache::new(NonZeroUsize::new(max_keys).unwrap_or(NonZeroUsize::MIN)),
+            idle_timeout,
+        }
     }
 
-    /// Adds the key's set to `into`, after dropping what aged and what `stays` denies.
-    pub fn set(&mut self, now: Nanos, key: u64, stays: impl Fn(Node) -> bool, into: &mut Vec<Node>) {
-        let Some(set) = self.sets.get_mut(&key) else { return };
-        set.retain(|member| now < member.picked + self.unpicked && stays(member.node));
-        into.extend(set.iter().map(|member| member.node));
+    /// Appends the key's replicas to `into`, after dropping those that have expired or that `keep` declines.
+    pub fn replicas(&mut self, now: Nanos, key: u64, keep: impl Fn(Node) -> bool, into: &mut Vec<Node>) {
+        let Some(replicas) = self.replicas_by_key.get_mut(&key) else { return };
+        replicas.retain(|replica| now < replica.last_picked + self.idle_timeout && keep(replica.node));
+        into.extend(replicas.iter().map(|replica| replica.node));
     }
 
-    /// Puts a node in the key's set, or marks it picked.
-    pub fn pick(&mut self, now: Nanos, key: u64, node: Node) {
-        let set = self.sets.get_or_insert_mut(key, Vec::new);
-        if let Some(member) = set.iter_mut().find(|member| member.node == node) {
-            member.picked = now;
+    /// Adds a node to the key's replicas, or marks it as picked now.
+    pub fn mark_picked(&mut self, now: Nanos, key: u64, node: Node) {
+        let replicas = self.replicas_by_key.get_or_insert_mut(key, Vec::new);
+        if let Some(replica) = replicas.iter_mut().find(|replica| replica.node == node) {
+            replica.last_picked = now;
         } else {
-            set.push(Member { node, picked: now });
+            replicas.push(Replica { node, last_picked: now });
         }
     }
 }
 
-/// How high a node ranks for a key; alike at every proxy.
+/// Rendezvous hash: how high a node ranks for a key, the same at every proxy.
 pub fn rendezvous(key: u64, identity: u64) -> u64 {
-    let mut mixed = key ^ identity;
+    let mut hash = key ^ identity;
     for factor in [0xff51_afd7_ed55_8ccd, 0xc4ce_b9fe_1a85_ec53] {
-        mixed = (mixed ^ (mixed >> 33)).wrapping_mul(factor);
+        hash = (hash ^ (hash >> 33)).wrapping_mul(factor);
     }
-    mixed ^ (mixed >> 33)
+    hash ^ (hash >> 33)
 }
--- a/crates/core/tests/balance/main.rs
+++ b/crates/core/tests/balance/main.rs
@@ -1,8 +1,10 @@
+//! Tests of the decisions: each sends events to a proxy's balancer and checks the calls to its host.
+
 mod failures;
-mod fleet;
+mod guarantees;
+mod linear_scan;
+mod many_proxies;
 mod operations;
 mod order;
-mod path;
-mod plain;
+mod placement;
 mod rig;
-mod rules;
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -4,10 +4,12 @@
 use crate::policy::Policy;
 use hashbrown::HashMap;
 use oorandom::Rand32;
-use pumicebay_core::host::{Repeat, Scope};
+use pumicebay_core::host::{DedupScope, RetrySafety};
 use pumicebay_core::state::Route;
 use pumicebay_core::table::rendezvous;
-use pumicebay_core::{Ask, Host, Listed, Nanos, Node, Outcome, RequestId, Settings, Standing};
+use pumicebay_core::{
+    Host, ListedNode, Nanos, Node, NodeStatus, Outcome, RequestId, RequestParams, Settings,
+};
 
 /// How much more than the mean a node may have in flight under bounded load.
 const BOUND: f64 = 1.25;
@@ -28,7 +30,7 @@
 }
 
 struct Cx {
-    ask: Ask,
+    ask: RequestParams,
     ends: Nanos,
     tries: Vec<Try>,
     over: bool,
@@ -49,7 +51,7 @@
     routes: Vec<Route>,
     most_tries: usize,
     asks_list: bool,
-    nodes: Vec<(Listed, usize)>,
+    nodes: Vec<(ListedNode, usize)>,
     origin: Option<Node>,
     xchgs: HashMap<RequestId, Cx>,
     follow_at: Nanos,
@@ -61,7 +63,7 @@
             host,
             choice,
             rng: Rand32::new(seed),
-            routes: Route::all(settings),
+            routes: Route::all_from(settings),
             most_tries: settings.number("most_tries", 1.0) as usize,
             asks_list: settings.text("discovery") == "ask",
             nodes: Vec::new(),
@@ -80,7 +82,7 @@
     fn candidates(&self, cx: &Cx) -> Vec<Node> {
         let takes = |&node: &Node| {
             let listed = &self.nodes[node].0;
-            let known = listed.standing == Standing::Ready || self.careless() && listed.identity != 0;
+            let known = listed.status == NodeStatus::Ready || self.careless() && listed.identity != 0;
             let again = self.careless() || !cx.tries.iter().any(|t| t.node == node);
             known && !listed.origin && again
         };
@@ -131,12 +133,12 @@
         }
         let first = cx.tries.iter().find(|t| t.may_have_run).filter(|_| !self.careless());
         let route = &self.routes[cx.ask.route];
-        first.is_none_or(|first| match route.repeat {
-            Repeat::Retriable => true,
-            Repeat::NonRetriable => false,
-            Repeat::Deduped(scope) => {
+        first.is_none_or(|first| match route.retry_safety {
+            RetrySafety::Retriable => true,
+            RetrySafety::NonRetriable => false,
+            RetrySafety::Deduped(scope) => {
                 let (here, there) = (&self.nodes[node].0, &self.nodes[first.node].0);
-                now < first.sent + route.window && here.shares(scope, there)
+                now < first.sent + route.dedup_window && here.shares_dedup_scope(scope, there)
             }
         })
     }
@@ -152,8 +154,8 @@
         let cx = self.xchgs.get_mut(&xchg).expect("concluded exchanges are known");
         cx.over = true;
         let ran = cx.tries.iter().any(|t| t.may_have_run);
-        let repeat = self.routes[cx.ask.route].repeat;
-        if !ran || matches!(repeat, Repeat::Retriable | Repeat::Deduped(Scope::Fleet)) {
+        let repeat = self.routes[cx.ask.route].retry_safety;
+        if !ran || matches!(repeat, RetrySafety::Retriable | RetrySafety::Deduped(DedupScope::Fleet)) {
             self.host.shed(xchg, 0);
         } else {
             self.host.error(xchg);
@@ -165,14 +167,14 @@
         let cx = &self.xchgs[&xchg];
         if cx.over && !cx.tries.iter().any(|t| t.out) {
             self.xchgs.remove(&xchg);
-            self.host.forget(xchg);
+            self.host.release_request(xchg);
         }
     }
 }
 
 impl<H: Host + Send> Policy<H> for Baseline<H> {
-    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: Ask) {
-        self.xchgs.insert(xchg, Cx { ask, ends: now + ask.grace, tries: Vec::new(), over: false });
+    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: RequestParams) {
+        self.xchgs.insert(xchg, Cx { ask, ends: now + ask.client_timeout, tries: Vec::new(), over: false });
         self.place(now, xchg);
     }
 
@@ -204,23 +206,23 @@
 
     fn woke(&mut self, now: Nanos, token: u64) {
         if token == TICK_TOKEN {
-            self.host.wake(now + TICK, TICK_TOKEN);
+            self.host.set_timer(now + TICK, TICK_TOKEN);
             if self.asks_list && self.follow_at <= now {
                 self.follow_at = Nanos::MAX;
-                self.host.follow();
+                self.host.watch_node_list();
             }
         }
     }
 
-    fn listed(&mut self, _now: Nanos, node: Node, listed: Listed) {
-        self.nodes.resize(self.nodes.len().max(node + 1), (Listed::default(), 0));
+    fn listed(&mut self, _now: Nanos, node: Node, listed: ListedNode) {
+        self.nodes.resize(self.nodes.len().max(node + 1), (ListedNode::default(), 0));
         self.nodes[node].0 = listed;
         self.origin = listed.origin.then_some(node).or(self.origin);
     }
 
     fn listed_all(&mut self, named: &[Node]) {
         for node in (0..self.nodes.len()).filter(|node| !named.contains(node)) {
-            self.nodes[node].0.standing = Standing::Gone;
+            self.nodes[node].0.status = NodeStatus::Gone;
         }
     }
 
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, bail, ensure};
 use futures_util::{SinkExt, StreamExt};
 use pumicebay::resp::{Frame, Resp};
-use pumicebay_core::table::Table;
+use pumicebay_core::table::ReplicaTable;
 use serde::Serialize;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -569,9 +569,9 @@
     let (mut found, mut kept) = (Vec::new(), Vec::new());
     for keys in KEYS {
         let before = memory("self", "VmRSS:")?;
-        let mut table = Table::new(keys, u64::MAX / 2);
+        let mut table = ReplicaTable::new(keys, u64::MAX / 2);
         for key in 0..keys as u64 {
-            table.pick(0, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), key as usize % 7_200);
+            table.mark_picked(0, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), key as usize % 7_200);
         }
         kept.push(table);
         found.push((keys, memory("self", "VmRSS:")? - before));
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,60 +1,60 @@
 //! The interface that the decisions have, so that others can stand in their place.
 
 use anyhow::{Context, Result, ensure};
-use pumicebay_core::table::Table;
-use pumicebay_core::{Ask, Balance, Host, Listed, Nanos, Node, Outcome, RequestId, Settings};
+use pumicebay_core::table::ReplicaTable;
+use pumicebay_core::{Balancer, Host, ListedNode, Nanos, Node, Outcome, RequestId, RequestParams, Settings};
 
 /// What a policy is told, each by a call of its own; it acts through its host.
 pub trait Policy<H: Host>: Send {
-    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: Ask);
+    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: RequestParams);
     fn ended(&mut self, now: Nanos, xchg: RequestId, try_no: usize, outcome: Outcome, over: bool);
     fn dropped(&mut self, now: Nanos, xchg: RequestId);
     fn woke(&mut self, now: Nanos, token: u64);
-    fn listed(&mut self, now: Nanos, node: Node, listed: Listed);
+    fn listed(&mut self, now: Nanos, node: Node, listed: ListedNode);
     fn listed_all(&mut self, named: &[Node]);
     fn list_failed(&mut self, now: Nanos);
     fn probed(&mut self, node: Node, outcome: Outcome);
     fn host(&mut self) -> &mut H;
     /// The learned sets of keys, where it has any.
-    fn take_sets(&mut self) -> Option<Table> {
+    fn take_sets(&mut self) -> Option<ReplicaTable> {
         None
     }
-    fn put_sets(&mut self, _sets: Table) {}
+    fn put_sets(&mut self, _sets: ReplicaTable) {}
 }
 
-impl<H: Host + Send> Policy<H> for Balance<H> {
-    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: Ask) {
-        Balance::arrived(self, now, xchg, ask);
+impl<H: Host + Send> Policy<H> for Balancer<H> {
+    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: RequestParams) {
+        Balancer::request_arrived(self, now, xchg, ask);
     }
     fn ended(&mut self, now: Nanos, xchg: RequestId, try_no: usize, outcome: Outcome, over: bool) {
-        Balance::ended(self, now, xchg, try_no, outcome, over);
+        Balancer::attempt_ended(self, now, xchg, try_no, outcome, over);
     }
     fn dropped(&mut self, now: Nanos, xchg: RequestId) {
-        Balance::dropped(self, now, xchg);
+        Balancer::request_cancelled(self, now, xchg);
     }
     fn woke(&mut self, now: Nanos, token: u64) {
-        Balance::woke(self, now, token);
+        Balancer::timer_fired(self, now, token);
     }
-    fn listed(&mut self, now: Nanos, node: Node, listed: Listed) {
-        Balance::listed(self, now, node, listed);
+    fn listed(&mut self, now: Nanos, node: Node, listed: ListedNode) {
+        Balancer::node_listed(self, now, node, listed);
     }
     fn listed_all(&mut self, named: &[Node]) {
-        Balance::listed_all(self, named);
+        Balancer::list_completed(self, named);
     }
     fn list_failed(&mut self, now: Nanos) {
-        Balance::list_failed(self, now);
+        Balancer::list_request_failed(self, now);
     }
     fn probed(&mut self, node: Node, outcome: Outcome) {
-        Balance::probed(self, node, outcome);
+        Balancer::probe_finished(self, node, outcome);
     }
     fn host(&mut self) -> &mut H {
         &mut self.host
     }
-    fn take_sets(&mut self) -> Option<Table> {
-        Some(Balance::take_sets(self))
+    fn take_sets(&mut self) -> Option<ReplicaTable> {
+        Some(Balancer::take_replicas(self))
     }
-    fn put_sets(&mut self, sets: Table) {
-        Balance::put_sets(self, sets);
+    fn put_sets(&mut self, sets: ReplicaTable) {
+        Balancer::set_replicas(self, sets);
     }
 }
 
@@ -85,7 +85,7 @@
 ) -> Option<Boxed<H>> {
     use crate::baselines::{Baseline, Choice};
     let choice = match name {
-        "pumicebay" | KEEPS_SETS => return Some(Box::new(Balance::new(host, settings, seed, now))),
+        "pumicebay" | KEEPS_SETS => return Some(Box::new(Balancer::new(host, settings, seed, now))),
         "random" => Choice::Random,
         "two" => Choice::LeastOfTwo,
         "rendezvous" => Choice::Rendezvous,
--- a/crates/lab/src/seat.rs
+++ b/crates/lab/src/seat.rs
@@ -3,9 +3,11 @@
 
 use crate::policy::{self, Boxed};
 use hashbrown::HashMap;
-use pumicebay_core::policy::deadline::time_to_tell;
-use pumicebay_core::table::Table;
-use pumicebay_core::{Ask, Host, Listed, Nanos, Node, Outcome, RequestId, Settings, Standing};
+use pumicebay_core::policy::deadline::advertised_timeout_ms;
+use pumicebay_core::table::ReplicaTable;
+use pumicebay_core::{
+    Host, ListedNode, Nanos, Node, NodeStatus, Outcome, RequestId, RequestParams, Settings,
+};
 use pumicebay_model::millis;
 use pumicebay_model::network::Network;
 use pumicebay_model::registry::{Entry, State};
@@ -19,7 +21,7 @@
 pub enum ToSeat {
     Arrived {
         xchg: RequestId,
-        ask: Ask,
+        ask: RequestParams,
     },
     /// What came of a try; `epoch` is the node's incarnation, and `value` the exchange it was made for.
     Back {
@@ -212,7 +214,7 @@
         let Some(open) = self.open.get_mut(&xchg) else { return };
         let try_no = open.tries.len();
         open.tries.push(Some(node));
-        let Some(told) = time_to_tell(self.now, self.now + timeout, open.client_ends) else {
+        let Some(told) = advertised_timeout_ms(self.now, self.now + timeout, open.client_ends) else {
             return self.timer(self.now, Timer::NotBegun(xchg, try_no));
         };
         let told = millis(told as f64);
@@ -238,11 +240,11 @@
         }
     }
 
-    fn forget(&mut self, xchg: RequestId) {
+    fn release_request(&mut self, xchg: RequestId) {
         self.open.remove(&xchg);
     }
 
-    fn wake(&mut self, at: Nanos, token: u64) {
+    fn set_timer(&mut self, at: Nanos, token: u64) {
         self.timer(at, Timer::Woke(token));
     }
 
@@ -252,9 +254,9 @@
     }
 
     /// A node keeps its number here: it may come back.
-    fn dismiss(&mut self, _node: Node) {}
+    fn release_node(&mut self, _node: Node) {}
 
-    fn follow(&mut self) {
+    fn watch_node_list(&mut self) {
         self.post(self.network.least(), ToWorld::Follow);
     }
 
@@ -282,7 +284,7 @@
     rules: Rules,
     policy: Option<Boxed<Acts>>,
     /// What a policy that is killed had learned, where that outlives it.
-    kept_sets: Option<Table>,
+    kept_sets: Option<ReplicaTable>,
     inbox: BinaryHeap<Due<ToSeat>>,
     /// What it did, since last taken.
     out: Vec<(Nanos, ToWorld)>,
@@ -354,7 +356,7 @@
         policy.host().now = now;
         match what {
             ToSeat::Arrived { xchg, ask } => {
-                let client_ends = now.saturating_add(ask.grace);
+                let client_ends = now.saturating_add(ask.client_timeout);
                 policy.host().open.insert(xchg, Open { answered: false, client_ends, tries: Vec::new() });
                 policy.arrived(now, xchg, ask);
             }
@@ -478,22 +480,22 @@
 }
 
 pub fn key_mark(key: u64) -> u64 {
-    pumicebay_names::identity(&key_text(key))
+    pumicebay_names::stable_hash(&key_text(key))
 }
 
-pub fn listed(entry: &Entry, origin: Node, zones: usize) -> Listed {
+pub fn listed(entry: &Entry, origin: Node, zones: usize) -> ListedNode {
     let is_origin = entry.node == origin;
-    Listed {
-        identity: pumicebay_names::identity(&if is_origin { "origin".into() } else { uid(entry.node) }),
+    ListedNode {
+        identity: pumicebay_names::stable_hash(&if is_origin { "origin".into() } else { uid(entry.node) }),
         zone: if is_origin { 0 } else { entry.node % zones },
         cell: 0,
-        standing: match entry.state {
-            State::Ready => Standing::Ready,
-            State::Draining => Standing::Draining,
-            State::Left => Standing::Gone,
+        status: match entry.state {
+            State::Ready => NodeStatus::Ready,
+            State::Draining => NodeStatus::Draining,
+            State::Left => NodeStatus::Gone,
         },
         started: entry.started,
         origin: is_origin,
-        ..Listed::default()
+        ..ListedNode::default()
     }
 }
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -37,7 +37,7 @@
     let rules = |proxy| Rules {
         policy: name.into(),
         salt,
-        settings: pumicebay_names::translate(&platform::settings(day, proxy)),
+        settings: pumicebay_names::settings_from_json(&platform::settings(day, proxy)),
         seed,
         nodes: day.nodes.count,
         zones: day.nodes.zones,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -6,7 +6,7 @@
 use crate::tally::{End, Tally};
 use hashbrown::HashMap;
 use pumicebay_core::table::rendezvous;
-use pumicebay_core::{Ask, Nanos, Node, Outcome, RequestId};
+use pumicebay_core::{Nanos, Node, Outcome, RequestId, RequestParams};
 use pumicebay_model::faults::{Change, absent, timeline};
 use pumicebay_model::network::Network;
 use pumicebay_model::node::CacheNode;
@@ -352,14 +352,14 @@
         self.last_xchg += 1;
         let xchg = self.last_xchg;
         let timeout = millis(route.timeout_ms);
-        let ask = Ask {
+        let ask = RequestParams {
             route: wish.route,
             tenant: (!self.day.tenant.is_empty()).then_some(wish.tenant),
             key: Some(key_mark(wish.key)),
             write: route.write,
-            hint: None,
-            grace: timeout,
-            retry: wanted.tries > 1,
+            work_hint: None,
+            client_timeout: timeout,
+            is_retry: wanted.tries > 1,
         };
         let at = now + self.core.network.delay(&mut self.client_rng, 0, 0);
         self.core.tally.exchanges += 1;
@@ -774,7 +774,7 @@
 pub fn warm(day: &Scenario, nodes: &[CacheNode]) -> Vec<(Node, Vec<u64>)> {
     let there: Vec<(Node, u64)> = (0..nodes.len())
         .filter(|&node| nodes[node].up)
-        .map(|node| (node, pumicebay_names::identity(&uid(node))))
+        .map(|node| (node, pumicebay_names::stable_hash(&uid(node))))
         .collect();
     let mut held: Vec<(Node, Vec<u64>)> = (0..nodes.len()).map(|node| (node, Vec::new())).collect();
     let most = (day.clients.keys as f64 * day.clients.warm_keys) as u64;
--- a/crates/lab/tests/lab/stand_ins.rs
+++ b/crates/lab/tests/lab/stand_ins.rs
@@ -6,7 +6,7 @@
 use pumicebay::http::{Http, Request};
 use pumicebay::resp::{Frame, Resp};
 use pumicebay::upstream::forms::{answered, probed, replied};
-use pumicebay_core::{Outcome, Standing};
+use pumicebay_core::{NodeStatus, Outcome};
 use pumicebay_lab::platform;
 use pumicebay_lab::real::fleet::Fleet;
 use pumicebay_lab::real::http::{Answer, Server};
@@ -147,7 +147,7 @@
     let changes = agent.next().await.expect("an answer").expect("that can be read");
     let (later, all, named) = pumicebay::discovery::entries::entries(&changes.body, &config).expect("a list");
     assert!(later > version && !all);
-    assert_eq!((&*named[0].uid, named[0].listed.standing), ("n2", Standing::Draining));
+    assert_eq!((&*named[0].uid, named[0].listed.status), ("n2", NodeStatus::Draining));
 }
 
 #[test]
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -13,8 +13,8 @@
 use crate::tuning::Routes;
 use bytes::{Bytes, BytesMut};
 use futures_util::{FutureExt, SinkExt, StreamExt};
-use pumicebay_core::{Ask, Nanos, RequestId};
-use pumicebay_names::{NANOS, identity};
+use pumicebay_core::{Nanos, RequestId, RequestParams};
+use pumicebay_names::{NANOS_PER_MICROSECOND, stable_hash};
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -418,7 +418,7 @@
                 Reply::Ready(Frame::error("ERR the client has left"))
             }
             Ok(Command::Exchange(ask, cargo)) => {
-                let ends = at.saturating_add(ask.grace);
+                let ends = at.saturating_add(ask.client_timeout);
                 let cargo = Cargo { at, ends, client: Arc::downgrade(&self.here), upload, ..cargo };
                 let (xchg, answered) = self.front.shared.door.arrive(ask, cargo).await;
                 Reply::Waiting(xchg, answered)
@@ -518,7 +518,7 @@
 }
 
 enum Command {
-    Exchange(Ask, Cargo),
+    Exchange(RequestParams, Cargo),
     Reply(Frame),
     Counters,
 }
@@ -565,7 +565,7 @@
     {
         return Err("empty key or id, or control characters in id or labels".into());
     }
-    let (mut route, mut ask) = (None, Ask { write: value.is_some(), ..Ask::default() });
+    let (mut route, mut ask) = (None, RequestParams { write: value.is_some(), ..RequestParams::default() });
     let mut grace = None;
     for label in text.split(',').filter(|label| !label.is_empty()) {
         let (name, value) = label.split_once('=').ok_or_else(|| format!("label '{label}' without value"))?;
@@ -574,15 +574,15 @@
             "c" => route = routes.find(value),
             "t" => ask.tenant = config.tenants.iter().position(|known| known == value),
             "d" => grace = Some(number()?),
-            "r" => ask.retry = value == "1",
-            "work-hint-us" => ask.hint = Some(number()?.saturating_mul(NANOS)),
+            "r" => ask.is_retry = value == "1",
+            "work-hint-us" => ask.work_hint = Some(number()?.saturating_mul(NANOS_PER_MICROSECOND)),
             _ => {}
         }
     }
     let overall;
     (ask.route, overall) = route.ok_or("label 'c': unknown or missing class")?;
-    ask.grace = grace.map_or(overall, |grace| grace.saturating_mul(MILLIS).min(overall));
-    ask.key = Some(identity(&String::from_utf8_lossy(key)));
+    ask.client_timeout = grace.map_or(overall, |grace| grace.saturating_mul(MILLIS).min(overall));
+    ask.key = Some(stable_hash(&String::from_utf8_lossy(key)));
     let value = value.cloned().unwrap_or_default();
     let (key, id, labels) = (key.clone(), id.clone(), labels.clone());
     let cargo =
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -8,7 +8,7 @@
 use crate::sound::{key, sound};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_core::Settings;
-use pumicebay_core::host::Repeat;
+use pumicebay_core::host::RetrySafety;
 use pumicebay_core::state::Route;
 use pumicebay_names as names;
 use serde_json::Value as Json;
@@ -102,7 +102,7 @@
     let config = parse_text(&text, &variable).with_context(|| format!("configuration {path}"))?;
     let inherited = variable("PROXY_FD").is_some();
     // By the proxy's name, as others may have theirs in the same place.
-    let own = format!("pumicebay-{:016x}", names::identity(&config.name));
+    let own = format!("pumicebay-{:016x}", names::stable_hash(&config.name));
     let folder = variable("TMPDIR").map(|shared| PathBuf::from(shared).join(own));
     Ok(Config { inherited, folder, ..config })
 }
@@ -169,7 +169,7 @@
     let used = (sockets + reserved) / 3 * 3 / 4;
     let clients = clients_part(sockets).min(memory / 2 / CLIENT_BYTES);
     let listen = address(json, "listen")?.context("listen: missing")?;
-    let kinds = names::list(wire, "/skus", "");
+    let kinds = names::names_at(wire, "/skus", "");
     let origin = wire.pointer("/domain/origin-kind").and_then(Json::as_i64).filter(|&kind| kind >= 0);
     let origin_kind = origin.map(|kind| {
         kinds
@@ -197,8 +197,8 @@
         known,
         longest_list: (memory / 8).min(LONGEST_LIST),
         json: json.clone(),
-        tenants: names::list(wire, "/orgs", "/name"),
-        zones: names::list(wire, "/failure-domains", ""),
+        tenants: names::names_at(wire, "/orgs", "/name"),
+        zones: names::names_at(wire, "/failure-domains", ""),
         origin_kind: origin_kind.transpose()?,
         kinds,
         idle: micros("/settings/permissions/conn-idle-us", IDLE)?,
@@ -247,20 +247,20 @@
     for place in ["/settings/rules/cold-us", "/settings/rules/fall-us", "/settings/rules/drain-grace-us"] {
         number(json, place)?;
     }
-    if let Some(why) = names::unsound(wire) {
+    if let Some(why) = names::invalid_setting(wire) {
         bail!("settings.{why}");
     }
     let routes = wire.get("routes").and_then(Json::as_array).context("settings.routes: expected a list")?;
     ensure!(!routes.is_empty(), "settings.routes: expected one or more");
     for (at, route) in routes.iter().enumerate() {
-        ensure!(!names::text(route, "/name").is_empty(), "settings.routes[{at}].name: expected a text");
+        ensure!(!names::text_at(route, "/name").is_empty(), "settings.routes[{at}].name: expected a text");
         for key in ["latency-objective-us", "overall-timeout-us"] {
             let time = route.get(key).unwrap_or(&Json::Null);
             let found = || format!("settings.routes[{at}].{key}: expected microseconds, found {time}");
             ensure!(time.as_u64().is_some_and(|time| time > 0), found());
         }
-        let name = names::text(route, "/name");
-        let again = routes[..at].iter().any(|other| names::text(other, "/name") == name);
+        let name = names::text_at(route, "/name");
+        let again = routes[..at].iter().any(|other| names::text_at(other, "/name") == name);
         ensure!(!again, "settings.routes[{at}].name: {name:?} is there twice");
         for (key, wanted) in [("window-us", "microseconds"), ("payoff", "0 or more")] {
             let value = route.get(key).unwrap_or(&Json::Null);
@@ -270,11 +270,11 @@
                 "settings.routes[{at}].{key}: expected {wanted}, found {value}"
             );
         }
-        let effect = names::text(route, "/effect");
+        let effect = names::text_at(route, "/effect");
         let known = ["repeatable", "by_key", "once"].contains(&effect);
         ensure!(known, "settings.routes[{at}].effect: expected repeatable, by_key or once, found {effect:?}");
     }
-    Ok(names::translate(wire))
+    Ok(names::settings_from_json(wire))
 }
 
 /// What a file must not lack once the one in force has it: a part that was cut off would else be taken as a wish.
@@ -368,17 +368,17 @@
     /// What `check` prints.
     pub fn summary(&self) -> String {
         let Config { name, listen, discovery, clients, upstream, .. } = self;
-        let repeat = |route: &Route| match route.repeat {
-            Repeat::Retriable => "retriable",
-            Repeat::Deduped(_) => "deduped",
-            Repeat::NonRetriable => "non-retriable",
+        let repeat = |route: &Route| match route.retry_safety {
+            RetrySafety::Retriable => "retriable",
+            RetrySafety::Deduped(_) => "deduped",
+            RetrySafety::NonRetriable => "non-retriable",
         };
-        let ordered = |route: &Route| if route.ordered { ", in order" } else { "" };
+        let ordered = |route: &Route| if route.keeps_order { ", in order" } else { "" };
         let named =
             |(name, route): (&String, &Route)| format!("{name} ({}{})", repeat(route), ordered(route));
-        let routes = Route::all(&self.settings);
+        let routes = Route::all_from(&self.settings);
         let routes: Vec<String> =
-            names::list(&self.json, "/settings/routes", "/name").iter().zip(&routes).map(named).collect();
+            names::names_at(&self.json, "/settings/routes", "/name").iter().zip(&routes).map(named).collect();
         let known = self.known.count;
         let door = self.operator.map_or(String::new(), |door| format!(", operators at {door}"));
         let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!("\n{}", fleet.summary(name)));
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,7 +1,7 @@
 //! Counts of what the proxy takes in, sends and answers, since its start.
 
 use crate::memory::Memory;
-use pumicebay_core::{GiveUp, Outcome, Status};
+use pumicebay_core::{GiveUpReason, Outcome, Status};
 use std::fmt::{Display, Formatter, Result};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -36,12 +36,12 @@
 /// Requests that were given up, by reason: those without any attempt, and those with some.
 #[derive(Debug, Default)]
 pub struct GivenUp {
-    unattempted: [Counter; GiveUp::ALL.len()],
-    attempted: [Counter; GiveUp::ALL.len()],
+    unattempted: [Counter; GiveUpReason::ALL.len()],
+    attempted: [Counter; GiveUpReason::ALL.len()],
 }
 
 impl GivenUp {
-    pub fn add(&self, reason: GiveUp, attempts: usize) {
+    pub fn add(&self, reason: GiveUpReason, attempts: usize) {
         let counters = if attempts == 0 { &self.unattempted } else { &self.attempted };
         counters[reason as usize].add();
     }
@@ -50,7 +50,7 @@
 impl Display for GivenUp {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
         for (kind, counters) in [("unattempted", &self.unattempted), ("given_up", &self.attempted)] {
-            for reason in GiveUp::ALL {
+            for reason in GiveUpReason::ALL {
                 writeln!(f, "{kind}_{} {}", reason.name(), counters[reason as usize].count())?;
             }
         }
@@ -84,7 +84,7 @@
         set(&self.attempts_out, status.attempts);
         set(&self.resting, resting);
         set(&self.fetches_out, status.fetches);
-        set(&self.fetches_bound_milli, (status.fetches_bound * 1000.0) as usize);
+        set(&self.fetches_bound_milli, (status.fetch_limit * 1000.0) as usize);
         set(&self.fetches_queued, status.fetches_queued);
     }
 
--- a/crates/proxy/src/discovery/entries.rs
+++ b/crates/proxy/src/discovery/entries.rs
@@ -4,8 +4,8 @@
 use crate::config::Config;
 use crate::messages::Named;
 use anyhow::{Context, Result, bail};
-use pumicebay_core::{Listed, Standing};
-use pumicebay_names::identity;
+use pumicebay_core::{ListedNode, NodeStatus};
+use pumicebay_names::stable_hash;
 use serde::Deserialize;
 use serde_json::Value as Json;
 use serde_json::value::RawValue;
@@ -77,25 +77,25 @@
         text("endpoint").with_context(|| format!("{:?}: endpoint: expected a text", quoted(uid)))?;
     let address: SocketAddr =
         endpoint.parse().with_context(|| format!("{:?}: endpoint: {:?}", quoted(uid), quoted(endpoint)))?;
-    let standing = match text("state") {
-        Some("active") => Standing::Ready,
-        Some("leaving") => Standing::Draining,
-        Some("left") => Standing::Gone,
+    let status = match text("state") {
+        Some("active") => NodeStatus::Ready,
+        Some("leaving") => NodeStatus::Draining,
+        Some("left") => NodeStatus::Gone,
         other => bail!("{:?}: state: {:?}", quoted(uid), other.map(quoted)),
     };
     let zone = config.zones.iter().position(|zone| Some(zone.as_str()) == text("az"));
     let origin = config.origin_kind.as_deref();
     let model = config.kinds.iter().position(|kind| Some(kind.as_str()) == text("model"));
     let rating = target.get("capacity_hint").and_then(Json::as_f64);
-    let listed = Listed {
-        identity: identity(uid),
+    let listed = ListedNode {
+        identity: stable_hash(uid),
         zone: zone.unwrap_or(config.zones.len()),
         cell: number("pod_group"),
-        standing,
+        status,
         started: number("boot_ms").saturating_mul(MILLIS),
         origin: origin.is_some() && origin == text("model"),
-        kind: model.unwrap_or(config.kinds.len()),
-        rating: rating.filter(|rating| (0.0..MOST_RATED).contains(rating) && *rating > 0.0).unwrap_or(1.0),
+        machine_type: model.unwrap_or(config.kinds.len()),
+        weight: rating.filter(|rating| (0.0..MOST_RATED).contains(rating) && *rating > 0.0).unwrap_or(1.0),
     };
     Ok(Named { uid: uid.into(), address, listed })
 }
--- a/crates/proxy/src/discovery/left.rs
+++ b/crates/proxy/src/discovery/left.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Named;
 use anyhow::{Context, Result, ensure};
-use pumicebay_core::Standing;
+use pumicebay_core::NodeStatus;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -31,7 +31,7 @@
     }
 
     pub fn note(&mut self, named: &Named, text: &RawValue) {
-        if named.listed.standing == Standing::Gone {
+        if named.listed.status == NodeStatus::Gone {
             self.told.remove(&*named.uid);
         } else {
             self.told.insert((&*named.uid).into(), text.to_owned());
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -3,7 +3,7 @@
 use crate::desk::{Desk, Order};
 use crate::long::{Upload, Value};
 use bytes::Bytes;
-use pumicebay_core::{Ask, Held, Listed, Nanos, Node, Outcome, RequestId};
+use pumicebay_core::{ListedNode, Nanos, Node, Outcome, ReportedLoad, RequestId, RequestParams};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -52,7 +52,7 @@
 pub struct Named {
     pub uid: Arc<str>,
     pub address: SocketAddr,
-    pub listed: Listed,
+    pub listed: ListedNode,
 }
 
 /// Some entries of a list or of changes, in their order.
@@ -70,7 +70,7 @@
 pub struct Back {
     pub outcome: Outcome,
     pub value: Value,
-    pub held: Option<Held>,
+    pub held: Option<ReportedLoad>,
 }
 
 impl From<Outcome> for Back {
@@ -80,7 +80,7 @@
 }
 
 pub enum Event {
-    Arrived(RequestId, Ask, Arc<Cargo>, oneshot::Sender<Answer>),
+    Arrived(RequestId, RequestParams, Arc<Cargo>, oneshot::Sender<Answer>),
     Dropped(RequestId),
     Ended(RequestId, usize, Node, Back),
     Probed(Node, Back),
@@ -116,7 +116,7 @@
     }
 
     /// Takes an exchange; its final answer comes by the channel.
-    pub async fn arrive(&self, ask: Ask, cargo: Cargo) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub async fn arrive(&self, ask: RequestParams, cargo: Cargo) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, answered) = oneshot::channel();
         let xchg = self.last.fetch_add(1, Ordering::Relaxed) + 1;
         self.post(Event::Arrived(xchg, ask, Arc::new(cargo), answer)).await;
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -14,8 +14,10 @@
 use crate::upstream::attempt::{self, Errand, Target};
 use bytes::Bytes;
 use hashbrown::{HashMap, HashSet};
-use pumicebay_core::{Ask, Balance, GiveUp, Held, Host, Nanos, Node, Outcome, RequestId, Settings};
-use pumicebay_names::identity;
+use pumicebay_core::{
+    Balancer, GiveUpReason, Host, Nanos, Node, Outcome, ReportedLoad, RequestId, RequestParams, Settings,
+};
+use pumicebay_names::stable_hash;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::Arc;
@@ -30,7 +32,7 @@
 const MEMORY_EVERY: Nanos = 1_000_000_000;
 
 pub struct Module {
-    balance: Balance<Acts>,
+    balance: Balancer<Acts>,
     mailbox: Mailbox,
     memory: MemoryWatch,
     memory_due: Nanos,
@@ -79,7 +81,7 @@
             unprobed: Vec::new(),
             prober: None,
         };
-        let balance = Balance::new(acts, settings, config.seed, clock.now());
+        let balance = Balancer::new(acts, settings, config.seed, clock.now());
         let memory = MemoryWatch::new(config.memory_kb);
         Module { balance, mailbox, memory, memory_due: 0, whole: Vec::new() }
     }
@@ -117,7 +119,7 @@
         let counters = self.balance.host.shared.counters.clone();
         while let Some(Reverse((at, token))) = self.balance.host.due(now) {
             turns::timer(&counters, Duration::from_nanos(now.saturating_sub(at)));
-            self.balance.woke(now, token);
+            self.balance.timer_fired(now, token);
         }
         let resting = self.balance.host.shared.upstream.count();
         counters.gauges.take(&self.balance.status(), resting);
@@ -151,11 +153,11 @@
             Order::Told(uid, answered) => {
                 if let Some(node) = self.balance.host.nodes.find(&uid) {
                     let outcome = if answered { Outcome::Completed } else { Outcome::Unreachable };
-                    self.balance.probed(node, outcome);
+                    self.balance.probe_finished(node, outcome);
                 }
             }
             Order::Retuned(settings, done) => {
-                self.balance.retuned(now, &settings);
+                self.balance.settings_changed(now, &settings);
                 let _ = done.send(());
             }
         }
@@ -164,7 +166,7 @@
     /// Takes a node out of service or puts it back, known or not.
     pub fn maintained(&mut self, now: Nanos, uid: &str, out: bool) {
         tracing::info!("maintenance: {uid} {}", if out { "out" } else { "back" });
-        self.balance.maintained(now, identity(uid), out);
+        self.balance.maintenance_changed(now, stable_hash(uid), out);
     }
 
     fn handle(&mut self, event: Event) {
@@ -177,18 +179,18 @@
             }
             Event::Arrived(xchg, ask, cargo, answer) => {
                 // What its client has left is reckoned once, from when its last byte came.
-                let grace = cargo.ends.saturating_sub(now);
+                let client_timeout = cargo.ends.saturating_sub(now);
                 self.balance.host.ids.insert(cargo.id.clone());
                 self.balance.host.shared.counters.exchanges_taken.add();
                 let recall = CancellationToken::new();
                 let open = Open { cargo, answer: Some(answer), tries: 0, recall };
                 self.balance.host.open.insert(xchg, open);
-                self.balance.arrived(now, xchg, Ask { grace, ..ask });
+                self.balance.request_arrived(now, xchg, RequestParams { client_timeout, ..ask });
             }
             Event::Dropped(xchg) => {
                 if self.balance.host.take_answer(xchg).is_some() {
                     self.balance.host.shared.counters.exchanges_dropped.add();
-                    self.balance.dropped(now, xchg);
+                    self.balance.request_cancelled(now, xchg);
                 }
             }
             Event::Ended(xchg, try_no, node, back) => self.ended(now, xchg, try_no, node, back),
@@ -203,11 +205,11 @@
                     (Some(prober), Some(known)) => {
                         prober.probed(&known.uid, back.outcome == Outcome::Completed)
                     }
-                    _ => self.balance.probed(node, back.outcome),
+                    _ => self.balance.probe_finished(node, back.outcome),
                 }
             }
             Event::Listed(part) => self.listed_part(part),
-            Event::ListFailed => self.balance.list_failed(now),
+            Event::ListFailed => self.balance.list_request_failed(now),
         }
     }
 
@@ -235,12 +237,12 @@
         }
         let over = acts.open.get(&xchg).is_none_or(|open| open.answer.is_none());
         self.reported(now, node, back.held);
-        self.balance.ended(now, xchg, try_no, back.outcome, over);
+        self.balance.attempt_ended(now, xchg, try_no, back.outcome, over);
     }
 
-    fn reported(&mut self, now: Nanos, node: Node, held: Option<Held>) {
+    fn reported(&mut self, now: Nanos, node: Node, held: Option<ReportedLoad>) {
         if let Some(held) = held {
-            self.balance.reported(now, node, held);
+            self.balance.load_reported(now, node, held);
         }
     }
 
@@ -257,12 +259,12 @@
         }
         for named in part.named {
             let Some(node) = self.balance.host.node(&named) else { continue };
-            self.balance.listed(now, node, named.listed);
+            self.balance.node_listed(now, node, named.listed);
             self.whole.extend(part.whole.then_some(node));
         }
         if part.whole && part.last {
             let nodes = std::mem::take(&mut self.whole);
-            self.balance.listed_all(&nodes);
+            self.balance.list_completed(&nodes);
         }
     }
 
@@ -273,7 +275,7 @@
             self.ended(now, xchg, try_no, node, Outcome::Unsent.into());
         }
         while let Some(node) = self.balance.host.unprobed.pop() {
-            self.balance.probed(node, Outcome::Unsent);
+            self.balance.probe_finished(node, Outcome::Unsent);
         }
     }
 }
@@ -356,7 +358,7 @@
         }
     }
 
-    fn recall(&mut self, xchg: RequestId) {
+    fn cancel_unsent(&mut self, xchg: RequestId) {
         self.open.get(&xchg).into_iter().for_each(|open| open.recall.cancel());
     }
 
@@ -374,11 +376,11 @@
         }
     }
 
-    fn forget(&mut self, xchg: RequestId) {
+    fn release_request(&mut self, xchg: RequestId) {
         self.open.remove(&xchg);
     }
 
-    fn wake(&mut self, at: Nanos, token: u64) {
+    fn set_timer(&mut self, at: Nanos, token: u64) {
         self.timers.push(Reverse((at, token)));
     }
 
@@ -392,7 +394,7 @@
         }
     }
 
-    fn dismiss(&mut self, node: Node) {
+    fn release_node(&mut self, node: Node) {
         if let Some(Known { uid, .. }) = self.nodes.remove(node) {
             self.log_node(format_args!("node {node} is {uid} no more"));
             self.shared.counters.nodes_dismissed.add();
@@ -400,7 +402,7 @@
         }
     }
 
-    fn follow(&mut self) {
+    fn watch_node_list(&mut self) {
         // A call that is still waiting to be made is the same call.
         let _ = self.follow.try_send(());
     }
@@ -409,7 +411,7 @@
         self.log_node(line);
     }
 
-    fn given_up(&mut self, xchg: RequestId, reason: GiveUp, attempts: usize) {
+    fn given_up(&mut self, xchg: RequestId, reason: GiveUpReason, attempts: usize) {
         self.shared.counters.given_up.add(reason, attempts);
         if let Some(open) = self.open.get(&xchg) {
             let (id, reason) = (String::from_utf8_lossy(&open.cargo.id), reason.name());
--- a/crates/proxy/src/nodes.rs
+++ b/crates/proxy/src/nodes.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::Named;
 use hashbrown::HashMap;
-use pumicebay_core::{Node, Standing};
+use pumicebay_core::{Node, NodeStatus};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
             }
             return Some((node, false));
         }
-        if named.listed.standing == Standing::Gone {
+        if named.listed.status == NodeStatus::Gone {
             return None;
         }
         let node = self.free.pop().map_or(self.known.len(), |Reverse(node)| node);
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -54,7 +54,7 @@
             wire["dropped"] = json!(true);
         }
         for new in wire["routes"].as_array().into_iter().flatten() {
-            let name = names::text(new, "/name").to_string();
+            let name = names::text_at(new, "/name").to_string();
             let number = self.number(&name);
             let route = Route { name, overall: 0, dropped: None };
             if number == self.wire.len() {
@@ -66,7 +66,7 @@
         }
         let mut numbered = wire.clone();
         numbered["routes"] = json!(self.wire);
-        let settings = names::translate(&numbered);
+        let settings = names::settings_from_json(&numbered);
         for (number, route) in self.routes.0.iter_mut().enumerate() {
             route.overall = settings.time(&format!("route.{number}.overall_timeout"), 0);
         }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -7,7 +7,7 @@
 use crate::phases::Phase;
 use crate::shared::Shared;
 use crate::upstream::connection::{Came, Connection, connect};
-use pumicebay_core::{Held, Nanos, Node, Outcome, RequestId};
+use pumicebay_core::{Nanos, Node, Outcome, ReportedLoad, RequestId};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -165,7 +165,7 @@
 /// A long answer that has begun to come.
 struct Begun {
     length: usize,
-    held: Option<Held>,
+    held: Option<ReportedLoad>,
     /// Whether the connection carries no other after it.
     last: bool,
     /// When the first of it must be here, and how soon more after that.
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -11,8 +11,8 @@
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use pumicebay_core::policy::deadline::time_to_tell;
-use pumicebay_core::{Held, Outcome};
+use pumicebay_core::policy::deadline::advertised_timeout_ms;
+use pumicebay_core::{Outcome, ReportedLoad};
 use socket2::SockRef;
 use std::io::{ErrorKind, Read};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 /// What comes back: all of it, or the beginning of a long value. And whether it is the last on this connection.
 pub enum Came {
     Whole(Back, bool),
-    Long(usize, Option<Held>, bool),
+    Long(usize, Option<ReportedLoad>, bool),
 }
 
 /// Writes some of a long value. Until the last byte is written nothing can have run.
@@ -93,7 +93,8 @@
             Errand::Probe { .. } => self.encode_probe(shared),
             Errand::Try { cargo, until, .. } => {
                 let clock = &shared.clock;
-                let tell = time_to_tell(clock.now(), clock.at(*until), cargo.ends).ok_or(Outcome::Unsent)?;
+                let tell = advertised_timeout_ms(clock.now(), clock.at(*until), cargo.ends)
+                    .ok_or(Outcome::Unsent)?;
                 self.encode_attempt(cargo, tell)
             }
         };
--- a/crates/proxy/src/upstream/forms.rs
+++ b/crates/proxy/src/upstream/forms.rs
@@ -5,7 +5,7 @@
 use crate::resp::Frame;
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
-use pumicebay_core::{Held, Outcome};
+use pumicebay_core::{Outcome, ReportedLoad};
 use pumicebay_names as names;
 use smallvec::SmallVec;
 use std::io::Write;
@@ -120,11 +120,11 @@
 }
 
 /// How much a node says it holds, in a report of names and values; one that can't be is none.
-fn held(report: &[u8]) -> Option<Held> {
+fn held(report: &[u8]) -> Option<ReportedLoad> {
     let report = std::str::from_utf8(report).ok()?;
     let mut fields = report.split([',', ';', ' ']).filter_map(|field| field.split_once(['=', ':']));
     fields.find_map(|(name, value)| {
         let count = value.trim().parse().ok().filter(|count| (0.0..MOST_HELD).contains(count))?;
-        names::held(name.trim(), count)
+        names::reported_load(name.trim(), count)
     })
 }
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -325,13 +325,7 @@
         let listed = named.listed;
         trace += &format!(
             "{} {} {:?} zone {} cell {} started {} origin {}\n",
-            named.uid,
-            named.address,
-            listed.standing,
-            listed.zone,
-            listed.cell,
-            listed.started,
-            listed.origin
+            named.uid, named.address, listed.status, listed.zone, listed.cell, listed.started, listed.origin
         );
     }
     for broken in [json!({}), json!({"rev": "x", "all": true, "targets": []}), json!({"rev": 1, "all": true})]
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -4,7 +4,7 @@
 use crate::{Client, Replies, Trace, World, target};
 use expect_test::expect;
 use pumicebay::config::{keeps, parse};
-use pumicebay_names::identity;
+use pumicebay_names::stable_hash;
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -419,7 +419,7 @@
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let list = || Some(world.json["known"].clone());
-    let own = folder.0.join(format!("pumicebay-{:016x}", identity("n0")));
+    let own = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
     let (mut old, mut door) = process(&world, &socket, &folder, "upgrade-0", list()).await;
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..5).map(|at| tokio::spawn(press(address, stop.clone(), at))).collect();
--- a/crates/proxy/tests/proxy/restart.rs
+++ b/crates/proxy/tests/proxy/restart.rs
@@ -3,7 +3,7 @@
 use crate::cli::{File, program};
 use crate::operations::Folder;
 use crate::{configuration, target};
-use pumicebay_names::identity;
+use pumicebay_names::stable_hash;
 use serde_json::{Value as Json, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -28,7 +28,7 @@
     let door = ("/operator", json!("127.0.0.1:0"));
     let file = File::new(&format!("restart-{name}"), &with(file, &door).to_string());
     let folder = Folder::new(&format!("restart-{name}"));
-    spoil(&folder.0.join(format!("pumicebay-{:016x}", identity("n0"))));
+    spoil(&folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0"))));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(socket.local_addr().unwrap()).unwrap();
     client.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
--- a/crates/proxy/tests/proxy/told.rs
+++ b/crates/proxy/tests/proxy/told.rs
@@ -7,8 +7,8 @@
 use crate::{Told, Trace, World, configuration, target};
 use pumicebay::arrival::stamp;
 use pumicebay::heir::Seat;
-use pumicebay_core::policy::deadline::time_to_tell;
-use pumicebay_names::identity;
+use pumicebay_core::policy::deadline::advertised_timeout_ms;
+use pumicebay_names::stable_hash;
 use serde_json::{Value as Json, json};
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -60,7 +60,7 @@
     ];
     for (now, attempt_ends, client_ends, expected) in cases {
         assert_eq!(
-            time_to_tell(now, attempt_ends, client_ends),
+            advertised_timeout_ms(now, attempt_ends, client_ends),
             expected,
             "{now} {attempt_ends} {client_ends}"
         );
@@ -338,7 +338,7 @@
 async fn a_request_handed_over_tells_what_is_left() {
     let world = World::start(&[]).await;
     let folder = Folder::new("told-handed-over");
-    let own = folder.0.join(format!("pumicebay-{:016x}", identity("n0")));
+    let own = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
     std::fs::create_dir(&own).unwrap();
     std::fs::set_permissions(&own, std::fs::Permissions::from_mode(0o700)).unwrap();
     let old = Seat::take(&own).unwrap();
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -3,13 +3,13 @@
 use crate::wire::{Entry, Fields, Wire, outcome};
 use anyhow::{Context, Result, bail, ensure};
 use hashbrown::HashMap;
-use pumicebay_core::{Ask, Balance, Listed, Nanos, Node, RequestId, Standing};
-use pumicebay_names::{self as names, NANOS, identity};
+use pumicebay_core::{Balancer, ListedNode, Nanos, Node, NodeStatus, RequestId, RequestParams};
+use pumicebay_names::{self as names, NANOS_PER_MICROSECOND, stable_hash};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
 
 pub struct Instance {
-    balance: Balance<Wire>,
+    balance: Balancer<Wire>,
     nodes: HashMap<String, Node>,
     routes: Vec<String>,
     tenants: Vec<String>,
@@ -25,19 +25,19 @@
     pub fn attach(now: Nanos, fields: &Fields) -> Result<Instance> {
         let settings: Json = fields.get(2)?;
         ensure!(settings.is_object(), "settings: expected an object");
-        if let Some(why) = names::unsound(&settings) {
+        if let Some(why) = names::invalid_setting(&settings) {
             bail!("settings.{why}");
         }
-        let kinds = names::list(&settings, "/skus", "");
+        let kinds = names::names_at(&settings, "/skus", "");
         let origin = settings.pointer("/domain/origin-kind").and_then(Json::as_u64);
-        let columns = names::list(&settings, "/telemetry/columns", "");
+        let columns = names::names_at(&settings, "/telemetry/columns", "");
         let wire = Wire { proxy: fields.get(0)?, ..Wire::default() };
         Ok(Instance {
-            balance: Balance::new(wire, names::translate(&settings), fields.get(1)?, now),
+            balance: Balancer::new(wire, names::settings_from_json(&settings), fields.get(1)?, now),
             nodes: HashMap::new(),
-            routes: names::list(&settings, "/routes", "/name"),
-            tenants: names::list(&settings, "/orgs", "/name"),
-            zones: names::list(&settings, "/failure-domains", ""),
+            routes: names::names_at(&settings, "/routes", "/name"),
+            tenants: names::names_at(&settings, "/orgs", "/name"),
+            zones: names::names_at(&settings, "/failure-domains", ""),
             origin_kind: origin.and_then(|kind| kinds.get(kind as usize).cloned()),
             kinds,
             columns,
@@ -53,7 +53,7 @@
     pub fn topology(&mut self, now: Nanos, fields: &Fields, banks: &BTreeMap<u64, Vec<Entry>>) -> Result<()> {
         let form: u64 = fields.get(1)?;
         if form == 2 {
-            self.balance.list_failed(now);
+            self.balance.list_request_failed(now);
             return Ok(());
         }
         let bank: u64 = fields.get(3)?;
@@ -62,33 +62,37 @@
         for entry in entries {
             let node = self.node(&entry.2);
             let listed = self.describe(entry)?;
-            self.balance.listed(now, node, listed);
+            self.balance.node_listed(now, node, listed);
             named.push(node);
         }
         match form {
             0 => {}
-            3 | 4 => self.balance.listed_all(&named),
+            3 | 4 => self.balance.list_completed(&named),
             _ => bail!("Topology: unknown form {form}"),
         }
         Ok(())
     }
 
-    fn describe(&self, entry: &Entry) -> Result<Listed> {
+    fn describe(&self, entry: &Entry) -> Result<ListedNode> {
         let Entry(cell, started, address, rating, zone, mode, kind) = entry;
-        Ok(Listed {
-            identity: identity(address),
+        Ok(ListedNode {
+            identity: stable_hash(address),
             zone: self.zones.iter().position(|name| Some(name) == zone.as_ref()).unwrap_or(self.zones.len()),
             cell: cell.unwrap_or(0),
-            standing: match mode {
-                2 => Standing::Ready,
-                0 => Standing::Draining,
-                1 => Standing::Gone,
+            status: match mode {
+                2 => NodeStatus::Ready,
+                0 => NodeStatus::Draining,
+                1 => NodeStatus::Gone,
                 _ => bail!("List: unknown state {mode}"),
             },
-            started: started.unwrap_or(0) * NANOS,
+            started: started.unwrap_or(0) * NANOS_PER_MICROSECOND,
             origin: kind.is_some() && *kind == self.origin_kind,
-            kind: self.kinds.iter().position(|name| Some(name) == kind.as_ref()).unwrap_or(self.kinds.len()),
-            rating: rating.filter(|rating| *rating > 0.0).unwrap_or(1.0),
+            machine_type: self
+                .kinds
+                .iter()
+                .position(|name| Some(name) == kind.as_ref())
+                .unwrap_or(self.kinds.len()),
+            weight: rating.filter(|rating| *rating > 0.0).unwrap_or(1.0),
         })
     }
 
@@ -106,14 +110,14 @@
         let tid: &str = fields.get(1)?;
         let route: &str = fields.get(2)?;
         let tenant: Json = fields.get(6)?;
-        let ask = Ask {
+        let ask = RequestParams {
             route: self.routes.iter().position(|name| name == route).context("Arrival: unknown route")?,
             tenant: tenant.as_str().and_then(|tenant| self.tenants.iter().position(|name| name == tenant)),
             write: fields.get::<Option<bool>>(3)?.unwrap_or(false),
             key: fields.get(5)?,
-            hint: fields.get::<Option<u64>>(7)?.map(|hint| hint * NANOS),
-            grace: fields.get::<u64>(8)? * NANOS,
-            retry: fields.get::<Option<bool>>(9)?.unwrap_or(false),
+            work_hint: fields.get::<Option<u64>>(7)?.map(|hint| hint * NANOS_PER_MICROSECOND),
+            client_timeout: fields.get::<u64>(8)? * NANOS_PER_MICROSECOND,
+            is_retry: fields.get::<Option<bool>>(9)?.unwrap_or(false),
         };
         if self.balance.host.xchgs.contains_key(tid) {
             return Ok(());
@@ -121,7 +125,7 @@
         self.last += 1;
         self.balance.host.xchgs.insert(tid.to_string(), self.last);
         self.balance.host.tids.insert(self.last, tid.to_string());
-        self.balance.arrived(now, self.last, ask);
+        self.balance.request_arrived(now, self.last, ask);
         Ok(())
     }
 
@@ -131,28 +135,28 @@
         let try_no: usize = fields.get(6)?;
         self.report(now, fields, 7, 8)?;
         if let Some(xchg) = self.xchg(fields)? {
-            self.balance.ended(now, xchg, try_no, outcome, over);
+            self.balance.attempt_ended(now, xchg, try_no, outcome, over);
         }
         Ok(())
     }
 
     pub fn dropped(&mut self, now: Nanos, fields: &Fields) -> Result<()> {
         if let Some(xchg) = self.xchg(fields)? {
-            self.balance.dropped(now, xchg);
+            self.balance.request_cancelled(now, xchg);
         }
         Ok(())
     }
 
     pub fn under_way(&mut self, fields: &Fields) -> Result<()> {
         if let Some(xchg) = self.xchg(fields)? {
-            self.balance.under_way(xchg);
+            self.balance.response_started(xchg);
         }
         Ok(())
     }
 
     pub fn timeout(&mut self, now: Nanos, fields: &Fields) -> Result<()> {
         if let Ok(token) = fields.get::<&str>(1)?.parse() {
-            self.balance.woke(now, token);
+            self.balance.timer_fired(now, token);
         }
         Ok(())
     }
@@ -161,7 +165,7 @@
         let outcome = outcome(fields.get(2)?)?;
         self.report(now, fields, 1, 4)?;
         if let Some(&node) = self.nodes.get(fields.get::<&str>(1)?) {
-            self.balance.probed(node, outcome);
+            self.balance.probe_finished(node, outcome);
         }
         Ok(())
     }
@@ -174,9 +178,9 @@
     fn report(&mut self, now: Nanos, fields: &Fields, node: usize, load: usize) -> Result<()> {
         let row: Option<Vec<Option<f64>>> = fields.get(load)?;
         let figures = self.columns.iter().zip(row.iter().flatten());
-        let held = figures.filter_map(|(name, value)| names::held(name, (*value)?)).next();
+        let held = figures.filter_map(|(name, value)| names::reported_load(name, (*value)?)).next();
         if let (Some(held), Some(&node)) = (held, self.nodes.get(fields.get::<&str>(node)?)) {
-            self.balance.reported(now, node, held);
+            self.balance.load_reported(now, node, held);
         }
         Ok(())
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result, bail};
 use instance::Instance;
-use pumicebay_names::NANOS;
+use pumicebay_names::NANOS_PER_MICROSECOND;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
         reply.push_str(&batch.n.to_string());
         reply.push_str(",\"out\":[");
         for (place, event) in batch.events.iter().enumerate() {
-            let told = process.handle(batch.wall * NANOS, event, &mut reply);
+            let told = process.handle(batch.wall * NANOS_PER_MICROSECOND, event, &mut reply);
             told.with_context(|| format!("batch {}, event {place}", batch.n))?;
         }
         if reply.ends_with(',') {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use hashbrown::HashMap;
 use pumicebay_core::{Host, Nanos, Node, Outcome, RequestId};
-use pumicebay_names::NANOS;
+use pumicebay_names::NANOS_PER_MICROSECOND;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::fmt::Write;
@@ -72,12 +72,12 @@
 impl Host for Wire {
     fn send(&mut self, xchg: RequestId, node: Node, timeout: Nanos) {
         let (tid, address) = (Self::text(&self.tids[&xchg]), Self::text(&self.addresses[node]));
-        self.act("Try", format_args!(",{tid},{},{address}", timeout.div_ceil(NANOS)));
+        self.act("Try", format_args!(",{tid},{},{address}", timeout.div_ceil(NANOS_PER_MICROSECOND)));
     }
 
     fn shed(&mut self, xchg: RequestId, pause: Nanos) {
         let tid = Self::text(&self.tids[&xchg]);
-        self.act("Busy", format_args!(",{tid},{}", pause / NANOS));
+        self.act("Busy", format_args!(",{tid},{}", pause / NANOS_PER_MICROSECOND));
     }
 
     fn error(&mut self, xchg: RequestId) {
@@ -85,14 +85,14 @@
         self.act("GiveUp", format_args!(",{tid}"));
     }
 
-    fn forget(&mut self, xchg: RequestId) {
+    fn release_request(&mut self, xchg: RequestId) {
         if let Some(tid) = self.tids.remove(&xchg) {
             self.xchgs.remove(&tid);
         }
     }
 
-    fn wake(&mut self, at: Nanos, token: u64) {
-        self.act("SetTimer", format_args!(",\"{token}\",{}", at.div_ceil(NANOS)));
+    fn set_timer(&mut self, at: Nanos, token: u64) {
+        self.act("SetTimer", format_args!(",\"{token}\",{}", at.div_ceil(NANOS_PER_MICROSECOND)));
     }
 
     fn probe(&mut self, node: Node) {
@@ -101,9 +101,9 @@
     }
 
     /// An address keeps its number: it may come back.
-    fn dismiss(&mut self, _node: Node) {}
+    fn release_node(&mut self, _node: Node) {}
 
-    fn follow(&mut self) {
+    fn watch_node_list(&mut self) {
         self.act("Follow", format_args!(",true"));
     }
 
