--- a/crates/proxy/src/arrival.rs
+++ b/crates/proxy/src/arrival.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 /// A stamp that is older says that the machine's clock was set meanwhile.
-const OLDEST: Duration = Duration::from_secs(10);
+const MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Has the kernel stamp what comes on this socket, and on those that a listener accepts from now on. Whether it does.
-pub fn stamp(socket: &impl AsFd) -> bool {
+pub fn enable_timestamps(socket: &impl AsFd) -> bool {
     setsockopt(socket, ReceiveTimestampns, &true).is_ok()
 }
 
@@ -31,14 +31,14 @@
     control: Vec<u8>,
     /// Since when the next byte has lain unread, once that was looked at.
     unread_since: Option<Instant>,
-    arrived: Instant,
+    received_at: Instant,
 }
 
 impl ClientStream {
     /// Of a connection that was just accepted or taken over.
     pub fn new(stream: TcpStream) -> ClientStream {
-        let control = if stamp(&stream) { cmsg_space!(TimeSpec) } else { Vec::new() };
-        ClientStream { stream, control, unread_since: None, arrived: Instant::now() }
+        let control = if enable_timestamps(&stream) { cmsg_space!(TimeSpec) } else { Vec::new() };
+        ClientStream { stream, control, unread_since: None, received_at: Instant::now() }
     }
 
     pub fn tcp(&self) -> &TcpStream {
@@ -46,41 +46,41 @@
     }
 
     /// When the bytes came that were read last, as far as is known.
-    pub fn arrived(&self) -> Instant {
-        self.arrived
+    pub fn received_at(&self) -> Instant {
+        self.received_at
     }
 
     /// Returns once something is there to be read, or the end, and notes since when it has been.
-    pub async fn something(&mut self) -> Result<()> {
+    pub async fn wait_readable(&mut self) -> Result<()> {
         if self.control.is_empty() {
             return self.stream.peek(&mut [0]).await.map(|_| ());
         }
         let Self { stream, control, .. } = self;
-        let came = stream.async_io(Interest::READABLE, || peek_stamp(stream, control)).await?;
-        self.unread_since = came.and_then(instant);
+        let received = stream.async_io(Interest::READABLE, || peek_timestamp(stream, control)).await?;
+        self.unread_since = received.and_then(to_instant);
         Ok(())
     }
 
     /// Notes since when what is there has been, if anything is.
-    pub fn note_unread(&mut self) {
+    pub fn record_unread_since(&mut self) {
         let Self { stream, control, .. } = self;
         if !control.is_empty()
-            && let Ok(came) = stream.try_io(Interest::READABLE, || peek_stamp(stream, control))
+            && let Ok(received) = stream.try_io(Interest::READABLE, || peek_timestamp(stream, control))
         {
-            self.unread_since = came.and_then(instant);
+            self.unread_since = received.and_then(to_instant);
         }
     }
 }
 
 /// When the kernel received the next byte, by the machine's clock; `None` where it does not say.
-fn peek_stamp(stream: &TcpStream, control: &mut Vec<u8>) -> Result<Option<TimeSpec>> {
+fn peek_timestamp(stream: &TcpStream, control: &mut Vec<u8>) -> Result<Option<TimeSpec>> {
     control.clear();
     control.resize(control.capacity(), 0);
     let mut byte = [0];
     let mut parts = [IoSliceMut::new(&mut byte)];
     let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
-    let came = recvmsg::<()>(stream.as_raw_fd(), &mut parts, Some(control), flags)?;
-    let Ok(mut messages) = came.cmsgs() else { return Ok(None) };
+    let received = recvmsg::<()>(stream.as_raw_fd(), &mut parts, Some(control), flags)?;
+    let Ok(mut messages) = received.cmsgs() else { return Ok(None) };
     Ok(messages.find_map(|message| match message {
         ControlMessageOwned::ScmTimestampns(at) => Some(at),
         _ => None,
@@ -88,9 +88,9 @@
 }
 
 /// The steady clock's time for one of the machine's clock, if that can be right.
-fn instant(stamp: TimeSpec) -> Option<Instant> {
-    let stamped = UNIX_EPOCH.checked_add(Duration::from(stamp))?;
-    let age = SystemTime::now().duration_since(stamped).ok().filter(|age| *age <= OLDEST)?;
+fn to_instant(timestamp: TimeSpec) -> Option<Instant> {
+    let received = UNIX_EPOCH.checked_add(Duration::from(timestamp))?;
+    let age = SystemTime::now().duration_since(received).ok().filter(|age| *age <= MAX_AGE)?;
     Instant::now().checked_sub(age)
 }
 
@@ -99,7 +99,7 @@
         let this = self.get_mut();
         let read = Pin::new(&mut this.stream).poll_read(context, buffer);
         if read.is_ready() {
-            this.arrived = this.unread_since.take().unwrap_or_else(Instant::now);
+            this.received_at = this.unread_since.take().unwrap_or_else(Instant::now);
         }
         read
     }
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -1,7 +1,7 @@
 //! Nodes that operators have taken out of service, by `uid`. Each is a file in the proxy's private folder, so that a
 //! process that serves beside this one, or comes after it, keeps the same bans: whoever is called writes, both look.
 
-use crate::desk::{Desk, Whose};
+use crate::desk::{ControlHandle, NodeKind};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
 use pumicebay_accord::{Fences, Passage, Token};
 use pumicebay_replication::{Lease, Refusal, Service, Stamp};
@@ -87,7 +87,7 @@
 
 /// The actor that keeps the bans; calls and what other processes wrote take their turns here.
 pub struct Bans {
-    pub desk: Desk,
+    pub desk: ControlHandle,
     /// Without a folder, bans hold for this process alone.
     pub folder: Option<PathBuf>,
     /// Those that the module has been told of.
@@ -124,12 +124,12 @@
     }
 
     async fn called(&mut self, uid: String, out: bool, under: Option<(String, Token)>) -> Asked {
-        match self.desk.whose(uid.clone()).await {
-            Whose::Cache => {}
+        match self.desk.node_kind(uid.clone()).await {
+            NodeKind::Cache => {}
             // One that discovery has dropped since can be put back all the same.
-            Whose::Nobody if self.out.contains(&uid) => {}
-            Whose::Nobody => return Asked::Unknown,
-            Whose::Origin => return Asked::Origin,
+            NodeKind::Unknown if self.out.contains(&uid) => {}
+            NodeKind::Unknown => return Asked::Unknown,
+            NodeKind::Origin => return Asked::Origin,
         }
         let order_lease = under.clone().map(|(name, token)| Lease { name, token });
         // Who held the lease before, and was stopped in the middle of its work, must not undo the next one's.
@@ -200,7 +200,7 @@
         } else {
             self.out.remove(&uid);
         }
-        self.desk.maintained(uid, out).await;
+        self.desk.set_maintenance(uid, out).await;
     }
 
     fn keep(&self, uid: &str, out: bool) -> std::io::Result<()> {
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -165,9 +165,9 @@
     let served = runtime.block_on(async {
         let noted = counters.clone();
         let reread = move || {
-            turns::noted(&noted, || "reading the configuration".into(), || config::reread(&file, variable))
+            turns::timed(&noted, || "reading the configuration".into(), || config::reread(&file, variable))
         };
-        let (stop, configs) = (serve::signalled().await?, serve::reread(reread)?);
+        let (stop, configs) = (serve::termination_signal().await?, serve::reload_on_hangup(reread)?);
         Proxy::start(config, counters.clone()).await?.run(stop, configs).await
     });
     tracing::info!("counters: {}", counters.to_string().trim_end().replace('\n', ", "));
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -3,12 +3,12 @@
 use crate::arrival::{self, ClientStream};
 use crate::clock::MILLIS;
 use crate::config::Config;
-use crate::heir::{Passed, Seat};
-use crate::long::{self, Long, Upload, Value};
-use crate::messages::{Answer, Cargo};
+use crate::heir::{PassedConnection, TakeoverSocket};
+use crate::long::{self, StreamedValue, Upload, Value};
+use crate::messages::{Answer, ClientRequest};
 use crate::phases::Phase;
-use crate::resp::{Frame, Part, Parts, bad};
-use crate::room::{Room, Spare};
+use crate::resp::{Frame, FramePart, StreamingResp, invalid};
+use crate::room::{ConnectionLimit, EvictionClass};
 use crate::shared::Shared;
 use crate::tuning::Routes;
 use bytes::{Bytes, BytesMut};
@@ -28,60 +28,60 @@
 use tokio_util::task::TaskTracker;
 
 /// Commands on one connection that await their answers; more are left unread.
-const PIPELINE: usize = 32;
+const MAX_PIPELINED: usize = 32;
 /// A connection may be without a whole command for so long after it comes up, and without more of a long value.
-const SILENT: Duration = Duration::from_millis(2700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
 /// What stands idle for less is closed for want of room last, as a request might be on its way.
-const IDLE: Duration = Duration::from_millis(2200);
+const RECENT_ACTIVITY: Duration = Duration::from_millis(2200);
 /// Past the cap, new connections that have brought nothing wait before the door: so many, for no longer than
 /// this, and the less the more there are. The rest of them wait in the kernel.
-const LOBBY: usize = 16;
-const NEW: Duration = Duration::from_millis(20);
+const MAX_WAITING_CONNECTIONS: usize = 16;
+const NEW_CONNECTION_WAIT: Duration = Duration::from_millis(20);
 /// How long a client may take to read what it asked for, or to write a command that is not its first.
-const READING: Duration = Duration::from_secs(10);
+const CLIENT_IO_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often it is looked whether a client that does not read its answer is still there.
-const LOOK: Duration = Duration::from_millis(20);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// What is still read from a client that was refused, and for how long.
 const LINGER: Duration = Duration::from_secs(1);
 const LINGER_BYTES: u64 = 1 << 20;
 /// How large a buffer for replies stays.
-const KEPT: usize = 8 * 1024;
+const MAX_KEPT_BUFFER: usize = 8 * 1024;
 /// The pause after a connection could not be accepted, for want of descriptors.
-const NO_ROOM: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 #[derive(Clone)]
-pub struct Front {
+pub struct Frontend {
     pub shared: Shared,
     pub connections: TaskTracker,
     /// For clients' connections: asked to close is one that brought no exchange yet, else the one without one
     /// longest, also amid a command.
-    pub room: Room,
+    pub limit: ConnectionLimit,
     /// Connections that have brought an exchange.
-    pub used: Arc<AtomicUsize>,
+    pub used_connections: Arc<AtomicUsize>,
     /// Commands that connections may take beyond their first: bounds the answers that slow readers leave here.
-    pub ahead: Arc<Semaphore>,
+    pub pipelined: Arc<Semaphore>,
 }
 
 /// Takes the connections that the process before passes on, as long as this one lives.
-pub async fn take_over(front: Front, seat: Arc<Seat>) {
+pub async fn take_over(frontend: Frontend, socket: Arc<TakeoverSocket>) {
     loop {
-        match seat.next().await {
-            Ok(Passed { stream, unread, used }) => {
-                let front = front.clone();
-                front.shared.counters.clients_taken_over.add();
-                front.connections.clone().spawn(async move {
-                    let _permit = front.room.take().await;
-                    let mut client = Client::new(front, stream);
+        match socket.receive().await {
+            Ok(PassedConnection { stream, unread, used }) => {
+                let frontend = frontend.clone();
+                frontend.shared.counters.clients_taken_over.add();
+                frontend.connections.clone().spawn(async move {
+                    let _permit = frontend.limit.acquire().await;
+                    let mut client = Client::new(frontend, stream);
                     client.framed.read_buffer_mut().extend_from_slice(&unread);
                     if used {
-                        client.crowd();
+                        client.mark_used();
                     }
                     client.run().await;
                 });
             }
             Err(error) => {
                 tracing::warn!("connections passed on: {error}");
-                sleep(NO_ROOM).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -89,9 +89,10 @@
 
 /// Accepts until the phase says no more, and then what the kernel has accepted by that time: such a client may have
 /// sent a command. Where another process has the same socket, it does.
-pub async fn accept(front: Front, listener: TcpListener) {
-    arrival::stamp(&listener);
-    let (mut closing, lobby) = (front.shared.watch.clone(), Arc::new(Semaphore::new(LOBBY)));
+pub async fn accept(frontend: Frontend, listener: TcpListener) {
+    arrival::enable_timestamps(&listener);
+    let (mut closing, waiting_slots) =
+        (frontend.shared.phase.clone(), Arc::new(Semaphore::new(MAX_WAITING_CONNECTIONS)));
     loop {
         let accepted = tokio::select! {
             biased;
@@ -99,16 +100,16 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => admit(&front, stream, &lobby).await,
+            Ok((stream, _)) => admit(&frontend, stream, &waiting_slots).await,
             Err(error) => {
-                front.shared.counters.accept_failures.add();
+                frontend.shared.counters.accept_failures.add();
                 tracing::warn!("accept: {error}");
-                front.room.ask();
-                sleep(NO_ROOM).await;
+                frontend.limit.evict_one();
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    if front.shared.heir.get().is_none()
+    if frontend.shared.successor.get().is_none()
         && let Ok(listener) = listener.into_std()
     {
         // The kernel itself is asked: the runtime may not have heard of the last ones.
@@ -116,52 +117,53 @@
             && stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
         {
-            admit(&front, stream, &lobby).await;
+            admit(&frontend, stream, &waiting_slots).await;
         }
     }
 }
 
 /// Lets a new connection in once there is room for it.
-async fn admit(front: &Front, stream: TcpStream, lobby: &Arc<Semaphore>) {
-    front.shared.counters.clients_accepted.add();
+async fn admit(frontend: &Frontend, stream: TcpStream, waiting_slots: &Arc<Semaphore>) {
+    frontend.shared.counters.clients_accepted.add();
     let _ = stream.set_nodelay(true);
-    let permit = front.room.try_take();
-    let place = match permit {
-        None => Some(lobby.clone().acquire_owned().await.expect("never closed")),
+    let permit = frontend.limit.try_acquire();
+    let slot = match permit {
+        None => Some(waiting_slots.clone().acquire_owned().await.expect("never closed")),
         Some(_) => None,
     };
-    let patience = NEW * lobby.available_permits() as u32 / LOBBY as u32;
-    let front = front.clone();
-    front.connections.clone().spawn(async move {
+    let max_wait =
+        NEW_CONNECTION_WAIT * waiting_slots.available_permits() as u32 / MAX_WAITING_CONNECTIONS as u32;
+    let frontend = frontend.clone();
+    frontend.connections.clone().spawn(async move {
         let _permit = match permit {
             Some(permit) => permit,
             // Those that say nothing must not turn out those that do.
-            None if timeout(patience, stream.peek(&mut [0])).await.is_err() => {
-                return front.shared.counters.clients_closed_for_room.add();
+            None if timeout(max_wait, stream.peek(&mut [0])).await.is_err() => {
+                return frontend.shared.counters.clients_closed_for_room.add();
             }
-            None => front.room.take().await,
+            None => frontend.limit.acquire().await,
         };
-        drop(place);
-        Client::new(front, stream).run().await;
+        drop(slot);
+        Client::new(frontend, stream).run().await;
     });
 }
 
 struct Client {
-    front: Front,
-    framed: Framed<ClientStream, Parts>,
+    frontend: Frontend,
+    framed: Framed<ClientStream, StreamingResp>,
     /// In the order of the commands.
     pending: VecDeque<Pending>,
     /// When the command began that has come in part.
-    begun: Option<Instant>,
+    command_started: Option<Instant>,
     /// It has brought an exchange.
     used: bool,
     /// Given up once the client has left: tells so to what has not begun yet, also where the module is busy.
-    here: Arc<()>,
+    alive: Arc<()>,
 }
 
 struct Pending {
     reply: Reply,
-    _ahead: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
 enum Reply {
@@ -170,15 +172,22 @@
 }
 
 /// A reply as it is to be sent.
-enum Due {
+enum OutgoingReply {
     Frame(Frame),
-    Long(Long),
+    Streamed(StreamedValue),
 }
 
 impl Client {
-    fn new(front: Front, stream: TcpStream) -> Client {
-        let framed = Framed::new(ClientStream::new(stream), Parts::default());
-        Client { front, framed, pending: VecDeque::new(), begun: None, used: false, here: Arc::default() }
+    fn new(frontend: Frontend, stream: TcpStream) -> Client {
+        let framed = Framed::new(ClientStream::new(stream), StreamingResp::default());
+        Client {
+            frontend,
+            framed,
+            pending: VecDeque::new(),
+            command_started: None,
+            used: false,
+            alive: Arc::default(),
+        }
     }
 
     async fn run(mut self) {
@@ -187,64 +196,65 @@
         if let Err(error) = self.serve().await {
             tracing::debug!("client: {error}");
         }
-        drop(self.here);
+        drop(self.alive);
         if self.used {
-            self.front.used.fetch_sub(1, Ordering::Relaxed);
+            self.frontend.used_connections.fetch_sub(1, Ordering::Relaxed);
         }
         for pending in std::mem::take(&mut self.pending) {
-            if let Reply::Waiting(xchg, _) = pending.reply {
-                self.front.shared.door.dropped(xchg).await;
+            if let Reply::Waiting(request_id, _) = pending.reply {
+                self.frontend.shared.dispatcher.client_disconnected(request_id).await;
             }
         }
     }
 
     /// Ends with the connection: the client closed it, broke it, said nothing, or is asked to take another.
     async fn serve(&mut self) -> std::io::Result<()> {
-        let (mut closing, mut close_at) = (self.front.shared.watch.clone(), Phase::Closing);
-        let room = self.front.room.clone();
-        let (mut spoke, mut since) = (self.used, Instant::now());
+        let (mut closing, mut close_at) = (self.frontend.shared.phase.clone(), Phase::Closing);
+        let limit = self.frontend.limit.clone();
+        let (mut sent_command, mut last_active) = (self.used, Instant::now());
         loop {
             let idle = self.pending.is_empty();
-            let more = idle || self.pending.len() < PIPELINE && self.front.ahead.available_permits() > 0;
+            let read_more =
+                idle || self.pending.len() < MAX_PIPELINED && self.frontend.pipelined.available_permits() > 0;
             // What is left unread can't be late.
-            self.begun = self.begun.filter(|_| more);
+            self.command_started = self.command_started.filter(|_| read_more);
             tokio::select! {
                 biased;
-                reply = next(&mut self.pending), if !idle => {
-                    self.answer(reply).await?;
-                    since = Instant::now();
+                reply = next_reply(&mut self.pending), if !idle => {
+                    self.send_reply(reply).await?;
+                    last_active = Instant::now();
                 }
-                frame = whole(&mut self.framed, &mut self.begun, more) => match frame {
+                frame = next_command(&mut self.framed, &mut self.command_started, read_more) => match frame {
                     // Nothing but the value of a write may be long.
-                    Some(Ok(Part::Begin(words, _))) if !writes(&words) => {
-                        return self.refuse(bad("bulk string too long")).await;
+                    Some(Ok(FramePart::Begin(words, _))) if !is_write(&words) => {
+                        return self.reject(invalid("bulk string too long")).await;
                     }
-                    Some(Ok(Part::Begin(words, length))) => {
-                        spoke = true;
-                        self.upload(words, length).await?;
-                        since = Instant::now();
+                    Some(Ok(FramePart::Begin(words, length))) => {
+                        sent_command = true;
+                        self.receive_upload(words, length).await?;
+                        last_active = Instant::now();
                     }
                     Some(Ok(part)) => {
-                        let Part::Frame(frame) = part else { return self.refuse(bad("out of step")).await };
-                        let reply = self.command(frame, None).await;
-                        spoke = true;
+                        let FramePart::Frame(frame) = part else { return self.reject(invalid("out of step")).await };
+                        let reply = self.handle_command(frame, None).await;
+                        sent_command = true;
                         if !self.used && matches!(reply, Reply::Waiting(..)) {
-                            self.crowd();
+                            self.mark_used();
                         }
-                        let ahead = || self.front.ahead.clone().try_acquire_owned().ok();
-                        let _ahead = if idle { None } else { ahead() };
-                        self.pending.push_back(Pending { reply, _ahead });
+                        let permit = || self.frontend.pipelined.clone().try_acquire_owned().ok();
+                        let _permit = if idle { None } else { permit() };
+                        self.pending.push_back(Pending { reply, _permit });
                     }
-                    Some(Err(error)) => return self.refuse(error).await,
+                    Some(Err(error)) => return self.reject(error).await,
                     None => return Ok(()),
                 },
                 () = closing.reached(close_at), if idle => {
                     // Closed here, a command that is on its way would meet nobody.
-                    if let Some(heir) = self.front.shared.heir.get() {
+                    if let Some(successor) = self.frontend.shared.successor.get() {
                         let unread = self.framed.read_buffer();
-                        match heir.pass(self.framed.get_ref().tcp(), unread, self.used).await {
+                        match successor.pass(self.framed.get_ref().tcp(), unread, self.used).await {
                             Ok(()) => {
-                                self.front.shared.counters.clients_passed_on.add();
+                                self.frontend.shared.counters.clients_passed_on.add();
                                 return Ok(());
                             }
                             Err(error) => tracing::warn!("a connection stays: {error}"),
@@ -256,13 +266,13 @@
                     }
                     close_at = Phase::Leaving;
                 }
-                () = spared(&room, self.used, since), if idle => {
-                    self.front.shared.counters.clients_closed_for_room.add();
+                () = eviction_requested(&limit, self.used, last_active), if idle => {
+                    self.frontend.shared.counters.clients_closed_for_room.add();
                     return Ok(());
                 }
-                () = sleep_until(since + SILENT), if !spoke => {
-                    self.front.shared.counters.clients_silent.add();
-                    return self.refuse(bad("no whole command in time")).await;
+                () = sleep_until(last_active + SILENCE_TIMEOUT), if !sent_command => {
+                    self.frontend.shared.counters.clients_silent.add();
+                    return self.reject(invalid("no whole command in time")).await;
                 }
             }
         }
@@ -270,42 +280,42 @@
 
     /// A connection has brought its first exchange. Clients may hold so many for requests: some use each
     /// once and keep it, and have none left for others unless those idle longest are closed.
-    fn crowd(&mut self) {
+    fn mark_used(&mut self) {
         self.used = true;
-        let used = self.front.used.fetch_add(1, Ordering::Relaxed) + 1;
-        let most = self.front.shared.config.used;
-        self.front.room.ask_used(used.saturating_sub(most));
+        let used = self.frontend.used_connections.fetch_add(1, Ordering::Relaxed) + 1;
+        let max_used = self.frontend.shared.config.used;
+        self.frontend.limit.evict_used(used.saturating_sub(max_used));
     }
 
     /// What can't be read: answers what came before it, says what is wrong, and closes.
-    async fn refuse(&mut self, error: std::io::Error) -> std::io::Result<()> {
+    async fn reject(&mut self, error: std::io::Error) -> std::io::Result<()> {
         if error.kind() != ErrorKind::InvalidData {
             return Err(error);
         }
-        self.front.shared.counters.bad_commands.add();
+        self.frontend.shared.counters.bad_commands.add();
         let reply = Reply::Ready(Frame::error(format!("ERR Protocol error: {error}")));
-        self.pending.push_back(Pending { reply, _ahead: None });
-        self.answer_all().await?;
+        self.pending.push_back(Pending { reply, _permit: None });
+        self.send_pending_replies().await?;
         // Closing before all is read would reset the connection, and the client might lose the reply.
         let stream = self.framed.get_mut();
         stream.shutdown().await?;
-        let (mut rest, mut nowhere) = (stream.take(LINGER_BYTES), sink());
+        let (mut rest, mut discard) = (stream.take(LINGER_BYTES), sink());
         tokio::select! {
-            _ = timeout(LINGER, copy(&mut rest, &mut nowhere)) => {}
-            () = self.front.room.asked(Spare::Unused) => {}
+            _ = timeout(LINGER, copy(&mut rest, &mut discard)) => {}
+            () = self.frontend.limit.eviction_requested(EvictionClass::Unused) => {}
         }
         Ok(())
     }
 
     /// Answers what is pending, in its order, as long as the client is there.
-    async fn answer_all(&mut self) -> std::io::Result<()> {
+    async fn send_pending_replies(&mut self) -> std::io::Result<()> {
         while !self.pending.is_empty() {
             let reply = tokio::select! {
                 biased;
-                reply = next(&mut self.pending) => reply,
-                () = left(self.framed.get_ref().tcp()) => return Err(ErrorKind::ConnectionAborted.into()),
+                reply = next_reply(&mut self.pending) => reply,
+                () = disconnected(self.framed.get_ref().tcp()) => return Err(ErrorKind::ConnectionAborted.into()),
             };
-            self.answer(reply).await?;
+            self.send_reply(reply).await?;
         }
         Ok(())
     }
@@ -313,90 +323,92 @@
     /// Writes what is buffered, within the time that a client has to read it and no longer than it is there:
     /// others wait for their answers behind this one.
     async fn flush(&mut self) -> std::io::Result<()> {
-        let by = Instant::now() + READING;
+        let deadline = Instant::now() + CLIENT_IO_TIMEOUT;
         loop {
-            match timeout(LOOK, SinkExt::<&Frame>::flush(&mut self.framed)).await {
+            match timeout(DISCONNECT_CHECK_INTERVAL, SinkExt::<&Frame>::flush(&mut self.framed)).await {
                 Ok(flushed) => return flushed,
-                Err(_) if has_left(self.framed.get_ref().tcp()) => {
+                Err(_) if is_disconnected(self.framed.get_ref().tcp()) => {
                     return Err(ErrorKind::ConnectionAborted.into());
                 }
-                Err(_) if Instant::now() >= by => return Err(ErrorKind::TimedOut.into()),
+                Err(_) if Instant::now() >= deadline => return Err(ErrorKind::TimedOut.into()),
                 Err(_) => {}
             }
         }
     }
 
     /// Sends the reply that is due, within the time that a client has to read it.
-    async fn answer(&mut self, reply: Due) -> std::io::Result<()> {
+    async fn send_reply(&mut self, reply: OutgoingReply) -> std::io::Result<()> {
         self.pending.pop_front();
         match reply {
-            Due::Frame(reply) => {
+            OutgoingReply::Frame(reply) => {
                 self.framed.feed(&reply).await?;
                 self.flush().await?;
             }
-            Due::Long(value) => self.pass_on(value).await?,
+            OutgoingReply::Streamed(value) => self.stream_reply(value).await?,
         }
         // A large value leaves no large buffer behind.
         let sent = self.framed.write_buffer_mut();
-        if sent.capacity() > KEPT {
-            *sent = BytesMut::with_capacity(KEPT);
+        if sent.capacity() > MAX_KEPT_BUFFER {
+            *sent = BytesMut::with_capacity(MAX_KEPT_BUFFER);
         }
         Ok(())
     }
 
     /// A command whose last word is long: passed on as it comes, or left out where it is answered before. What was
     /// asked before it is answered first.
-    async fn upload(&mut self, mut words: Vec<Frame>, length: usize) -> std::io::Result<()> {
-        self.answer_all().await?;
+    async fn receive_upload(&mut self, mut words: Vec<Frame>, length: usize) -> std::io::Result<()> {
+        self.send_pending_replies().await?;
         words.push(Frame::Bulk(Bytes::new()));
-        let (reply, mut source) = match self.front.shared.long.clone().try_acquire_owned() {
-            Ok(room) => {
-                let (source, value) = long::long(length, Some(room));
-                let reply = self.command(Frame::Array(words), Some(Box::new(Upload::new(value)))).await;
-                (reply, Some(source))
+        let (reply, mut sender) = match self.frontend.shared.streamed_values.clone().try_acquire_owned() {
+            Ok(permit) => {
+                let (sender, value) = long::streamed_value(length, Some(permit));
+                let reply =
+                    self.handle_command(Frame::Array(words), Some(Box::new(Upload::new(value)))).await;
+                (reply, Some(sender))
             }
             Err(_) => (Reply::Ready(Frame::error("BUSY")), None),
         };
         if !self.used && matches!(reply, Reply::Waiting(..)) {
-            self.crowd();
+            self.mark_used();
         }
-        self.pending.push_back(Pending { reply, _ahead: None });
+        self.pending.push_back(Pending { reply, _permit: None });
         let mut piece = None;
         loop {
-            let (awaits, wanted) = (!self.pending.is_empty(), source.is_some() && piece.is_some());
+            let (reply_pending, piece_pending) =
+                (!self.pending.is_empty(), sender.is_some() && piece.is_some());
             tokio::select! {
                 biased;
-                reply = next(&mut self.pending), if awaits => {
-                    self.answer(reply).await?;
-                    source = None;
+                reply = next_reply(&mut self.pending), if reply_pending => {
+                    self.send_reply(reply).await?;
+                    sender = None;
                 }
-                sent = bring(&source, &piece), if wanted => {
+                sent = send_piece(&sender, &piece), if piece_pending => {
                     piece = None;
-                    source = source.filter(|_| sent.is_ok());
+                    sender = sender.filter(|_| sent.is_ok());
                 }
-                part = timeout(SILENT, part(&mut self.framed, !wanted)) => match part {
+                part = timeout(SILENCE_TIMEOUT, next_part(&mut self.framed, !piece_pending)) => match part {
                     // Nobody has taken the last piece for as long as a client may be silent.
-                    Err(_) if wanted => {}
-                    Ok(Some(Ok(Part::Piece(some)))) => piece = Some(some),
-                    Ok(Some(Ok(Part::End(after)))) if after.is_empty() => return Ok(()),
-                    Ok(Some(Ok(_))) => return self.refuse(bad("words behind a value")).await,
-                    Ok(Some(Err(error))) => return self.refuse(error).await,
+                    Err(_) if piece_pending => {}
+                    Ok(Some(Ok(FramePart::Piece(received)))) => piece = Some(received),
+                    Ok(Some(Ok(FramePart::End(after)))) if after.is_empty() => return Ok(()),
+                    Ok(Some(Ok(_))) => return self.reject(invalid("words behind a value")).await,
+                    Ok(Some(Err(error))) => return self.reject(error).await,
                     Ok(None) => return Ok(()),
-                    Err(_) => return self.refuse(bad("command without end")).await,
+                    Err(_) => return self.reject(invalid("command without end")).await,
                 },
             }
         }
     }
 
     /// Passes a long value on as it comes. One that breaks off ends the connection, so that the client can tell.
-    async fn pass_on(&mut self, mut value: Long) -> std::io::Result<()> {
+    async fn stream_reply(&mut self, mut value: StreamedValue) -> std::io::Result<()> {
         let head = format!("${}\r\n", value.length);
         self.framed.write_buffer_mut().extend_from_slice(head.as_bytes());
         loop {
             let piece = tokio::select! {
                 biased;
                 piece = value.next() => piece?,
-                () = left(self.framed.get_ref().tcp()) => return Err(ErrorKind::ConnectionAborted.into()),
+                () = disconnected(self.framed.get_ref().tcp()) => return Err(ErrorKind::ConnectionAborted.into()),
             };
             let last = piece.is_none();
             self.framed.write_buffer_mut().extend_from_slice(&piece.unwrap_or(Bytes::from_static(b"\r\n")));
@@ -407,26 +419,34 @@
         }
     }
 
-    async fn command(&mut self, frame: Frame, upload: Option<Box<Upload>>) -> Reply {
-        let waited = self.framed.get_ref().arrived().elapsed().as_nanos() as Nanos;
-        let at = self.front.shared.clock.now().saturating_sub(waited);
-        let routes = self.front.shared.routes.borrow().clone();
-        match read(frame, &self.front.shared.config, &routes) {
+    async fn handle_command(&mut self, frame: Frame, upload: Option<Box<Upload>>) -> Reply {
+        let age = self.framed.get_ref().received_at().elapsed().as_nanos() as Nanos;
+        let received_at = self.frontend.shared.clock.now().saturating_sub(age);
+        let routes = self.frontend.shared.routes.borrow().clone();
+        match parse_command(frame, &self.frontend.shared.config, &routes) {
             // It waited for room, or behind others: nobody is there for the answer.
-            Ok(Command::Exchange(..)) if has_left(self.framed.get_ref().tcp()) => {
-                self.front.shared.counters.exchanges_untaken.add();
+            Ok(Command::Request(..)) if is_disconnected(self.framed.get_ref().tcp()) => {
+                self.frontend.shared.counters.exchanges_untaken.add();
                 Reply::Ready(Frame::error("ERR the client has left"))
             }
-            Ok(Command::Exchange(ask, cargo)) => {
-                let ends = at.saturating_add(ask.grace);
-                let cargo = Cargo { at, ends, client: Arc::downgrade(&self.here), upload, ..cargo };
-                let (xchg, answered) = self.front.shared.door.arrive(ask, cargo).await;
-                Reply::Waiting(xchg, answered)
+            Ok(Command::Request(ask, request)) => {
+                let deadline = received_at.saturating_add(ask.grace);
+                let request = ClientRequest {
+                    received_at,
+                    deadline,
+                    client_alive: Arc::downgrade(&self.alive),
+                    upload,
+                    ..request
+                };
+                let (request_id, answer) = self.frontend.shared.dispatcher.submit(ask, request).await;
+                Reply::Waiting(request_id, answer)
             }
             Ok(Command::Reply(reply)) => Reply::Ready(reply),
-            Ok(Command::Counters) => Reply::Ready(Frame::Bulk(self.front.shared.counters.to_string().into())),
+            Ok(Command::Counters) => {
+                Reply::Ready(Frame::Bulk(self.frontend.shared.counters.to_string().into()))
+            }
             Err(why) => {
-                self.front.shared.counters.bad_commands.add();
+                self.frontend.shared.counters.bad_commands.add();
                 tracing::debug!("client: {why}");
                 Reply::Ready(Frame::error(format!("ERR {why}")))
             }
@@ -435,27 +455,30 @@
 }
 
 /// Brings a piece to whoever takes the value; losing the race to something else loses nothing.
-async fn bring(source: &Option<long::Source>, piece: &Option<Bytes>) -> std::io::Result<()> {
-    match (source, piece) {
-        (Some(source), Some(piece)) => source.send(piece.clone()).await,
+async fn send_piece(sender: &Option<long::ValueSender>, piece: &Option<Bytes>) -> std::io::Result<()> {
+    match (sender, piece) {
+        (Some(sender), Some(piece)) => sender.send(piece.clone()).await,
         _ => Ok(()),
     }
 }
 
 /// Returns when a connection that has been idle since then is to make room.
-async fn spared(room: &Room, used: bool, since: Instant) {
+async fn eviction_requested(limit: &ConnectionLimit, used: bool, last_active: Instant) {
     if !used {
-        sleep_until(since + NEW).await;
-        return room.asked(Spare::Unused).await;
+        sleep_until(last_active + NEW_CONNECTION_WAIT).await;
+        return limit.eviction_requested(EvictionClass::Unused).await;
     }
-    if timeout_at(since + IDLE, room.asked(Spare::Lately)).await.is_err() {
-        room.asked(Spare::Idle).await;
+    if timeout_at(last_active + RECENT_ACTIVITY, limit.eviction_requested(EvictionClass::RecentlyActive))
+        .await
+        .is_err()
+    {
+        limit.eviction_requested(EvictionClass::Idle).await;
     }
 }
 
 /// Returns once the client has left: it closed its side, or the connection broke. What lies unread before that
 /// does not hide it, as word of the end alone is waited for.
-async fn left(stream: &TcpStream) {
+async fn disconnected(stream: &TcpStream) {
     let ready = stream.ready(Interest::PRIORITY).await;
     if ready.is_ok_and(|ready| !ready.is_read_closed()) {
         std::future::pending().await
@@ -463,49 +486,52 @@
 }
 
 /// Whether it has, as far as the runtime has heard.
-fn has_left(stream: &TcpStream) -> bool {
-    left(stream).now_or_never().is_some()
+fn is_disconnected(stream: &TcpStream) -> bool {
+    disconnected(stream).now_or_never().is_some()
 }
 
 /// The next part of what a client sends. None once it has left, which is all that is looked for if nothing more
 /// is to be read.
-async fn part(framed: &mut Framed<ClientStream, Parts>, more: bool) -> Option<std::io::Result<Part>> {
-    if !more {
-        left(framed.get_ref().tcp()).await;
+async fn next_part(
+    framed: &mut Framed<ClientStream, StreamingResp>,
+    read_more: bool,
+) -> Option<std::io::Result<FramePart>> {
+    if !read_more {
+        disconnected(framed.get_ref().tcp()).await;
         return None;
     }
     framed.next().await
 }
 
 /// The next command, which must be whole some time after its first byte. None once the client has left.
-async fn whole(
-    framed: &mut Framed<ClientStream, Parts>,
-    since: &mut Option<Instant>,
-    more: bool,
-) -> Option<std::io::Result<Part>> {
-    if !more {
-        return part(framed, more).await;
+async fn next_command(
+    framed: &mut Framed<ClientStream, StreamingResp>,
+    last_active: &mut Option<Instant>,
+    read_more: bool,
+) -> Option<std::io::Result<FramePart>> {
+    if !read_more {
+        return next_part(framed, read_more).await;
     }
     if framed.read_buffer().is_empty() {
-        if let Err(error) = framed.get_mut().something().await {
+        if let Err(error) = framed.get_mut().wait_readable().await {
             return Some(Err(error));
         }
     } else {
-        framed.get_mut().note_unread();
+        framed.get_mut().record_unread_since();
     }
-    let by = *since.get_or_insert_with(Instant::now) + READING;
-    let frame = timeout_at(by, framed.next()).await;
-    *since = None;
-    frame.unwrap_or_else(|_| Some(Err(bad("command without end"))))
+    let deadline = *last_active.get_or_insert_with(Instant::now) + CLIENT_IO_TIMEOUT;
+    let frame = timeout_at(deadline, framed.next()).await;
+    *last_active = None;
+    frame.unwrap_or_else(|_| Some(Err(invalid("command without end"))))
 }
 
 /// The reply that is due next; who gets it takes it off. Losing the race to something else loses nothing.
-async fn next(pending: &mut VecDeque<Pending>) -> Due {
+async fn next_reply(pending: &mut VecDeque<Pending>) -> OutgoingReply {
     let reply = match pending.front_mut().map(|pending| &mut pending.reply) {
         Some(Reply::Ready(reply)) => reply.clone(),
-        Some(Reply::Waiting(_, answered)) => match answered.await {
+        Some(Reply::Waiting(_, answer)) => match answer.await {
             Ok(Answer::Completed(Value::Whole(value))) => Frame::Bulk(value),
-            Ok(Answer::Completed(Value::Long(value))) => return Due::Long(value),
+            Ok(Answer::Completed(Value::Streamed(value))) => return OutgoingReply::Streamed(value),
             Ok(Answer::Shed(0)) => Frame::error("BUSY"),
             Ok(Answer::Shed(pause)) => Frame::error(format!("BUSY {}", pause.div_ceil(MILLIS))),
             Ok(Answer::Errored) => Frame::error("ERR failed"),
@@ -514,22 +540,22 @@
         },
         None => std::future::pending().await,
     };
-    Due::Frame(reply)
+    OutgoingReply::Frame(reply)
 }
 
 enum Command {
-    Exchange(Ask, Cargo),
+    Request(Ask, ClientRequest),
     Reply(Frame),
     Counters,
 }
 
 /// Whether these words want but the value of a write.
-fn writes(words: &[Frame]) -> bool {
+fn is_write(words: &[Frame]) -> bool {
     matches!(words, [Frame::Bulk(name), _, _, _] if name.eq_ignore_ascii_case(b"C.SET"))
 }
 
 /// Reads a client's command, or says in plain words what is wrong with it.
-fn read(frame: Frame, config: &Config, routes: &Routes) -> Result<Command, String> {
+fn parse_command(frame: Frame, config: &Config, routes: &Routes) -> Result<Command, String> {
     let Frame::Array(words) = frame else { return Err("expected a command".into()) };
     let word = |word: Frame| if let Frame::Bulk(word) = word { Some(word) } else { None };
     let words: Option<Vec<Bytes>> = words.into_iter().map(word).collect();
@@ -538,8 +564,10 @@
     let arity = || format!("wrong number of arguments for '{}'", String::from_utf8_lossy(name));
     let is = |word: &[u8]| name.eq_ignore_ascii_case(word);
     match rest {
-        [key, id, labels] if is(b"C.GET") => exchange(config, routes, key, id, labels, None),
-        [key, id, labels, value] if is(b"C.SET") => exchange(config, routes, key, id, labels, Some(value)),
+        [key, id, labels] if is(b"C.GET") => parse_request(config, routes, key, id, labels, None),
+        [key, id, labels, value] if is(b"C.SET") => {
+            parse_request(config, routes, key, id, labels, Some(value))
+        }
         [] if is(b"PING") => Ok(Command::Reply(Frame::simple("PONG"))),
         [text] if is(b"PING") => Ok(Command::Reply(Frame::Bulk(text.clone()))),
         _ if is(b"CLIENT") || is(b"SELECT") => Ok(Command::Reply(Frame::simple("OK"))),
@@ -549,7 +577,7 @@
     }
 }
 
-fn exchange(
+fn parse_request(
     config: &Config,
     routes: &Routes,
     key: &Bytes,
@@ -579,13 +607,22 @@
             _ => {}
         }
     }
-    let overall;
-    (ask.route, overall) = route.ok_or("label 'c': unknown or missing class")?;
-    ask.grace = grace.map_or(overall, |grace| grace.saturating_mul(MILLIS).min(overall));
+    let overall_timeout;
+    (ask.route, overall_timeout) = route.ok_or("label 'c': unknown or missing class")?;
+    ask.grace = grace.map_or(overall_timeout, |grace| grace.saturating_mul(MILLIS).min(overall_timeout));
     ask.key = Some(identity(&String::from_utf8_lossy(key)));
     let value = value.cloned().unwrap_or_default();
     let (key, id, labels) = (key.clone(), id.clone(), labels.clone());
-    let cargo =
-        Cargo { at: 0, ends: 0, client: Weak::new(), write: ask.write, key, id, labels, value, upload: None };
-    Ok(Command::Exchange(ask, cargo))
+    let request = ClientRequest {
+        received_at: 0,
+        deadline: 0,
+        client_alive: Weak::new(),
+        write: ask.write,
+        key,
+        id,
+        labels,
+        value,
+        upload: None,
+    };
+    Ok(Command::Request(ask, request))
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -4,7 +4,7 @@
 use crate::fleet::config::FleetConfig;
 use crate::long;
 use crate::operator::CALLERS;
-use crate::resp::LONGEST_BULK;
+use crate::resp::MAX_BULK_BYTES;
 use crate::sound::{key, sound};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_core::Settings;
@@ -27,8 +27,8 @@
 const DRAINING: Duration = Duration::from_millis(500);
 /// Half the memory is for clients' connections, a quarter for those to nodes: what each may hold at worst. A
 /// client's buffer grows by doubling to the longest frame. A node's holds one value and what goes with it.
-const CLIENT_BYTES: usize = 2 * LONGEST_BULK;
-const NODE_BYTES: usize = LONGEST_BULK + LONGEST_BULK / 4;
+const CLIENT_BYTES: usize = 2 * MAX_BULK_BYTES;
+const NODE_BYTES: usize = MAX_BULK_BYTES + MAX_BULK_BYTES / 4;
 /// Descriptors for all that is not a connection: the runtime, the listener, discovery, logs.
 const RESERVED: usize = 32;
 const FEWEST_SOCKETS: u64 = 2 * RESERVED as u64;
@@ -192,8 +192,8 @@
         clients,
         used: used.min(clients),
         upstream: (sockets - clients_part(sockets)).min(memory / 4 / NODE_BYTES),
-        ahead: memory / 8 / LONGEST_BULK,
-        long: memory / 8 / long::HELD,
+        ahead: memory / 8 / MAX_BULK_BYTES,
+        long: memory / 8 / long::MAX_BUFFERED_BYTES,
         known,
         longest_list: (memory / 8).min(LONGEST_LIST),
         json: json.clone(),
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counts of what the proxy takes in, sends and answers, since its start.
 
-use crate::memory::Memory;
+use crate::memory::MemoryUsage;
 use pumicebay_core::{GiveUp, Outcome, Status};
 use std::fmt::{Display, Formatter, Result};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -76,7 +76,7 @@
 
 impl Gauges {
     /// Takes what the decisions tell of themselves.
-    pub fn take(&self, status: &Status, resting: usize) {
+    pub fn update(&self, status: &Status, resting: usize) {
         let set = |gauge: &AtomicU64, value: usize| gauge.store(value as u64, Ordering::Relaxed);
         set(&self.caches_serving, status.serving);
         set(&self.caches_ejected, status.ejected);
@@ -89,19 +89,19 @@
     }
 
     /// The longest that one piece of work kept all others waiting.
-    pub fn turn(&self, took: Duration) {
-        self.longest_turn_us.fetch_max(took.as_micros() as u64, Ordering::Relaxed);
+    pub fn record_turn(&self, elapsed: Duration) {
+        self.longest_turn_us.fetch_max(elapsed.as_micros() as u64, Ordering::Relaxed);
     }
 
     /// The longest that a timer of the decisions rang after its time.
-    pub fn timer(&self, late: Duration) {
-        self.latest_timer_us.fetch_max(late.as_micros() as u64, Ordering::Relaxed);
+    pub fn record_timer_delay(&self, delay: Duration) {
+        self.latest_timer_us.fetch_max(delay.as_micros() as u64, Ordering::Relaxed);
     }
 }
 
 impl Display for Gauges {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
-        let named = [
+        let gauges = [
             ("caches_serving", &self.caches_serving),
             ("caches_ejected", &self.caches_ejected),
             ("requests_open", &self.requests_open),
@@ -113,10 +113,10 @@
             ("longest_turn_us", &self.longest_turn_us),
             ("latest_timer_us", &self.latest_timer_us),
         ];
-        for (name, gauge) in named {
+        for (name, gauge) in gauges {
             writeln!(f, "{name} {}", gauge.load(Ordering::Relaxed))?;
         }
-        let Some(Memory { resident_kb, peak_kb }) = Memory::now() else { return Ok(()) };
+        let Some(MemoryUsage { resident_kb, peak_kb }) = MemoryUsage::current() else { return Ok(()) };
         writeln!(f, "memory_resident_kb {resident_kb}\nmemory_peak_kb {peak_kb}")
     }
 }
@@ -138,7 +138,7 @@
 }
 
 impl Counters {
-    pub fn tried(&self, outcome: Outcome) {
+    pub fn count_attempt(&self, outcome: Outcome) {
         match outcome {
             Outcome::Completed => self.tries_completed.add(),
             Outcome::Missed => self.tries_missed.add(),
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -3,7 +3,7 @@
 use crate::discovery::entries::{ListText, entries};
 use crate::discovery::left::{self, LeftList};
 use crate::http::{Http, Request, Response};
-use crate::messages::{ListPart, Named};
+use crate::messages::{ListPart, ListedNode};
 use crate::shared::Shared;
 use crate::turns;
 use anyhow::{Context, Result, bail, ensure};
@@ -79,7 +79,7 @@
 
     /// The whole list as it is now, for a process that takes over from one that may have been told more than the
     /// configuration knows.
-    pub async fn first(&mut self) -> Result<Vec<Named>> {
+    pub async fn first(&mut self) -> Result<Vec<ListedNode>> {
         self.version = None;
         let body = self.call().await?;
         let list = self.read(&body)?;
@@ -90,7 +90,7 @@
     }
 
     /// What a process before this one was told last. Its version is not followed: discovery is asked anew.
-    pub fn left(&mut self, folder: Option<&Path>) -> Result<Vec<Named>> {
+    pub fn left(&mut self, folder: Option<&Path>) -> Result<Vec<ListedNode>> {
         let text = left::read(folder.context("no folder")?)?;
         let (_, whole, named) = entries(&text, &self.shared.config)?;
         ensure!(whole, "not a whole list");
@@ -114,7 +114,7 @@
     }
 
     /// Reads some entries of an answer.
-    fn part(&mut self, list: &ListText, range: Range<usize>) -> Vec<Named> {
+    fn part(&mut self, list: &ListText, range: Range<usize>) -> Vec<ListedNode> {
         let mut part = Vec::with_capacity(range.len());
         for at in range {
             let Some(named) = list.named(at, &self.shared.config) else { continue };
@@ -139,22 +139,22 @@
     async fn take(&mut self, body: &[u8]) -> Result<()> {
         let counters = self.shared.counters.clone();
         let what = || format!("reading a list of {} bytes", body.len());
-        let list = turns::noted(&counters, what, || self.read(body))?;
+        let list = turns::timed(&counters, what, || self.read(body))?;
         let (whole, entries) = (list.whole, list.entries.len());
         let mut from = 0;
         loop {
             let to = (from + PART).min(entries);
             let what = || format!("reading {} entries of the list", to - from);
-            let named = turns::noted(&counters, what, || self.part(&list, from..to));
-            let part = ListPart { named, whole, first: from == 0, last: to == entries };
-            self.shared.door.listed(part).await;
+            let named = turns::timed(&counters, what, || self.part(&list, from..to));
+            let part = ListPart { nodes: named, full: whole, first: from == 0, last: to == entries };
+            self.shared.dispatcher.nodes_listed(part).await;
             if to == entries {
                 break;
             }
             from = to;
             yield_now().await;
         }
-        turns::noted(&counters, || "leaving the list".into(), || self.leave(&list));
+        turns::timed(&counters, || "leaving the list".into(), || self.leave(&list));
         Ok(())
     }
 
@@ -189,7 +189,7 @@
                     if self.asked() {
                         // What the module said before, and was not waited for, is not about this failure.
                         while self.follow.try_recv().is_ok() {}
-                        self.shared.door.list_failed().await;
+                        self.shared.dispatcher.list_failed().await;
                     }
                 }
             }
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -45,14 +45,18 @@
 pub mod store;
 pub mod wire;
 
-use crate::desk::Desk;
+use crate::desk::ControlHandle;
 use crate::fleet::asker::Asker;
 use crate::fleet::me::Me;
 use tokio::task::JoinSet;
 
 /// Takes its part in the fleet: votes if it is to, and keeps links to the voters. Gives the way to ask them, and what has
 /// to run as long as it does. Nothing that fails here keeps a proxy from serving: what can't be opened is tried again.
-pub fn start(me: &Me, desk: Desk, probes: prober::Mailbox) -> (Asker, impl Future<Output = ()> + use<>) {
+pub fn start(
+    me: &Me,
+    desk: ControlHandle,
+    probes: prober::Mailbox,
+) -> (Asker, impl Future<Output = ()> + use<>) {
     let mut actors = JoinSet::new();
     let (door, mailbox) = door::door();
     let listens = me.config.listens(&me.who.name);
--- a/crates/proxy/src/fleet/prober.rs
+++ b/crates/proxy/src/fleet/prober.rs
@@ -16,12 +16,12 @@
 pub struct Prober(mpsc::Sender<Event>);
 
 impl Prober {
-    /// The decisions want the outcome of a probe; it comes by `Desk::told`. False where there is no room to ask.
+    /// The decisions want the outcome of a probe; it comes by `ControlHandle::probe_result`. False where there is no room to ask.
     pub fn wanted(&self, uid: &str) -> bool {
         self.0.try_send(Event::Wanted(uid.into())).is_ok()
     }
 
-    /// A probe that `Desk::probe` asked for has come to this.
+    /// A probe that `ControlHandle::probe` asked for has come to this.
     pub fn probed(&self, uid: &str, answered: bool) {
         let _ = self.0.try_send(Event::Probed(uid.into(), answered));
     }
--- a/crates/proxy/src/heir.rs
+++ b/crates/proxy/src/heir.rs
@@ -18,83 +18,87 @@
 use tokio::time::timeout;
 
 /// Its name has the version of the messages.
-const NAME: &str = "pumicebay-heir-1";
-const GREETING: &[u8] = b"pumicebay";
+const SOCKET_NAME: &str = "pumicebay-heir-1";
+const MAGIC: &[u8] = b"pumicebay";
 /// Of what was read and not used; a connection with more is served on where it is.
-const MOST_UNREAD: usize = 16 * 1024;
+const MAX_UNREAD: usize = 16 * 1024;
 /// How long the heir may take to make room for one more.
-const PASSING: Duration = Duration::from_millis(500);
+const PASS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// This process as an heir to the one before it, and as what the next one has to replace.
-pub struct Seat {
+pub struct TakeoverSocket {
     socket: UnixDatagram,
     path: PathBuf,
     inode: u64,
 }
 
 /// A connection that came over.
-pub struct Passed {
+pub struct PassedConnection {
     pub stream: TcpStream,
     pub unread: Vec<u8>,
     /// It has brought an exchange before.
     pub used: bool,
 }
 
-impl Seat {
+impl TakeoverSocket {
     /// Takes the place of the process before, from now on: whoever stops after this passes its connections here.
-    pub fn take(folder: &Path) -> Result<Seat> {
-        let own = folder.join(format!("{NAME}.{}", std::process::id()));
-        let _ = std::fs::remove_file(&own);
-        let socket = UnixDatagram::bind(&own)?;
-        let (path, inode) = (folder.join(NAME), std::fs::metadata(&own)?.ino());
-        std::fs::rename(&own, &path)?;
-        Ok(Seat { socket, path, inode })
+    pub fn bind(folder: &Path) -> Result<TakeoverSocket> {
+        let temporary = folder.join(format!("{SOCKET_NAME}.{}", std::process::id()));
+        let _ = std::fs::remove_file(&temporary);
+        let socket = UnixDatagram::bind(&temporary)?;
+        let (path, inode) = (folder.join(SOCKET_NAME), std::fs::metadata(&temporary)?.ino());
+        std::fs::rename(&temporary, &path)?;
+        Ok(TakeoverSocket { socket, path, inode })
     }
 
     /// Whether there is a process before this one, which still serves.
-    pub fn taken(folder: &Path) -> bool {
-        UnixDatagram::unbound().is_ok_and(|socket| socket.connect(folder.join(NAME)).is_ok())
+    pub fn predecessor_exists(folder: &Path) -> bool {
+        UnixDatagram::unbound().is_ok_and(|socket| socket.connect(folder.join(SOCKET_NAME)).is_ok())
     }
 
     /// The process that has taken this one's place since, if there is one and it lives.
-    pub fn heir(&self) -> Option<Heir> {
+    pub fn successor(&self) -> Option<Successor> {
         let other = std::fs::metadata(&self.path).ok()?.ino() != self.inode;
         let socket = UnixDatagram::unbound().ok()?;
-        (other && socket.connect(&self.path).is_ok()).then_some(Heir(socket))
+        (other && socket.connect(&self.path).is_ok()).then_some(Successor(socket))
     }
 
     /// The next connection that comes over; an error for a message that is none of ours.
-    pub async fn next(&self) -> Result<Passed> {
-        let (mut bytes, mut passed) = (vec![0; GREETING.len() + 1 + MOST_UNREAD], None);
+    pub async fn receive(&self) -> Result<PassedConnection> {
+        let (mut bytes, mut passed) = (vec![0; MAGIC.len() + 1 + MAX_UNREAD], None);
         let length = self.socket.async_io(Interest::READABLE, || {
             let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let mut parts = [IoSliceMut::new(&mut bytes)];
-            let came = recvmsg(&self.socket, &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+            let mut buffers = [IoSliceMut::new(&mut bytes)];
+            let received = recvmsg(&self.socket, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC)?;
             for message in control.drain() {
                 if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                     passed = descriptors.last();
                 }
             }
-            Ok(came.bytes)
+            Ok(received.bytes)
         });
         let length = length.await?;
-        let foreign = || Error::new(ErrorKind::InvalidData, "a message that is none of ours");
-        let rest = bytes[..length].strip_prefix(GREETING).ok_or_else(foreign)?;
-        let (&used, unread) = rest.split_first().ok_or_else(foreign)?;
-        let stream: std::net::TcpStream = OwnedFd::into(passed.ok_or_else(foreign)?);
+        let invalid = || Error::new(ErrorKind::InvalidData, "a message that is none of ours");
+        let rest = bytes[..length].strip_prefix(MAGIC).ok_or_else(invalid)?;
+        let (&used, unread) = rest.split_first().ok_or_else(invalid)?;
+        let stream: std::net::TcpStream = OwnedFd::into(passed.ok_or_else(invalid)?);
         stream.set_nonblocking(true)?;
-        Ok(Passed { stream: TcpStream::from_std(stream)?, unread: unread.to_vec(), used: used == 1 })
+        Ok(PassedConnection {
+            stream: TcpStream::from_std(stream)?,
+            unread: unread.to_vec(),
+            used: used == 1,
+        })
     }
 }
 
 /// The process that takes over.
-pub struct Heir(UnixDatagram);
+pub struct Successor(UnixDatagram);
 
-impl Heir {
+impl Successor {
     /// Passes a connection on which nothing is open. After an error it is still this process's own.
     pub async fn pass(&self, stream: &TcpStream, unread: &[u8], used: bool) -> Result<()> {
-        if unread.len() > MOST_UNREAD {
+        if unread.len() > MAX_UNREAD {
             return Err(Error::new(ErrorKind::InvalidInput, "too much unread"));
         }
         let used = [u8::from(used)];
@@ -103,10 +107,10 @@
             let mut control = SendAncillaryBuffer::new(&mut space);
             let descriptors = [stream.as_fd()];
             control.push(SendAncillaryMessage::ScmRights(&descriptors));
-            let parts = [IoSlice::new(GREETING), IoSlice::new(&used), IoSlice::new(unread)];
-            Ok(sendmsg(&self.0, &parts, &mut control, SendFlags::DONTWAIT | SendFlags::NOSIGNAL)?)
+            let buffers = [IoSlice::new(MAGIC), IoSlice::new(&used), IoSlice::new(unread)];
+            Ok(sendmsg(&self.0, &buffers, &mut control, SendFlags::DONTWAIT | SendFlags::NOSIGNAL)?)
         });
-        timeout(PASSING, sent).await??;
+        timeout(PASS_TIMEOUT, sent).await??;
         Ok(())
     }
 }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1: as the origin and discovery speak it, requests out and answers in; and as operators do, calls in and
 //! words out.
 
-use crate::resp::{LONGEST_VALUE, bad, piece};
+use crate::resp::{MAX_VALUE_BYTES, invalid, take_piece};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::io::{Error, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
@@ -88,7 +88,7 @@
 impl Parts {
     /// Holds bodies up to this length whole.
     pub fn new(longest: usize) -> Parts {
-        Parts { http: Http { longest, most: LONGEST_VALUE, head: None }, left: None }
+        Parts { http: Http { longest, most: MAX_VALUE_BYTES, head: None }, left: None }
     }
 }
 
@@ -99,7 +99,7 @@
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, Error> {
         if let Some(left) = &mut self.left {
             if *left > 0 {
-                return Ok(piece(buffer, left).map(Part::Piece));
+                return Ok(take_piece(buffer, left).map(Part::Piece));
             }
             self.left = None;
             return Ok(Some(Part::End));
@@ -168,7 +168,7 @@
                 Some(body) => body,
                 None => return Ok(None),
             },
-            Body::UntilEnd if buffer.len() > self.longest => return Err(bad("body too long")),
+            Body::UntilEnd if buffer.len() > self.longest => return Err(invalid("body too long")),
             _ => return Ok(None),
         };
         Ok(self.head.take().map(|(response, _)| Response { body, ..response }))
@@ -230,8 +230,8 @@
     let head = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(head)) if head <= LONGEST_CALL_HEAD => head,
         Ok(httparse::Status::Partial) if buffer.len() <= LONGEST_CALL_HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(bad("431 head too long")),
-        Err(_) => return Err(bad("400 malformed call")),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(invalid("431 head too long")),
+        Err(_) => return Err(invalid("400 malformed call")),
     };
     let (method, path) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
     let path = path.split('?').next().unwrap_or_default();
@@ -239,20 +239,20 @@
     let mut length = None;
     for header in parsed.headers.iter() {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(bad("411 a body needs its Content-Length"));
+            return Err(invalid("411 a body needs its Content-Length"));
         }
         if header.name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(header.value).unwrap_or_default().trim();
             let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
             if !digits || length.is_some() {
-                return Err(bad("400 invalid Content-Length"));
+                return Err(invalid("400 invalid Content-Length"));
             }
             length = Some(text.parse().unwrap_or(usize::MAX));
         }
     }
     let length = length.unwrap_or(0);
     if length > LONGEST_CALL_BODY {
-        return Err(bad("413 body too long"));
+        return Err(invalid("413 body too long"));
     }
     let _ = buffer.split_to(head);
     Ok(Some((call, length)))
@@ -276,9 +276,9 @@
 fn head(buffer: &mut BytesMut, most: usize) -> Result<Option<(Response, Body)>, Error> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let length = match parsed.parse(buffer).map_err(|_| bad("malformed answer"))? {
+    let length = match parsed.parse(buffer).map_err(|_| invalid("malformed answer"))? {
         httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if buffer.len() > LONGEST_HEAD => return Err(bad("head too long")),
+        httparse::Status::Partial if buffer.len() > LONGEST_HEAD => return Err(invalid("head too long")),
         httparse::Status::Partial => return Ok(None),
     };
     let mut response = Response { status: parsed.code.unwrap_or(0), ..Response::default() };
@@ -289,12 +289,12 @@
         let (name, text) = (header.name.to_ascii_lowercase(), String::from_utf8_lossy(header.value));
         match name.as_str() {
             "content-length" if !empty => {
-                let length = text.trim().parse().map_err(|_| bad("invalid Content-Length"))?;
+                let length = text.trim().parse().map_err(|_| invalid("invalid Content-Length"))?;
                 if matches!(body, Body::Length(other) if other != length) {
-                    return Err(bad("two values of Content-Length"));
+                    return Err(invalid("two values of Content-Length"));
                 }
                 if length > most {
-                    return Err(bad("body too long"));
+                    return Err(invalid("body too long"));
                 }
                 if !matches!(body, Body::Chunks) {
                     body = Body::Length(length);
@@ -315,11 +315,11 @@
 fn chunks(buffer: &mut BytesMut, longest: usize) -> Result<Option<Bytes>, Error> {
     let (mut at, mut body) = (0, BytesMut::new());
     loop {
-        let size = httparse::parse_chunk_size(&buffer[at..]).map_err(|_| bad("malformed chunk"))?;
+        let size = httparse::parse_chunk_size(&buffer[at..]).map_err(|_| invalid("malformed chunk"))?;
         let httparse::Status::Complete((head, size)) = size else { return Ok(None) };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
         if size > longest || body.len() + size > longest {
-            return Err(bad("body too long"));
+            return Err(invalid("body too long"));
         }
         at += head;
         if size == 0 {
@@ -330,7 +330,7 @@
         }
         let Some(chunk) = buffer.get(at..at + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
-            return Err(bad("chunk without end"));
+            return Err(invalid("chunk without end"));
         }
         body.put(&chunk[..size]);
         at += size + 2;
@@ -346,7 +346,7 @@
             return Ok(Some(at));
         }
     }
-    if rest.len() > LONGEST_HEAD { Err(bad("trailers too long")) } else { Ok(None) }
+    if rest.len() > LONGEST_HEAD { Err(invalid("trailers too long")) } else { Ok(None) }
 }
 
 /// A path with one segment, whatever bytes that holds.
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,6 +1,6 @@
 //! What the parts of a proxy tell the decisions, and the handle by which they do.
 
-use crate::desk::{Desk, Order};
+use crate::desk::{ControlCommand, ControlHandle};
 use crate::long::{Upload, Value};
 use bytes::Bytes;
 use pumicebay_core::{Ask, Held, Listed, Nanos, Node, Outcome, RequestId};
@@ -9,18 +9,18 @@
 use std::sync::{Arc, Weak};
 use tokio::sync::{mpsc, oneshot};
 
-const MAILBOX: usize = 4096;
-const ORDERS: usize = 64;
+const EVENT_QUEUE: usize = 4096;
+const COMMAND_QUEUE: usize = 64;
 
 /// An exchange as it goes on to nodes; the value of a write is kept until its answer, no other.
 #[derive(Debug)]
-pub struct Cargo {
+pub struct ClientRequest {
     /// When its last byte came.
-    pub at: Nanos,
+    pub received_at: Nanos,
     /// Until when its client waits.
-    pub ends: Nanos,
+    pub deadline: Nanos,
     /// Its client's connection, as long as it is there: tells of its end before the module hears of it.
-    pub client: Weak<()>,
+    pub client_alive: Weak<()>,
     pub write: bool,
     pub key: Bytes,
     pub id: Bytes,
@@ -31,9 +31,9 @@
     pub upload: Option<Box<Upload>>,
 }
 
-impl Cargo {
-    pub fn client_has_left(&self) -> bool {
-        self.client.strong_count() == 0
+impl ClientRequest {
+    pub fn client_disconnected(&self) -> bool {
+        self.client_alive.strong_count() == 0
     }
 }
 
@@ -49,7 +49,7 @@
 
 /// A node as discovery names it.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct ListedNode {
     pub uid: Arc<str>,
     pub address: SocketAddr,
     pub listed: Listed,
@@ -58,45 +58,45 @@
 /// Some entries of a list or of changes, in their order.
 #[derive(Clone, Debug)]
 pub struct ListPart {
-    pub named: Vec<Named>,
+    pub nodes: Vec<ListedNode>,
     /// All nodes there are, once its last part has come.
-    pub whole: bool,
+    pub full: bool,
     pub first: bool,
     pub last: bool,
 }
 
 /// What came back for a try or a probe.
 #[derive(Debug)]
-pub struct Back {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub value: Value,
     pub held: Option<Held>,
 }
 
-impl From<Outcome> for Back {
-    fn from(outcome: Outcome) -> Back {
-        Back { outcome, value: Bytes::new().into(), held: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, value: Bytes::new().into(), held: None }
     }
 }
 
 pub enum Event {
-    Arrived(RequestId, Ask, Arc<Cargo>, oneshot::Sender<Answer>),
-    Dropped(RequestId),
-    Ended(RequestId, usize, Node, Back),
-    Probed(Node, Back),
-    Listed(ListPart),
+    RequestReceived(RequestId, Ask, Arc<ClientRequest>, oneshot::Sender<Answer>),
+    ClientDisconnected(RequestId),
+    AttemptEnded(RequestId, usize, Node, AttemptResult),
+    ProbeEnded(Node, AttemptResult),
+    NodesListed(ListPart),
     ListFailed,
 }
 
 impl Event {
     /// For the log.
-    pub fn about(&self) -> &'static str {
+    pub fn description(&self) -> &'static str {
         match self {
-            Event::Arrived(..) => "a request that arrived",
-            Event::Dropped(..) => "a client that left",
-            Event::Ended(..) => "an attempt that ended",
-            Event::Probed(..) => "a probe that ended",
-            Event::Listed(..) => "entries of the list",
+            Event::RequestReceived(..) => "a request that arrived",
+            Event::ClientDisconnected(..) => "a client that left",
+            Event::AttemptEnded(..) => "an attempt that ended",
+            Event::ProbeEnded(..) => "a probe that ended",
+            Event::NodesListed(..) => "entries of the list",
             Event::ListFailed => "a list that did not come",
         }
     }
@@ -104,50 +104,61 @@
 
 /// The way to the module for all other actors.
 #[derive(Clone)]
-pub struct Door {
-    mailbox: mpsc::Sender<Event>,
-    last: Arc<AtomicU64>,
+pub struct DispatcherHandle {
+    events: mpsc::Sender<Event>,
+    last_request_id: Arc<AtomicU64>,
 }
 
-impl Door {
-    async fn post(&self, event: Event) {
+impl DispatcherHandle {
+    async fn send(&self, event: Event) {
         // The module ends only with the process.
-        let _ = self.mailbox.send(event).await;
+        let _ = self.events.send(event).await;
     }
 
     /// Takes an exchange; its final answer comes by the channel.
-    pub async fn arrive(&self, ask: Ask, cargo: Cargo) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub async fn submit(&self, ask: Ask, request: ClientRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, answered) = oneshot::channel();
-        let xchg = self.last.fetch_add(1, Ordering::Relaxed) + 1;
-        self.post(Event::Arrived(xchg, ask, Arc::new(cargo), answer)).await;
-        (xchg, answered)
+        let request_id = self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1;
+        self.send(Event::RequestReceived(request_id, ask, Arc::new(request), answer)).await;
+        (request_id, answered)
     }
 
-    pub async fn dropped(&self, xchg: RequestId) {
-        self.post(Event::Dropped(xchg)).await;
+    pub async fn client_disconnected(&self, request_id: RequestId) {
+        self.send(Event::ClientDisconnected(request_id)).await;
     }
 
-    pub async fn ended(&self, xchg: RequestId, try_no: usize, node: Node, back: Back) {
-        self.post(Event::Ended(xchg, try_no, node, back)).await;
+    pub async fn attempt_ended(
+        &self,
+        request_id: RequestId,
+        attempt: usize,
+        node: Node,
+        result: AttemptResult,
+    ) {
+        self.send(Event::AttemptEnded(request_id, attempt, node, result)).await;
     }
 
-    pub async fn probed(&self, node: Node, back: Back) {
-        self.post(Event::Probed(node, back)).await;
+    pub async fn probe_ended(&self, node: Node, result: AttemptResult) {
+        self.send(Event::ProbeEnded(node, result)).await;
     }
 
-    pub async fn listed(&self, part: ListPart) {
-        self.post(Event::Listed(part)).await;
+    pub async fn nodes_listed(&self, part: ListPart) {
+        self.send(Event::NodesListed(part)).await;
     }
 
     pub async fn list_failed(&self) {
-        self.post(Event::ListFailed).await;
+        self.send(Event::ListFailed).await;
     }
 }
 
 /// The module's mailboxes.
-pub struct Mailbox(pub mpsc::Receiver<Event>, pub mpsc::Receiver<Order>);
-
-pub fn door() -> (Door, Desk, Mailbox) {
-    let ((mailbox, events), (orders, ordered)) = (mpsc::channel(MAILBOX), mpsc::channel(ORDERS));
-    (Door { mailbox, last: Arc::default() }, Desk(orders), Mailbox(events, ordered))
+pub struct Mailbox(pub mpsc::Receiver<Event>, pub mpsc::Receiver<ControlCommand>);
+
+pub fn channels() -> (DispatcherHandle, ControlHandle, Mailbox) {
+    let ((events, event_queue), (commands, command_queue)) =
+        (mpsc::channel(EVENT_QUEUE), mpsc::channel(COMMAND_QUEUE));
+    (
+        DispatcherHandle { events, last_request_id: Arc::default() },
+        ControlHandle(commands),
+        Mailbox(event_queue, command_queue),
+    )
 }
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -1,12 +1,12 @@
 //! The module actor: the decisions, their mailbox, and the host that carries out what they ask for.
 //! Nothing here waits for anyone.
 
-use crate::desk::{Order, PROBE, Whose};
+use crate::desk::{ControlCommand, NodeKind, PROBE_TIMEOUT};
 use crate::fleet::prober::Prober;
 use crate::line_budget::LineBudget;
 use crate::long::Value;
-use crate::memory::MemoryWatch;
-use crate::messages::{Answer, Back, Cargo, Event, ListPart, Mailbox, Named};
+use crate::memory::MemoryMonitor;
+use crate::messages::{Answer, AttemptResult, ClientRequest, Event, ListPart, ListedNode, Mailbox};
 use crate::nodes::{Known, Nodes};
 use crate::phases::Phase;
 use crate::shared::Shared;
@@ -25,28 +25,28 @@
 use tokio_util::sync::CancellationToken;
 
 /// As long as it takes to notice that no timer is set.
-const FAR: Nanos = 1_000_000_000;
+const IDLE_WAKE_INTERVAL: Nanos = 1_000_000_000;
 /// How often it is looked how much memory is in use.
-const MEMORY_EVERY: Nanos = 1_000_000_000;
+const MEMORY_CHECK_INTERVAL: Nanos = 1_000_000_000;
 
-pub struct Module {
-    balance: Balance<Acts>,
+pub struct Dispatcher {
+    balance: Balance<DispatcherHost>,
     mailbox: Mailbox,
-    memory: MemoryWatch,
-    memory_due: Nanos,
+    memory_monitor: MemoryMonitor,
+    memory_check_at: Nanos,
     /// The nodes of a whole list as far as it has come.
-    whole: Vec<Node>,
+    full_list: Vec<Node>,
 }
 
 /// Carries out what the decisions ask for.
-struct Acts {
+struct DispatcherHost {
     shared: Shared,
     follow: mpsc::Sender<()>,
     nodes: Nodes,
-    lines: LineBudget,
-    open: HashMap<RequestId, Open>,
+    log_budget: LineBudget,
+    open_requests: HashMap<RequestId, OpenRequest>,
     /// The ids of the exchanges that await their answers.
-    ids: HashSet<Bytes>,
+    open_ids: HashSet<Bytes>,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
     /// Tries that could not be sent, and probes, to be reported once the decisions have returned.
     unsent: Vec<(RequestId, usize, Node)>,
@@ -55,55 +55,55 @@
     prober: Option<Prober>,
 }
 
-struct Open {
-    cargo: Arc<Cargo>,
+struct OpenRequest {
+    request: Arc<ClientRequest>,
     /// Taken with the final answer.
     answer: Option<oneshot::Sender<Answer>>,
-    tries: usize,
+    attempts: usize,
     /// Takes back the last try, as long as its last byte isn't sent.
     recall: CancellationToken,
 }
 
-impl Module {
-    pub fn new(shared: Shared, settings: Settings, follow: mpsc::Sender<()>, mailbox: Mailbox) -> Module {
+impl Dispatcher {
+    pub fn new(shared: Shared, settings: Settings, follow: mpsc::Sender<()>, mailbox: Mailbox) -> Dispatcher {
         let (clock, config) = (shared.clock, shared.config.clone());
-        let acts = Acts {
+        let host = DispatcherHost {
             shared,
             follow,
             nodes: Nodes::default(),
-            lines: LineBudget::default(),
-            open: HashMap::new(),
-            ids: HashSet::new(),
+            log_budget: LineBudget::default(),
+            open_requests: HashMap::new(),
+            open_ids: HashSet::new(),
             timers: BinaryHeap::new(),
             unsent: Vec::new(),
             unprobed: Vec::new(),
             prober: None,
         };
-        let balance = Balance::new(acts, settings, config.seed, clock.now());
-        let memory = MemoryWatch::new(config.memory_kb);
-        Module { balance, mailbox, memory, memory_due: 0, whole: Vec::new() }
+        let balance = Balance::new(host, settings, config.seed, clock.now());
+        let memory_monitor = MemoryMonitor::new(config.memory_kb);
+        Dispatcher { balance, mailbox, memory_monitor, memory_check_at: 0, full_list: Vec::new() }
     }
 
     /// From here on the fleet decides who probes.
-    pub fn probes_by(&mut self, prober: Prober) {
+    pub fn use_prober(&mut self, prober: Prober) {
         self.balance.host.prober = Some(prober);
     }
 
     pub async fn run(mut self) {
         loop {
-            let acts = &self.balance.host;
-            let now = acts.shared.clock.now();
-            let due = acts.timers.peek().map_or(now + FAR, |Reverse((at, _))| *at);
-            let wake = acts.shared.clock.instant(due);
+            let host = &self.balance.host;
+            let now = host.shared.clock.now();
+            let due = host.timers.peek().map_or(now + IDLE_WAKE_INTERVAL, |Reverse((at, _))| *at);
+            let wake = host.shared.clock.instant(due);
             tokio::select! {
                 biased;
-                Some(order) = self.mailbox.1.recv() => self.obey(order),
-                () = sleep_until(wake) => self.wake(),
+                Some(command) = self.mailbox.1.recv() => self.handle_command(command),
+                () = sleep_until(wake) => self.run_timers(),
                 event = self.mailbox.0.recv() => match event {
                     Some(event) => {
                         let counters = self.balance.host.shared.counters.clone();
-                        let about = event.about();
-                        turns::noted(&counters, || about.to_string(), || self.handle(event));
+                        let description = event.description();
+                        turns::timed(&counters, || description.to_string(), || self.handle_event(event));
                     }
                     None => return,
                 },
@@ -112,49 +112,49 @@
         }
     }
 
-    fn wake(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.balance.host.shared.clock.now();
         let counters = self.balance.host.shared.counters.clone();
-        while let Some(Reverse((at, token))) = self.balance.host.due(now) {
-            turns::timer(&counters, Duration::from_nanos(now.saturating_sub(at)));
+        while let Some(Reverse((at, token))) = self.balance.host.pop_due_timer(now) {
+            turns::timer_fired(&counters, Duration::from_nanos(now.saturating_sub(at)));
             self.balance.woke(now, token);
         }
         let resting = self.balance.host.shared.upstream.count();
-        counters.gauges.take(&self.balance.status(), resting);
-        self.balance.host.lines.report_at(now);
-        if self.memory_due <= now {
-            self.memory_due = now + MEMORY_EVERY;
-            self.memory.look();
+        counters.gauges.update(&self.balance.status(), resting);
+        self.balance.host.log_budget.report_at(now);
+        if self.memory_check_at <= now {
+            self.memory_check_at = now + MEMORY_CHECK_INTERVAL;
+            self.memory_monitor.check();
         }
     }
 
-    fn obey(&mut self, order: Order) {
+    fn handle_command(&mut self, command: ControlCommand) {
         let now = self.balance.host.shared.clock.now();
-        match order {
-            Order::Whose(uid, answer) => {
-                let acts = &self.balance.host;
-                let known = acts.nodes.find(&uid).and_then(|node| acts.nodes.get(node));
-                let whose = |known: &Known| if known.origin { Whose::Origin } else { Whose::Cache };
-                let _ = answer.send(known.map_or(Whose::Nobody, whose));
+        match command {
+            ControlCommand::LookUp(uid, answer) => {
+                let host = &self.balance.host;
+                let known = host.nodes.find(&uid).and_then(|node| host.nodes.get(node));
+                let kind = |known: &Known| if known.origin { NodeKind::Origin } else { NodeKind::Cache };
+                let _ = answer.send(known.map_or(NodeKind::Unknown, kind));
             }
-            Order::Maintained(uid, out, done) => {
-                self.maintained(now, &uid, out);
+            ControlCommand::SetMaintenance(uid, out_of_service, done) => {
+                self.set_maintenance(now, &uid, out_of_service);
                 let _ = done.send(());
             }
-            Order::Probe(uid) => {
-                let acts = &mut self.balance.host;
-                let sent = acts.nodes.find(&uid).is_some_and(|node| acts.send_probe(node));
-                if let Some(prober) = acts.prober.as_ref().filter(|_| !sent) {
+            ControlCommand::Probe(uid) => {
+                let host = &mut self.balance.host;
+                let sent = host.nodes.find(&uid).is_some_and(|node| host.send_probe(node));
+                if let Some(prober) = host.prober.as_ref().filter(|_| !sent) {
                     prober.probed(&uid, false);
                 }
             }
-            Order::Told(uid, answered) => {
+            ControlCommand::ProbeResult(uid, answered) => {
                 if let Some(node) = self.balance.host.nodes.find(&uid) {
                     let outcome = if answered { Outcome::Completed } else { Outcome::Unreachable };
                     self.balance.probed(node, outcome);
                 }
             }
-            Order::Retuned(settings, done) => {
+            ControlCommand::ApplySettings(settings, done) => {
                 self.balance.retuned(now, &settings);
                 let _ = done.send(());
             }
@@ -162,65 +162,76 @@
     }
 
     /// Takes a node out of service or puts it back, known or not.
-    pub fn maintained(&mut self, now: Nanos, uid: &str, out: bool) {
-        tracing::info!("maintenance: {uid} {}", if out { "out" } else { "back" });
-        self.balance.maintained(now, identity(uid), out);
+    pub fn set_maintenance(&mut self, now: Nanos, uid: &str, out_of_service: bool) {
+        tracing::info!("maintenance: {uid} {}", if out_of_service { "out" } else { "back" });
+        self.balance.maintained(now, identity(uid), out_of_service);
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.balance.host.shared.clock.now();
         match event {
             // Nodes tell exchanges apart by their ids: of two with one id either might get the other's value.
-            Event::Arrived(_, _, cargo, answer) if self.balance.host.ids.contains(&cargo.id) => {
+            Event::RequestReceived(_, _, request, answer)
+                if self.balance.host.open_ids.contains(&request.id) =>
+            {
                 self.balance.host.shared.counters.exchanges_rejected.add();
                 let _ = answer.send(Answer::Rejected(Bytes::from_static(b"ERR id of an open request")));
             }
-            Event::Arrived(xchg, ask, cargo, answer) => {
+            Event::RequestReceived(request_id, ask, request, answer) => {
                 // What its client has left is reckoned once, from when its last byte came.
-                let grace = cargo.ends.saturating_sub(now);
-                self.balance.host.ids.insert(cargo.id.clone());
+                let grace = request.deadline.saturating_sub(now);
+                self.balance.host.open_ids.insert(request.id.clone());
                 self.balance.host.shared.counters.exchanges_taken.add();
                 let recall = CancellationToken::new();
-                let open = Open { cargo, answer: Some(answer), tries: 0, recall };
-                self.balance.host.open.insert(xchg, open);
-                self.balance.arrived(now, xchg, Ask { grace, ..ask });
+                let open = OpenRequest { request, answer: Some(answer), attempts: 0, recall };
+                self.balance.host.open_requests.insert(request_id, open);
+                self.balance.arrived(now, request_id, Ask { grace, ..ask });
             }
-            Event::Dropped(xchg) => {
-                if self.balance.host.take_answer(xchg).is_some() {
+            Event::ClientDisconnected(request_id) => {
+                if self.balance.host.take_answer(request_id).is_some() {
                     self.balance.host.shared.counters.exchanges_dropped.add();
-                    self.balance.dropped(now, xchg);
+                    self.balance.dropped(now, request_id);
                 }
             }
-            Event::Ended(xchg, try_no, node, back) => self.ended(now, xchg, try_no, node, back),
-            Event::Probed(node, back) => {
-                if back.outcome != Outcome::Completed {
+            Event::AttemptEnded(request_id, attempt_number, node, result) => {
+                self.attempt_ended(now, request_id, attempt_number, node, result)
+            }
+            Event::ProbeEnded(node, result) => {
+                if result.outcome != Outcome::Completed {
                     self.balance.host.shared.counters.probes_failed.add();
                 }
-                self.reported(now, node, back.held);
-                let acts = &self.balance.host;
-                match (&acts.prober, acts.nodes.get(node)) {
+                self.record_load(now, node, result.held);
+                let host = &self.balance.host;
+                match (&host.prober, host.nodes.get(node)) {
                     // It tells this process too, where its decisions asked.
                     (Some(prober), Some(known)) => {
-                        prober.probed(&known.uid, back.outcome == Outcome::Completed)
+                        prober.probed(&known.uid, result.outcome == Outcome::Completed)
                     }
-                    _ => self.balance.probed(node, back.outcome),
+                    _ => self.balance.probed(node, result.outcome),
                 }
             }
-            Event::Listed(part) => self.listed_part(part),
+            Event::NodesListed(part) => self.apply_list_part(part),
             Event::ListFailed => self.balance.list_failed(now),
         }
     }
 
-    fn ended(&mut self, now: Nanos, xchg: RequestId, try_no: usize, node: Node, back: Back) {
-        let acts = &mut self.balance.host;
-        let counters = acts.shared.counters.clone();
-        counters.tried(back.outcome);
-        if let Some(open) = acts.open.get(&xchg) {
-            let (id, outcome) = (String::from_utf8_lossy(&open.cargo.id), back.outcome);
-            tracing::debug!("request {id}: attempt {try_no} at node {node} ended: {outcome:?}");
+    fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        request_id: RequestId,
+        attempt_number: usize,
+        node: Node,
+        result: AttemptResult,
+    ) {
+        let host = &mut self.balance.host;
+        let counters = host.shared.counters.clone();
+        counters.count_attempt(result.outcome);
+        if let Some(open) = host.open_requests.get(&request_id) {
+            let (id, outcome) = (String::from_utf8_lossy(&open.request.id), result.outcome);
+            tracing::debug!("request {id}: attempt {attempt_number} at node {node} ended: {outcome:?}");
         }
         // What the node says to the client itself is passed on.
-        let answer = match (back.outcome, back.value) {
+        let answer = match (result.outcome, result.value) {
             (Outcome::Completed, value) => Some((&counters.exchanges_completed, Answer::Completed(value))),
             (Outcome::Rejected, Value::Whole(why)) => {
                 Some((&counters.exchanges_rejected, Answer::Rejected(why)))
@@ -228,49 +239,49 @@
             _ => None,
         };
         if let Some((counter, answer)) = answer
-            && let Some(client) = acts.take_answer(xchg)
+            && let Some(client) = host.take_answer(request_id)
         {
             counter.add();
             let _ = client.send(answer);
         }
-        let over = acts.open.get(&xchg).is_none_or(|open| open.answer.is_none());
-        self.reported(now, node, back.held);
-        self.balance.ended(now, xchg, try_no, back.outcome, over);
+        let answered = host.open_requests.get(&request_id).is_none_or(|open| open.answer.is_none());
+        self.record_load(now, node, result.held);
+        self.balance.ended(now, request_id, attempt_number, result.outcome, answered);
     }
 
-    fn reported(&mut self, now: Nanos, node: Node, held: Option<Held>) {
+    fn record_load(&mut self, now: Nanos, node: Node, held: Option<Held>) {
         if let Some(held) = held {
             self.balance.reported(now, node, held);
         }
     }
 
     /// Takes in a whole list, or changes to it.
-    pub fn listed(&mut self, whole: bool, named: Vec<Named>) {
-        self.listed_part(ListPart { named, whole, first: true, last: true });
+    pub fn apply_list(&mut self, full: bool, nodes: Vec<ListedNode>) {
+        self.apply_list_part(ListPart { nodes, full, first: true, last: true });
     }
 
     /// Takes in some entries of a list. What a whole one does not name is gone once its last part has come.
-    fn listed_part(&mut self, part: ListPart) {
+    fn apply_list_part(&mut self, part: ListPart) {
         let now = self.balance.host.shared.clock.now();
         if part.first {
-            self.whole.clear();
+            self.full_list.clear();
         }
-        for named in part.named {
-            let Some(node) = self.balance.host.node(&named) else { continue };
-            self.balance.listed(now, node, named.listed);
-            self.whole.extend(part.whole.then_some(node));
+        for listed_node in part.nodes {
+            let Some(node) = self.balance.host.node_number(&listed_node) else { continue };
+            self.balance.listed(now, node, listed_node.listed);
+            self.full_list.extend(part.full.then_some(node));
         }
-        if part.whole && part.last {
-            let nodes = std::mem::take(&mut self.whole);
+        if part.full && part.last {
+            let nodes = std::mem::take(&mut self.full_list);
             self.balance.listed_all(&nodes);
         }
     }
 
     /// Ends what the decisions asked for in vain, until they ask for nothing more.
     fn report_unsent(&mut self) {
-        while let Some((xchg, try_no, node)) = self.balance.host.unsent.pop() {
+        while let Some((request_id, attempt_number, node)) = self.balance.host.unsent.pop() {
             let now = self.balance.host.shared.clock.now();
-            self.ended(now, xchg, try_no, node, Outcome::Unsent.into());
+            self.attempt_ended(now, request_id, attempt_number, node, Outcome::Unsent.into());
         }
         while let Some(node) = self.balance.host.unprobed.pop() {
             self.balance.probed(node, Outcome::Unsent);
@@ -278,22 +289,22 @@
     }
 }
 
-impl Acts {
-    fn due(&mut self, now: Nanos) -> Option<Reverse<(Nanos, u64)>> {
+impl DispatcherHost {
+    fn pop_due_timer(&mut self, now: Nanos) -> Option<Reverse<(Nanos, u64)>> {
         let due = self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now);
         if due { self.timers.pop() } else { None }
     }
 
-    fn take_answer(&mut self, xchg: RequestId) -> Option<oneshot::Sender<Answer>> {
-        let open = self.open.get_mut(&xchg)?;
+    fn take_answer(&mut self, request_id: RequestId) -> Option<oneshot::Sender<Answer>> {
+        let open = self.open_requests.get_mut(&request_id)?;
         let answer = open.answer.take()?;
-        self.ids.remove(&open.cargo.id);
+        self.open_ids.remove(&open.request.id);
         Some(answer)
     }
 
     /// A line about nodes, which come in thousands.
     fn log_node(&mut self, line: impl std::fmt::Display) {
-        if self.lines.allows(self.shared.clock.now()) {
+        if self.log_budget.allows(self.shared.clock.now()) {
             tracing::info!("{line}");
         } else {
             tracing::debug!("{line}");
@@ -301,11 +312,11 @@
     }
 
     /// The number of a node, a new one where it is not known yet. None for one that left before it was known.
-    fn node(&mut self, named: &Named) -> Option<Node> {
-        let (node, new) = self.nodes.number(named)?;
+    fn node_number(&mut self, listed_node: &ListedNode) -> Option<Node> {
+        let (node, new) = self.nodes.number(listed_node)?;
         if new {
             self.shared.counters.nodes_known.add();
-            let logged = self.lines.allows(self.shared.clock.now());
+            let logged = self.log_budget.allows(self.shared.clock.now());
             if let Some(known) = self.nodes.get_mut(node).filter(|_| logged) {
                 known.log(node);
             }
@@ -314,7 +325,7 @@
     }
 
     fn send_probe(&mut self, node: Node) -> bool {
-        let sent = self.begin(node, Errand::Probe { until: Instant::now() + PROBE });
+        let sent = self.start_attempt(node, Errand::Probe { until: Instant::now() + PROBE_TIMEOUT });
         if sent {
             self.shared.counters.probes_sent.add();
         }
@@ -322,7 +333,7 @@
     }
 
     /// Begins it, unless the node is known no more.
-    fn begin(&mut self, node: Node, errand: Errand) -> bool {
+    fn start_attempt(&mut self, node: Node, errand: Errand) -> bool {
         let Some(known) = self.nodes.get_mut(node) else { return false };
         if !known.logged {
             known.log(node);
@@ -333,49 +344,51 @@
     }
 }
 
-impl Host for Acts {
-    fn send(&mut self, xchg: RequestId, node: Node, timeout: Nanos) {
+impl Host for DispatcherHost {
+    fn send(&mut self, request_id: RequestId, node: Node, timeout: Nanos) {
         let until = self.shared.clock.instant(self.shared.clock.now() + timeout);
-        let Some(open) = self.open.get_mut(&xchg) else { return };
-        let try_no = open.tries;
-        open.tries += 1;
+        let Some(open) = self.open_requests.get_mut(&request_id) else { return };
+        let attempt_number = open.attempts;
+        open.attempts += 1;
         if open.recall.is_cancelled() {
             open.recall = CancellationToken::new();
         }
-        let (cargo, recall) = (open.cargo.clone(), open.recall.clone());
-        let errand = Errand::Try { xchg, try_no, cargo, until, recall };
+        let (request, recall) = (open.request.clone(), open.recall.clone());
+        let errand = Errand::Try { xchg: request_id, try_no: attempt_number, cargo: request, until, recall };
         // Once the proxy leaves, nothing is sent any more.
-        if self.shared.watch.now() >= Phase::Leaving || !self.begin(node, errand) {
-            self.unsent.push((xchg, try_no, node));
+        if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, errand) {
+            self.unsent.push((request_id, attempt_number, node));
         } else {
             self.shared.counters.tries_sent.add();
-            if let Some(open) = self.open.get(&xchg) {
-                let id = String::from_utf8_lossy(&open.cargo.id);
-                tracing::debug!("request {id}: attempt {try_no} to node {node}, {timeout} ns at most");
+            if let Some(open) = self.open_requests.get(&request_id) {
+                let id = String::from_utf8_lossy(&open.request.id);
+                tracing::debug!(
+                    "request {id}: attempt {attempt_number} to node {node}, {timeout} ns at most"
+                );
             }
         }
     }
 
-    fn recall(&mut self, xchg: RequestId) {
-        self.open.get(&xchg).into_iter().for_each(|open| open.recall.cancel());
+    fn recall(&mut self, request_id: RequestId) {
+        self.open_requests.get(&request_id).into_iter().for_each(|open| open.recall.cancel());
     }
 
-    fn shed(&mut self, xchg: RequestId, pause: Nanos) {
-        if let Some(answer) = self.take_answer(xchg) {
+    fn shed(&mut self, request_id: RequestId, pause: Nanos) {
+        if let Some(answer) = self.take_answer(request_id) {
             self.shared.counters.exchanges_shed.add();
             let _ = answer.send(Answer::Shed(pause));
         }
     }
 
-    fn error(&mut self, xchg: RequestId) {
-        if let Some(answer) = self.take_answer(xchg) {
+    fn error(&mut self, request_id: RequestId) {
+        if let Some(answer) = self.take_answer(request_id) {
             self.shared.counters.exchanges_errored.add();
             let _ = answer.send(Answer::Errored);
         }
     }
 
-    fn forget(&mut self, xchg: RequestId) {
-        self.open.remove(&xchg);
+    fn forget(&mut self, request_id: RequestId) {
+        self.open_requests.remove(&request_id);
     }
 
     fn wake(&mut self, at: Nanos, token: u64) {
@@ -383,11 +396,11 @@
     }
 
     fn probe(&mut self, node: Node) {
-        let asked = match (&self.prober, self.nodes.get(node)) {
+        let sent = match (&self.prober, self.nodes.get(node)) {
             (Some(prober), Some(known)) => prober.wanted(&known.uid),
             _ => self.send_probe(node),
         };
-        if !asked {
+        if !sent {
             self.unprobed.push(node);
         }
     }
@@ -409,10 +422,10 @@
         self.log_node(line);
     }
 
-    fn given_up(&mut self, xchg: RequestId, reason: GiveUp, attempts: usize) {
+    fn given_up(&mut self, request_id: RequestId, reason: GiveUp, attempts: usize) {
         self.shared.counters.given_up.add(reason, attempts);
-        if let Some(open) = self.open.get(&xchg) {
-            let (id, reason) = (String::from_utf8_lossy(&open.cargo.id), reason.name());
+        if let Some(open) = self.open_requests.get(&request_id) {
+            let (id, reason) = (String::from_utf8_lossy(&open.request.id), reason.name());
             tracing::debug!("request {id}: given up after {attempts} attempts: {reason}");
         }
     }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -7,8 +7,8 @@
 use crate::fleet::carrier::actor::Told;
 use crate::fleet::replication::handle::Handle;
 use crate::http::{Call, Calls, Word};
-use crate::phases::{Phase, Watch};
-use crate::room::{Room, Spare};
+use crate::phases::{Phase, PhaseWatch};
+use crate::room::{ConnectionLimit, EvictionClass};
 use futures_util::{SinkExt, StreamExt};
 use serde_json::Value as Json;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 /// What calls are about.
 #[derive(Clone)]
 pub struct Operator {
-    pub watch: Watch,
+    pub watch: PhaseWatch,
     pub counters: Arc<Counters>,
     pub maintenance: Maintenance,
     /// The replica of maintenance orders, where there is one.
@@ -47,7 +47,7 @@
 
 /// Accepts as long as the process lives.
 pub async fn accept(operator: Operator, listener: TcpListener) {
-    let room = Room::new(CALLERS);
+    let room = ConnectionLimit::new(CALLERS);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -57,7 +57,7 @@
                 continue;
             }
         };
-        let (operator, room, place) = (operator.clone(), room.clone(), room.take().await);
+        let (operator, room, place) = (operator.clone(), room.clone(), room.acquire().await);
         tokio::spawn(async move {
             if let Err(error) = serve(operator, &room, stream).await {
                 tracing::debug!("operators' door: {error}");
@@ -67,14 +67,14 @@
     }
 }
 
-async fn serve(operator: Operator, room: &Room, stream: TcpStream) -> std::io::Result<()> {
+async fn serve(operator: Operator, room: &ConnectionLimit, stream: TcpStream) -> std::io::Result<()> {
     let mut framed = Framed::new(stream, Calls::default());
     let call = tokio::select! {
         call = timeout(CALLING, framed.next()) => match call {
             Ok(Some(call)) => call,
             Ok(None) | Err(_) => return Ok(()),
         },
-        () = room.asked(Spare::Unused) => return Ok(()),
+        () = room.eviction_requested(EvictionClass::Unused) => return Ok(()),
     };
     let word = match call {
         Ok(call) => operator.answer(call).await,
@@ -135,7 +135,7 @@
             return Word(200, self.counters.to_string());
         }
         if method == "GET" {
-            return match self.watch.now() {
+            return match self.watch.current() {
                 Phase::Serving | Phase::Draining => Word(200, self.serving().await),
                 phase => Word(503, format!("takes no clients: {phase:?}")),
             };
--- a/crates/proxy/src/phases.rs
+++ b/crates/proxy/src/phases.rs
@@ -24,14 +24,14 @@
 }
 
 /// The longest that a platform waits for exchanges that were taken, and what it adds to that before it kills.
-const LONGEST: Duration = Duration::from_secs(3);
-const CLOSING: Duration = Duration::from_millis(50);
-const LEAVING: Duration = Duration::from_millis(80);
+const MAX_REQUEST_WAIT: Duration = Duration::from_secs(3);
+const CLOSING_MARGIN: Duration = Duration::from_millis(50);
+const LEAVING_TIMEOUT: Duration = Duration::from_millis(80);
 
 pub struct Phases(watch::Sender<Phase>, Arc<Counters>);
 
 #[derive(Clone)]
-pub struct Watch(watch::Receiver<Phase>);
+pub struct PhaseWatch(watch::Receiver<Phase>);
 
 impl Default for Phases {
     fn default() -> Self {
@@ -44,8 +44,8 @@
         Phases(watch::Sender::new(Phase::Starting), counters)
     }
 
-    pub fn watch(&self) -> Watch {
-        Watch(self.0.subscribe())
+    pub fn watch(&self) -> PhaseWatch {
+        PhaseWatch(self.0.subscribe())
     }
 
     pub fn enter(&self, phase: Phase) {
@@ -54,17 +54,19 @@
     }
 
     /// From the signal to stop until all is answered, or until the platform's patience ends.
-    pub async fn stop(&self, draining: Duration, longest: Duration, clients: &TaskTracker) {
+    pub async fn stop(&self, draining: Duration, longest_request: Duration, clients: &TaskTracker) {
         self.enter(Phase::Draining);
         sleep(draining).await;
         self.enter(Phase::Closing);
         // Connections that the kernel has accepted are taken in before anyone is waited for.
         yield_now().await;
         clients.close();
-        let answered = tokio::time::timeout(longest.min(LONGEST) + CLOSING, clients.wait()).await;
+        let answered =
+            tokio::time::timeout(longest_request.min(MAX_REQUEST_WAIT) + CLOSING_MARGIN, clients.wait())
+                .await;
         if answered.is_err() {
             self.enter(Phase::Leaving);
-            if tokio::time::timeout(LEAVING, clients.wait()).await.is_err() {
+            if tokio::time::timeout(LEAVING_TIMEOUT, clients.wait()).await.is_err() {
                 tracing::warn!("{} client connections cut at exit", clients.len());
                 (0..clients.len()).for_each(|_| self.1.cut_at_exit.add());
             }
@@ -73,14 +75,14 @@
     }
 }
 
-impl Watch {
-    pub fn now(&self) -> Phase {
+impl PhaseWatch {
+    pub fn current(&self) -> Phase {
         *self.0.borrow()
     }
 
     /// Returns once this phase, or a later one, has come.
     pub async fn reached(&mut self, phase: Phase) {
-        if self.0.wait_for(|now| *now >= phase).await.is_err() {
+        if self.0.wait_for(|current| *current >= phase).await.is_err() {
             std::future::pending().await
         }
     }
--- a/crates/proxy/src/resp.rs
+++ b/crates/proxy/src/resp.rs
@@ -1,6 +1,6 @@
 //! RESP2 on the wire: commands from clients and to cache nodes, and the replies to both.
 
-use crate::long::PIECE;
+use crate::long::PIECE_BYTES;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use smallvec::SmallVec;
 use std::fmt::Write;
@@ -10,13 +10,13 @@
 
 /// The longest bulk string that is held whole, and the longest that is passed on as it comes; the longest line and
 /// array.
-pub const LONGEST_BULK: usize = 64 * 1024;
-pub const LONGEST_VALUE: usize = 4 * 1024 * 1024;
+pub const MAX_BULK_BYTES: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 /// A frame that is not whole by then is no command or reply of ours: guards the memory.
-const LONGEST_FRAME: usize = LONGEST_BULK + 16 * 1024;
-const LONGEST_LINE: usize = 1024;
-const LONGEST_ARRAY: usize = 64;
-const DEEPEST: usize = 4;
+const MAX_FRAME_BYTES: usize = MAX_BULK_BYTES + 16 * 1024;
+const MAX_LINE_BYTES: usize = 1024;
+const MAX_ARRAY_LENGTH: usize = 64;
+const MAX_DEPTH: usize = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
@@ -53,14 +53,14 @@
         match decode(buffer)? {
             Decoded::Whole(frame) => Ok(Some(frame)),
             Decoded::Partial => Ok(None),
-            Decoded::Long(..) => Err(bad("bulk string too long")),
+            Decoded::Long(..) => Err(invalid("bulk string too long")),
         }
     }
 }
 
 /// What comes where one member of an array may be long: a frame as ever, or such an array in parts.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum FramePart {
     Frame(Frame),
     /// The members before the long one, and its length.
     Begin(Vec<Frame>, usize),
@@ -71,60 +71,60 @@
 
 /// Commands and replies in which one member may be long.
 #[derive(Debug, Default)]
-pub struct Parts(State);
+pub struct StreamingResp(State);
 
 #[derive(Debug, Default)]
 enum State {
     #[default]
-    Between,
+    FrameStart,
     /// Bytes of the long member that are still to come, and members after it.
-    Value(usize, usize),
-    Rest(usize, Vec<Frame>),
+    LongMember(usize, usize),
+    TrailingMembers(usize, Vec<Frame>),
 }
 
-impl Decoder for Parts {
-    type Item = Part;
+impl Decoder for StreamingResp {
+    type Item = FramePart;
     type Error = Error;
 
-    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, Error> {
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<FramePart>, Error> {
         loop {
             match &mut self.0 {
-                State::Between => match decode(buffer)? {
-                    Decoded::Whole(frame) => return Ok(Some(Part::Frame(frame))),
+                State::FrameStart => match decode(buffer)? {
+                    Decoded::Whole(frame) => return Ok(Some(FramePart::Frame(frame))),
                     Decoded::Partial => return Ok(None),
                     Decoded::Long(before, length, after) => {
-                        self.0 = State::Value(length, after);
-                        return Ok(Some(Part::Begin(before, length)));
+                        self.0 = State::LongMember(length, after);
+                        return Ok(Some(FramePart::Begin(before, length)));
                     }
                 },
-                State::Value(0, after) => {
+                State::LongMember(0, after) => {
                     match buffer.get(..2) {
                         Some(b"\r\n") => buffer.advance(2),
-                        Some(_) => return Err(bad("bulk string without end")),
+                        Some(_) => return Err(invalid("bulk string without end")),
                         None => return Ok(None),
                     }
-                    self.0 = State::Rest(*after, Vec::new());
+                    self.0 = State::TrailingMembers(*after, Vec::new());
                 }
-                State::Value(left, _) => return Ok(piece(buffer, left).map(Part::Piece)),
-                State::Rest(0, frames) => {
+                State::LongMember(left, _) => return Ok(take_piece(buffer, left).map(FramePart::Piece)),
+                State::TrailingMembers(0, frames) => {
                     let frames = std::mem::take(frames);
-                    self.0 = State::Between;
-                    return Ok(Some(Part::End(frames)));
+                    self.0 = State::FrameStart;
+                    return Ok(Some(FramePart::End(frames)));
                 }
-                State::Rest(left, frames) => match decode(buffer)? {
+                State::TrailingMembers(left, frames) => match decode(buffer)? {
                     Decoded::Whole(frame) => {
                         frames.push(frame);
                         *left -= 1;
                     }
                     Decoded::Partial => return Ok(None),
-                    Decoded::Long(..) => return Err(bad("two long members")),
+                    Decoded::Long(..) => return Err(invalid("two long members")),
                 },
             }
         }
     }
 }
 
-impl Encoder<&Frame> for Parts {
+impl Encoder<&Frame> for StreamingResp {
     type Error = Error;
 
     fn encode(&mut self, frame: &Frame, buffer: &mut BytesMut) -> Result<(), Error> {
@@ -133,8 +133,8 @@
 }
 
 /// Takes what has come of a long value off the buffer, up to a piece.
-pub fn piece(buffer: &mut BytesMut, left: &mut usize) -> Option<Bytes> {
-    let length = buffer.len().min(*left).min(PIECE);
+pub fn take_piece(buffer: &mut BytesMut, left: &mut usize) -> Option<Bytes> {
+    let length = buffer.len().min(*left).min(PIECE_BYTES);
     *left -= length;
     (length > 0).then(|| buffer.split_to(length).freeze())
 }
@@ -148,20 +148,22 @@
 
 /// Takes a frame off the buffer, or an array up to the bytes of its long member.
 fn decode(buffer: &mut BytesMut) -> Result<Decoded, Error> {
-    let (mut at, mut shapes) = (0, Shapes::new());
-    match measure(buffer, &mut at, DEEPEST, &mut shapes)? {
+    let (mut at, mut elements) = (0, Elements::new());
+    match measure(buffer, &mut at, MAX_DEPTH, &mut elements)? {
         Measured::Whole => {
-            let frame = cut(&buffer.split_to(at).freeze(), &mut shapes.iter());
+            let frame = build_frame(&buffer.split_to(at).freeze(), &mut elements.iter());
             Ok(Decoded::Whole(frame))
         }
-        Measured::Partial if buffer.len() > LONGEST_FRAME => Err(bad("frame too long")),
+        Measured::Partial if buffer.len() > MAX_FRAME_BYTES => Err(invalid("frame too long")),
         Measured::Partial => Ok(Decoded::Partial),
         Measured::Long(length) => {
-            let (whole, mut members) = (buffer.split_to(at).freeze(), shapes.iter());
-            let Some(&Shape::Array(count)) = members.next() else { return Err(bad("bulk string too long")) };
+            let (whole, mut members) = (buffer.split_to(at).freeze(), elements.iter());
+            let Some(&Element::Array(count)) = members.next() else {
+                return Err(invalid("bulk string too long"));
+            };
             let mut before = Vec::with_capacity(count);
             while members.len() > 0 {
-                before.push(cut(&whole, &mut members));
+                before.push(build_frame(&whole, &mut members));
             }
             let after = count - before.len() - 1;
             Ok(Decoded::Long(before, length, after))
@@ -178,7 +180,7 @@
 
 /// A part of a frame, by where it stands in the buffer. The parts of an array follow it.
 #[derive(Clone, Copy)]
-enum Shape {
+enum Element {
     Line(u8, usize, usize),
     Integer(i64),
     Bulk(usize, usize),
@@ -187,73 +189,79 @@
 }
 
 /// As many as a command or reply of ours has, without memory of their own.
-type Shapes = SmallVec<[Shape; 8]>;
+type Elements = SmallVec<[Element; 8]>;
 
 /// Finds the end of the frame that begins at `at`, and its parts.
-fn measure(buffer: &[u8], at: &mut usize, depth: usize, shapes: &mut Shapes) -> Result<Measured, Error> {
+fn measure(buffer: &[u8], at: &mut usize, depth: usize, elements: &mut Elements) -> Result<Measured, Error> {
     let Some(&kind) = buffer.get(*at) else { return Ok(Measured::Partial) };
     if !b"+-:$*".contains(&kind) {
-        return Err(bad("expected a RESP type"));
+        return Err(invalid("expected a RESP type"));
     }
     let from = *at + 1;
-    let line = &buffer[from..buffer.len().min(from + LONGEST_LINE)];
+    let line = &buffer[from..buffer.len().min(from + MAX_LINE_BYTES)];
     let Some(length) = line.iter().position(|&byte| byte == b'\n') else {
-        return if line.len() == LONGEST_LINE { Err(bad("line too long")) } else { Ok(Measured::Partial) };
+        return if line.len() == MAX_LINE_BYTES {
+            Err(invalid("line too long"))
+        } else {
+            Ok(Measured::Partial)
+        };
     };
-    let text = line[..length].strip_suffix(b"\r").ok_or_else(|| bad("line without CR"))?;
+    let text = line[..length].strip_suffix(b"\r").ok_or_else(|| invalid("line without CR"))?;
     *at = from + length + 1;
     let number = || {
         let text = std::str::from_utf8(text).ok().filter(|text| !text.starts_with('+'));
-        text.and_then(|text| text.parse::<i64>().ok()).ok_or_else(|| bad("expected a number"))
+        text.and_then(|text| text.parse::<i64>().ok()).ok_or_else(|| invalid("expected a number"))
     };
-    let shape = match kind {
-        b':' => Shape::Integer(number()?),
-        b'$' | b'*' if number()? == -1 => Shape::Null,
+    let element = match kind {
+        b':' => Element::Integer(number()?),
+        b'$' | b'*' if number()? == -1 => Element::Null,
         b'$' => {
-            let length = usize::try_from(number()?).map_err(|_| bad("invalid bulk length"))?;
-            if length > LONGEST_BULK {
-                let fits = depth == DEEPEST - 1 && length <= LONGEST_VALUE;
-                return if fits { Ok(Measured::Long(length)) } else { Err(bad("bulk string too long")) };
+            let length = usize::try_from(number()?).map_err(|_| invalid("invalid bulk length"))?;
+            if length > MAX_BULK_BYTES {
+                let fits = depth == MAX_DEPTH - 1 && length <= MAX_VALUE_BYTES;
+                return if fits { Ok(Measured::Long(length)) } else { Err(invalid("bulk string too long")) };
             }
             let (begin, end) = (*at, *at + length);
             if buffer.len() < end + 2 {
                 return Ok(Measured::Partial);
             }
             if &buffer[end..end + 2] != b"\r\n" {
-                return Err(bad("bulk string without end"));
+                return Err(invalid("bulk string without end"));
             }
             *at = end + 2;
-            Shape::Bulk(begin, end)
+            Element::Bulk(begin, end)
         }
         b'*' => {
-            let length = usize::try_from(number()?).map_err(|_| bad("invalid array length"))?;
-            if length > LONGEST_ARRAY || depth == 0 {
-                return Err(bad("array too long or too deep"));
+            let length = usize::try_from(number()?).map_err(|_| invalid("invalid array length"))?;
+            if length > MAX_ARRAY_LENGTH || depth == 0 {
+                return Err(invalid("array too long or too deep"));
             }
-            shapes.push(Shape::Array(length));
+            elements.push(Element::Array(length));
             for _ in 0..length {
-                match measure(buffer, at, depth - 1, shapes)? {
+                match measure(buffer, at, depth - 1, elements)? {
                     Measured::Whole => {}
-                    short => return Ok(short),
+                    incomplete => return Ok(incomplete),
                 }
             }
             return Ok(Measured::Whole);
         }
-        _ => Shape::Line(kind, from, from + text.len()),
+        _ => Element::Line(kind, from, from + text.len()),
     };
-    shapes.push(shape);
+    elements.push(element);
     Ok(Measured::Whole)
 }
 
 /// The next frame of these shapes; each was measured, so none is missing.
-fn cut(buffer: &Bytes, shapes: &mut std::slice::Iter<'_, Shape>) -> Frame {
-    match shapes.next() {
-        Some(&Shape::Line(b'+', begin, end)) => Frame::Simple(buffer.slice(begin..end)),
-        Some(&Shape::Line(_, begin, end)) => Frame::Error(buffer.slice(begin..end)),
-        Some(&Shape::Integer(number)) => Frame::Integer(number),
-        Some(&Shape::Bulk(begin, end)) => Frame::Bulk(buffer.slice(begin..end)),
-        Some(&Shape::Array(length)) => Frame::Array((0..length).map(|_| cut(buffer, shapes)).collect()),
-        Some(Shape::Null) | None => Frame::Null,
+fn build_frame(buffer: &Bytes, elements: &mut std::slice::Iter<'_, Element>) -> Frame {
+    match elements.next() {
+        Some(&Element::Line(b'+', begin, end)) => Frame::Simple(buffer.slice(begin..end)),
+        Some(&Element::Line(_, begin, end)) => Frame::Error(buffer.slice(begin..end)),
+        Some(&Element::Integer(number)) => Frame::Integer(number),
+        Some(&Element::Bulk(begin, end)) => Frame::Bulk(buffer.slice(begin..end)),
+        Some(&Element::Array(length)) => {
+            Frame::Array((0..length).map(|_| build_frame(buffer, elements)).collect())
+        }
+        Some(Element::Null) | None => Frame::Null,
     }
 }
 
@@ -284,7 +292,7 @@
 }
 
 /// The beginning of an array of these and one more, of so many bytes, which is sent behind it.
-pub fn encode_beginning(members: &[Frame], length: usize, buffer: &mut BytesMut) -> Result<(), Error> {
+pub fn encode_streamed_array(members: &[Frame], length: usize, buffer: &mut BytesMut) -> Result<(), Error> {
     number_line(buffer, b'*', members.len() as i64 + 1);
     members.iter().try_for_each(|member| Resp.encode(member, buffer))?;
     number_line(buffer, b'$', length as i64);
@@ -306,7 +314,7 @@
 }
 
 /// Returns once something of the next frame is there, or the end.
-pub async fn begun<C>(framed: &Framed<TcpStream, C>) -> Result<(), Error> {
+pub async fn readable<C>(framed: &Framed<TcpStream, C>) -> Result<(), Error> {
     if framed.read_buffer().is_empty() {
         framed.get_ref().peek(&mut [0]).await?;
     }
@@ -314,6 +322,6 @@
 }
 
 /// What a codec can't read.
-pub fn bad(why: &'static str) -> Error {
+pub fn invalid(why: &'static str) -> Error {
     Error::new(ErrorKind::InvalidData, why)
 }
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -3,9 +3,9 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::heir::Heir;
-use crate::messages::Door;
-use crate::phases::Watch;
+use crate::heir::Successor;
+use crate::messages::DispatcherHandle;
+use crate::phases::PhaseWatch;
 use crate::tuning::Routes;
 use crate::upstream::pool::Pool;
 use std::sync::{Arc, OnceLock};
@@ -17,14 +17,14 @@
     pub clock: Clock,
     pub config: Arc<Config>,
     pub counters: Arc<Counters>,
-    pub door: Door,
-    pub watch: Watch,
+    pub dispatcher: DispatcherHandle,
+    pub phase: PhaseWatch,
     /// As of the last settings that were taken.
     pub routes: watch::Receiver<Arc<Routes>>,
     /// Connections to nodes.
     pub upstream: Pool,
     /// For long answers of nodes that are on their way.
-    pub long: Arc<Semaphore>,
+    pub streamed_values: Arc<Semaphore>,
     /// The process that takes over from this one, once it has.
-    pub heir: Arc<OnceLock<Heir>>,
+    pub successor: Arc<OnceLock<Successor>>,
 }
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// How long clients may go on naming a route that was dropped; its number is free for another after twice that.
-const FORMER: Duration = Duration::from_secs(10);
+const DROPPED_ROUTE_GRACE: Duration = Duration::from_secs(10);
 
 /// What the clients' front must know of the routes, by number.
 #[derive(Clone, Debug, Default)]
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 struct Route {
     name: String,
-    overall: Nanos,
+    overall_timeout: Nanos,
     dropped: Option<Instant>,
 }
 
@@ -25,58 +25,59 @@
     /// The number of a name, and how long a client of that route waits at most.
     pub fn find(&self, name: &str) -> Option<(usize, Nanos)> {
         let named = |route: &Route| {
-            route.name == name && route.dropped.is_none_or(|dropped| dropped.elapsed() < FORMER)
+            route.name == name && route.dropped.is_none_or(|dropped| dropped.elapsed() < DROPPED_ROUTE_GRACE)
         };
-        self.0.iter().position(named).map(|number| (number, self.0[number].overall))
+        self.0.iter().position(named).map(|number| (number, self.0[number].overall_timeout))
     }
 
     /// The longest that a client of any route waits.
-    pub fn longest(&self) -> Duration {
-        Duration::from_nanos(self.0.iter().map(|route| route.overall).max().unwrap_or(0))
+    pub fn longest_timeout(&self) -> Duration {
+        Duration::from_nanos(self.0.iter().map(|route| route.overall_timeout).max().unwrap_or(0))
     }
 }
 
 /// Gives the routes of one configuration after another their numbers.
 #[derive(Debug, Default)]
-pub struct Tuning {
+pub struct RouteRegistry {
     /// As the wire has them, by number.
-    wire: Vec<Json>,
+    route_json: Vec<Json>,
     routes: Routes,
 }
 
-impl Tuning {
+impl RouteRegistry {
     /// Takes the routes of checked settings: what the decisions get, with each route under its number, and what
     /// the front gets.
-    pub fn take(&mut self, wire: &Json) -> (Settings, Routes) {
+    pub fn apply(&mut self, settings: &Json) -> (Settings, Routes) {
         let now = Instant::now();
-        for (route, wire) in self.routes.0.iter_mut().zip(&mut self.wire) {
+        for (route, json) in self.routes.0.iter_mut().zip(&mut self.route_json) {
             route.dropped.get_or_insert(now);
-            wire["dropped"] = json!(true);
+            json["dropped"] = json!(true);
         }
-        for new in wire["routes"].as_array().into_iter().flatten() {
+        for new in settings["routes"].as_array().into_iter().flatten() {
             let name = names::text(new, "/name").to_string();
             let number = self.number(&name);
-            let route = Route { name, overall: 0, dropped: None };
-            if number == self.wire.len() {
-                self.wire.push(new.clone());
+            let route = Route { name, overall_timeout: 0, dropped: None };
+            if number == self.route_json.len() {
+                self.route_json.push(new.clone());
                 self.routes.0.push(route);
             } else {
-                (self.wire[number], self.routes.0[number]) = (new.clone(), route);
+                (self.route_json[number], self.routes.0[number]) = (new.clone(), route);
             }
         }
-        let mut numbered = wire.clone();
-        numbered["routes"] = json!(self.wire);
-        let settings = names::translate(&numbered);
+        let mut numbered = settings.clone();
+        numbered["routes"] = json!(self.route_json);
+        let parsed = names::translate(&numbered);
         for (number, route) in self.routes.0.iter_mut().enumerate() {
-            route.overall = settings.time(&format!("route.{number}.overall_timeout"), 0);
+            route.overall_timeout = parsed.time(&format!("route.{number}.overall_timeout"), 0);
         }
-        (settings, self.routes.clone())
+        (parsed, self.routes.clone())
     }
 
     /// The number that a name has or gets.
     fn number(&self, name: &str) -> usize {
         let routes = &self.routes.0;
-        let free = |route: &Route| route.dropped.is_some_and(|dropped| dropped.elapsed() > 2 * FORMER);
+        let free =
+            |route: &Route| route.dropped.is_some_and(|dropped| dropped.elapsed() > 2 * DROPPED_ROUTE_GRACE);
         let known = routes.iter().position(|route| route.name == name);
         known.or_else(|| routes.iter().position(free)).unwrap_or(routes.len())
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::MILLIS;
 use crate::long::{self, Upload, Value};
-use crate::messages::{Back, Cargo};
+use crate::messages::{AttemptResult, ClientRequest};
 use crate::phases::Phase;
 use crate::shared::Shared;
 use crate::upstream::connection::{Came, Connection, connect};
@@ -25,7 +25,7 @@
     Try {
         xchg: RequestId,
         try_no: usize,
-        cargo: Arc<Cargo>,
+        cargo: Arc<ClientRequest>,
         until: Instant,
         recall: CancellationToken,
     },
@@ -41,7 +41,7 @@
 
     /// Taken back, or its client has left, of which the module may not have heard.
     fn recalled(&self) -> bool {
-        let gone = matches!(self, Errand::Try { cargo, .. } if cargo.client_has_left());
+        let gone = matches!(self, Errand::Try { cargo, .. } if cargo.client_disconnected());
         gone || self.recall().is_some_and(CancellationToken::is_cancelled)
     }
 
@@ -49,7 +49,8 @@
     /// begin for nobody after a turn in which nothing was heard. Whether it did.
     async fn hears(&self, shared: &Shared) -> bool {
         let now = shared.clock.now();
-        let long = matches!(self, Errand::Try { cargo, .. } if now.saturating_sub(cargo.at) > LATELY);
+        let long =
+            matches!(self, Errand::Try { cargo, .. } if now.saturating_sub(cargo.received_at) > LATELY);
         if long {
             // A task that yields goes on once the sockets were looked at, behind those who are told of an end then. One
             // of its own, as the node's may stand before these already.
@@ -79,25 +80,31 @@
 pub fn start(shared: &Shared, target: Target, errand: Errand) {
     let shared = shared.clone();
     tokio::spawn(async move {
-        let mut leaving = shared.watch.clone();
+        let mut leaving = shared.phase.clone();
         let (back, connection) = tokio::select! {
             done = carry(&shared, target, &errand) => done,
             () = leaving.reached(Phase::Leaving) => (Some(Outcome::Withdrawn.into()), None),
         };
         // The process that takes over needs the descriptors.
-        if let Some(connection) = connection.filter(|_| shared.heir.get().is_none()) {
+        if let Some(connection) = connection.filter(|_| shared.successor.get().is_none()) {
             shared.upstream.rest(target.node, connection);
         }
         let Some(back) = back else { return };
         match errand {
-            Errand::Try { xchg, try_no, .. } => shared.door.ended(xchg, try_no, target.node, back).await,
-            Errand::Probe { .. } => shared.door.probed(target.node, back).await,
+            Errand::Try { xchg, try_no, .. } => {
+                shared.dispatcher.attempt_ended(xchg, try_no, target.node, back).await
+            }
+            Errand::Probe { .. } => shared.dispatcher.probe_ended(target.node, back).await,
         }
     });
 }
 
 /// Carries out one try or probe, over an idle connection or a new one.
-async fn carry(shared: &Shared, target: Target, errand: &Errand) -> (Option<Back>, Option<Box<Connection>>) {
+async fn carry(
+    shared: &Shared,
+    target: Target,
+    errand: &Errand,
+) -> (Option<AttemptResult>, Option<Box<Connection>>) {
     let Target { node, address, origin } = target;
     // One that is taken back needs no connection.
     let idle = if errand.recalled() { None } else { shared.upstream.take(node, address) };
@@ -180,21 +187,21 @@
     errand: &Errand,
     mut connection: Box<Connection>,
     begun: Begun,
-) -> (Option<Back>, Option<Box<Connection>>) {
+) -> (Option<AttemptResult>, Option<Box<Connection>>) {
     let Begun { length, held, last, until, within } = begun;
     let address = target.address;
     // The first of it tells whether there is a value at all: until then another try is possible.
-    let room = shared.long.clone().acquire_owned();
+    let room = shared.streamed_values.clone().acquire_owned();
     let begun = timeout_at(until, async { Ok((room.await?, connection.first(length, within).await?)) });
     let (room, first) = match begun.await {
         Ok(Ok(begun)) => begun,
         Ok(Err(error)) => return (Some(failed(address, &error).into()), None),
         Err(_) => return (Some(Outcome::Overdue.into()), None),
     };
-    let (source, value) = long::long(length, Some(room));
-    let back = Back { outcome: Outcome::Completed, value: Value::Long(value), held };
+    let (source, value) = long::streamed_value(length, Some(room));
+    let back = AttemptResult { outcome: Outcome::Completed, value: Value::Streamed(value), held };
     if let Errand::Try { xchg, try_no, .. } = errand {
-        shared.door.ended(*xchg, *try_no, target.node, back).await;
+        shared.dispatcher.attempt_ended(*xchg, *try_no, target.node, back).await;
     }
     match connection.pass_on(first, source).await {
         Ok(()) => (None, (!last).then_some(connection)),
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -2,9 +2,9 @@
 //! closing its connection.
 
 use crate::http::{self, Request};
-use crate::long::{self, Long, PIECE, SILENT};
-use crate::messages::{Back, Cargo};
-use crate::resp::{self, Frame, LONGEST_BULK, begun};
+use crate::long::{self, PIECE_BYTES, STALL_TIMEOUT, StreamedValue};
+use crate::messages::{AttemptResult, ClientRequest};
+use crate::resp::{self, Frame, MAX_BULK_BYTES, readable};
 use crate::shared::Shared;
 use crate::upstream::attempt::Errand;
 use crate::upstream::forms::{answered, command, labels, probed, replied, request};
@@ -34,19 +34,19 @@
 }
 
 enum Wire {
-    Cache(Framed<TcpStream, resp::Parts>),
+    Cache(Framed<TcpStream, resp::StreamingResp>),
     Origin(Framed<TcpStream, http::Parts>),
 }
 
 /// What comes back: all of it, or the beginning of a long value. And whether it is the last on this connection.
 pub enum Came {
-    Whole(Back, bool),
+    Whole(AttemptResult, bool),
     Long(usize, Option<Held>, bool),
 }
 
 /// Writes some of a long value. Until the last byte is written nothing can have run.
 async fn send(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Outcome> {
-    match timeout(SILENT, stream.write_all(bytes)).await {
+    match timeout(STALL_TIMEOUT, stream.write_all(bytes)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(Outcome::Unreachable),
     }
@@ -71,8 +71,8 @@
     shared.counters.connections_opened.add();
     let _ = stream.set_nodelay(true);
     let wire = match origin {
-        true => Wire::Origin(Framed::new(stream, http::Parts::new(LONGEST_BULK))),
-        false => Wire::Cache(Framed::new(stream, resp::Parts::default())),
+        true => Wire::Origin(Framed::new(stream, http::Parts::new(MAX_BULK_BYTES))),
+        false => Wire::Cache(Framed::new(stream, resp::StreamingResp::default())),
     };
     Ok(Box::new(Connection { wire, address, _permit: permit }))
 }
@@ -93,7 +93,8 @@
             Errand::Probe { .. } => self.encode_probe(shared),
             Errand::Try { cargo, until, .. } => {
                 let clock = &shared.clock;
-                let tell = time_to_tell(clock.now(), clock.at(*until), cargo.ends).ok_or(Outcome::Unsent)?;
+                let tell =
+                    time_to_tell(clock.now(), clock.at(*until), cargo.deadline).ok_or(Outcome::Unsent)?;
                 self.encode_attempt(cargo, tell)
             }
         };
@@ -116,12 +117,14 @@
     }
 
     /// `tell`: for how many milliseconds the attempt will be waited for.
-    fn encode_attempt(&mut self, cargo: &Cargo, tell: u64) -> std::io::Result<()> {
+    fn encode_attempt(&mut self, cargo: &ClientRequest, tell: u64) -> std::io::Result<()> {
         match &mut self.wire {
             Wire::Cache(framed) => {
                 let words = command(cargo, tell);
                 match &cargo.upload {
-                    Some(upload) => resp::encode_beginning(&words, upload.length, framed.write_buffer_mut()),
+                    Some(upload) => {
+                        resp::encode_streamed_array(&words, upload.length, framed.write_buffer_mut())
+                    }
                     None => framed.start_send_unpin(&Frame::Array(words)),
                 }
             }
@@ -133,7 +136,7 @@
     }
 
     /// Sends a long value as it comes, up to its last byte, with what ends it.
-    pub async fn upload(&mut self, mut value: Long) -> Result<(), Outcome> {
+    pub async fn upload(&mut self, mut value: StreamedValue) -> Result<(), Outcome> {
         let (stream, end) = match &mut self.wire {
             Wire::Cache(framed) => (framed.get_mut(), &b"\r\n"[..]),
             Wire::Origin(framed) => (framed.get_mut(), &b""[..]),
@@ -150,11 +153,11 @@
         let probe = matches!(errand, Errand::Probe { .. });
         match &mut self.wire {
             Wire::Cache(framed) => match part(framed, within).await? {
-                resp::Part::Frame(frame) => {
+                resp::FramePart::Frame(frame) => {
                     let back = if probe { probed(frame) } else { replied(frame) }.context("cache node")?;
                     Ok(Came::Whole(back, false))
                 }
-                resp::Part::Begin(before, length) if before.is_empty() && !probe => {
+                resp::FramePart::Begin(before, length) if before.is_empty() && !probe => {
                     Ok(Came::Long(length, None, false))
                 }
                 other => bail!("cache node: unexpected {other:?}"),
@@ -183,8 +186,8 @@
     async fn piece(&mut self, silent: Duration) -> Result<Option<Bytes>> {
         match &mut self.wire {
             Wire::Cache(framed) => match timeout(silent, some(framed)).await?? {
-                resp::Part::Piece(piece) => Ok(Some(piece)),
-                resp::Part::End(_) => Ok(None),
+                resp::FramePart::Piece(piece) => Ok(Some(piece)),
+                resp::FramePart::End(_) => Ok(None),
                 other => bail!("cache node: unexpected {other:?}"),
             },
             Wire::Origin(framed) => match timeout(silent, some(framed)).await?? {
@@ -198,7 +201,7 @@
     /// The first pieces of a long value of this length.
     pub async fn first(&mut self, length: usize, within: Duration) -> Result<Vec<Bytes>> {
         let (mut pieces, mut came) = (Vec::new(), 0);
-        while came < length.min(PIECE) {
+        while came < length.min(PIECE_BYTES) {
             let piece = self.piece(within).await?.context("a long value without an end")?;
             came += piece.len();
             pieces.push(piece);
@@ -207,11 +210,11 @@
     }
 
     /// Brings a long value to whoever takes it.
-    pub async fn pass_on(&mut self, first: Vec<Bytes>, source: long::Source) -> Result<()> {
+    pub async fn pass_on(&mut self, first: Vec<Bytes>, source: long::ValueSender) -> Result<()> {
         for piece in first {
             source.send(piece).await?;
         }
-        while let Some(piece) = self.piece(SILENT).await? {
+        while let Some(piece) = self.piece(STALL_TIMEOUT).await? {
             source.send(piece).await?;
             // Others go on between two pieces.
             yield_now().await;
@@ -234,7 +237,7 @@
 where
     C::Error: Into<anyhow::Error>,
 {
-    begun(framed).await?;
+    readable(framed).await?;
     let mut came = 0;
     loop {
         match timeout(within, some(framed)).await {
--- a/crates/proxy/src/upstream/forms.rs
+++ b/crates/proxy/src/upstream/forms.rs
@@ -1,7 +1,7 @@
 //! How attempts read on the wires of cache nodes and of the origin, and what their answers mean. No I/O.
 
 use crate::http::{self, Request, Response};
-use crate::messages::{Back, Cargo};
+use crate::messages::{AttemptResult, ClientRequest};
 use crate::resp::Frame;
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 
 /// An attempt as a cache node reads it: all as it came, but for how many milliseconds it will be waited for. Without a
 /// value that is still to come.
-pub fn command(cargo: &Cargo, tell: u64) -> Vec<Frame> {
+pub fn command(cargo: &ClientRequest, tell: u64) -> Vec<Frame> {
     let word: &'static [u8] = if cargo.write { b"C.SET" } else { b"C.GET" };
     let mut words = Vec::with_capacity(5);
     words.extend([Bytes::from_static(word), cargo.key.clone(), cargo.id.clone()].map(Frame::Bulk));
@@ -58,7 +58,7 @@
 }
 
 /// A try as the origin reads it, with the labels that go to it.
-pub fn request<'a>(cargo: &'a Cargo, labels: &'a [u8]) -> Request<'a> {
+pub fn request<'a>(cargo: &'a ClientRequest, labels: &'a [u8]) -> Request<'a> {
     Request {
         method: if cargo.write { "PUT" } else { "GET" },
         path: http::path(&cargo.key),
@@ -69,7 +69,7 @@
 }
 
 /// What a cache node's reply to a try means.
-pub fn replied(frame: Frame) -> Result<Back> {
+pub fn replied(frame: Frame) -> Result<AttemptResult> {
     match frame {
         Frame::Array(parts) => {
             let [first, _, report] = <[Frame; 3]>::try_from(parts).ok().context("unexpected array")?;
@@ -79,28 +79,28 @@
                 other => bail!("unexpected value {other:?}"),
             };
             let held = if let Frame::Bulk(report) = report { held(&report) } else { None };
-            Ok(Back { outcome, value: value.into(), held })
+            Ok(AttemptResult { outcome, value: value.into(), held })
         }
         Frame::Error(text) if text.starts_with(b"BUSY") => Ok(Outcome::Saturated.into()),
         Frame::Error(text) if text.starts_with(b"ERR failed") => Ok(Outcome::Errored.into()),
         Frame::Error(text) if text.starts_with(b"ERR ") => {
-            Ok(Back { value: text.into(), ..Outcome::Rejected.into() })
+            Ok(AttemptResult { value: text.into(), ..Outcome::Rejected.into() })
         }
         other => bail!("unexpected reply {other:?}"),
     }
 }
 
-pub fn probed(frame: Frame) -> Result<Back> {
+pub fn probed(frame: Frame) -> Result<AttemptResult> {
     match frame {
         Frame::Simple(_) => Ok(Outcome::Completed.into()),
-        Frame::Bulk(report) => Ok(Back { held: held(&report), ..Outcome::Completed.into() }),
+        Frame::Bulk(report) => Ok(AttemptResult { held: held(&report), ..Outcome::Completed.into() }),
         Frame::Error(_) => Ok(Outcome::Errored.into()),
         other => bail!("unexpected reply {other:?}"),
     }
 }
 
 /// What the origin's answer means.
-pub fn answered(response: Response) -> Back {
+pub fn answered(response: Response) -> AttemptResult {
     let turned_away = response.header("x-turned-away") == Some(b"1");
     let outcome = match response.status {
         200 => Outcome::Completed,
@@ -108,7 +108,7 @@
         500 => Outcome::Errored,
         400..500 => {
             let value = Bytes::from(format!("ERR origin: status {}", response.status)).into();
-            return Back { value, ..Outcome::Rejected.into() };
+            return AttemptResult { value, ..Outcome::Rejected.into() };
         }
         status => {
             tracing::warn!("origin: status {status}");
@@ -116,7 +116,7 @@
         }
     };
     let held = response.header("x-pressure").and_then(held);
-    Back { outcome, value: response.body.into(), held }
+    AttemptResult { outcome, value: response.body.into(), held }
 }
 
 /// How much a node says it holds, in a report of names and values; one that can't be is none.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -2,7 +2,7 @@
 //! for connections alone, none for nodes.
 
 use crate::counters::Counters;
-use crate::phases::{Phase, Watch};
+use crate::phases::{Phase, PhaseWatch};
 use crate::shared::Shared;
 use crate::upstream::connection::Connection;
 use pumicebay_core::Node;
@@ -122,7 +122,7 @@
 
 /// Closes resting connections in time, and all once another process takes over, which needs their descriptors.
 pub async fn sweep(shared: Shared) {
-    let (mut closing, mut closed): (Watch, bool) = (shared.watch.clone(), false);
+    let (mut closing, mut closed): (PhaseWatch, bool) = (shared.phase.clone(), false);
     let mut due = interval(SWEEP);
     due.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -130,7 +130,7 @@
             _ = due.tick() => shared.upstream.sweep(),
             () = closing.reached(Phase::Closing), if !closed => {
                 closed = true;
-                if shared.heir.get().is_some() {
+                if shared.successor.get().is_some() {
                     shared.upstream.resting().clear();
                 }
             }
--- a/crates/proxy/tests/proxy/config.rs
+++ b/crates/proxy/tests/proxy/config.rs
@@ -3,7 +3,7 @@
 use crate::configuration;
 use expect_test::expect;
 use pumicebay::config;
-use pumicebay::tuning::Tuning;
+use pumicebay::tuning::RouteRegistry;
 use serde_json::json;
 
 #[test]
@@ -97,7 +97,7 @@
         config.origin_kind,
         config.idle,
         config.connect,
-        Tuning::default().take(&json["settings"]).1.longest(),
+        RouteRegistry::default().apply(&json["settings"]).1.longest_timeout(),
         config.ahead
     );
     expect![[r#"
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -6,7 +6,7 @@
 use crate::{Trace, cache_node, configuration, listen, origin_server, target};
 use anyhow::Context as _;
 use pumicebay::config::parse;
-use pumicebay::serve::reread;
+use pumicebay::serve::reload_on_hangup;
 use serde_json::{Value as Json, json};
 use std::io::Error;
 use std::net::SocketAddr;
@@ -270,7 +270,7 @@
         0 => parse(&configuration(&[])),
         left => Err(Error::from_raw_os_error([0, 24, 23, 24][left])).context("configuration FILE"),
     };
-    let mut configs = reread(read).unwrap();
+    let mut configs = reload_on_hangup(read).unwrap();
     let own = std::process::id().to_string();
     assert!(Command::new("kill").args(["-HUP", &own]).status().unwrap().success());
     let config = timeout(SOON, configs.recv()).await.unwrap().unwrap();
--- a/crates/proxy/tests/proxy/endings.rs
+++ b/crates/proxy/tests/proxy/endings.rs
@@ -6,17 +6,17 @@
 use bytes::Bytes;
 use expect_test::expect;
 use futures_util::SinkExt;
-use pumicebay::clients::{Front, accept};
+use pumicebay::clients::{Frontend, accept};
 use pumicebay::clock::Clock;
 use pumicebay::config::{Config, parse};
 use pumicebay::counters::Counters;
 use pumicebay::discovery::list::List;
-use pumicebay::heir::Seat;
-use pumicebay::messages::{Cargo, Mailbox, door};
-use pumicebay::module::Module;
+use pumicebay::heir::TakeoverSocket;
+use pumicebay::messages::{ClientRequest, Mailbox, channels};
+use pumicebay::module::Dispatcher;
 use pumicebay::phases::{Phase, Phases};
 use pumicebay::resp::Frame;
-use pumicebay::room::Room;
+use pumicebay::room::ConnectionLimit;
 use pumicebay::shared::Shared;
 use pumicebay::tuning::Routes;
 use pumicebay::upstream::attempt::{self, Errand, Target};
@@ -576,7 +576,17 @@
     let cargo = |id: &'static str| {
         let [key, id, labels] = ["hit", id, "c=read"].map(|word| Bytes::from_static(word.as_bytes()));
         let (client, value) = (Arc::downgrade(&here), Bytes::new());
-        Arc::new(Cargo { at: 0, ends: u64::MAX, client, write: false, key, id, labels, value, upload: None })
+        Arc::new(ClientRequest {
+            received_at: 0,
+            deadline: u64::MAX,
+            client_alive: client,
+            write: false,
+            key,
+            id,
+            labels,
+            value,
+            upload: None,
+        })
     };
     let until = Instant::now() + Duration::from_secs(3);
     let errand = |xchg, id, recall| Errand::Try { xchg, try_no: 0, cargo: cargo(id), until, recall };
@@ -595,11 +605,11 @@
     let (shared, phases, _mailbox) = shared();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let front = Front {
+    let front = Frontend {
         connections: TaskTracker::new(),
-        room: Room::new(4),
-        used: Arc::default(),
-        ahead: Arc::new(Semaphore::new(1)),
+        limit: ConnectionLimit::new(4),
+        used_connections: Arc::default(),
+        pipelined: Arc::new(Semaphore::new(1)),
         shared,
     };
     let mut client = std::net::TcpStream::connect(address).unwrap();
@@ -625,7 +635,7 @@
     let (follow, followed) = mpsc::channel(1);
     let (moves, discovery) = watch::channel(old);
     // The module's mailbox takes nothing more.
-    while timeout(Duration::from_millis(20), shared.door.list_failed()).await.is_ok() {}
+    while timeout(Duration::from_millis(20), shared.dispatcher.list_failed()).await.is_ok() {}
     tokio::spawn(List::new(shared.clone(), followed, None).run(discovery));
     while !counters.to_string().contains("list_answers 1\n") {
         sleep(Duration::from_millis(5)).await;
@@ -633,7 +643,7 @@
     moves.send_replace(new);
     yield_now().await;
     let settings = shared.config.settings.clone();
-    tokio::spawn(Module::new(shared, settings, follow, mailbox).run());
+    tokio::spawn(Dispatcher::new(shared, settings, follow, mailbox).run());
     for _ in 0..2000 {
         if counters.to_string().contains("nodes_known 1\n") {
             return;
@@ -701,36 +711,36 @@
 #[tokio::test]
 async fn a_connection_whose_heir_dies_ends_for_its_client() {
     let folder = Folder::new("heir-dies");
-    let old = Seat::take(&folder.0).unwrap();
-    let new = Seat::take(&folder.0).unwrap();
+    let old = TakeoverSocket::bind(&folder.0).unwrap();
+    let new = TakeoverSocket::bind(&folder.0).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    old.heir().expect("another process").pass(&stream, b"", true).await.unwrap();
+    old.successor().expect("another process").pass(&stream, b"", true).await.unwrap();
     drop(stream);
     // Nobody has taken it yet, and it is open.
     assert!(timeout(Duration::from_millis(50), client.read(&mut [0])).await.is_err());
     drop(new);
     // By the clock on the wall, which a busy machine stretches.
     assert!(matches!(timeout(3 * SOON, client.read(&mut [0])).await, Ok(Ok(0) | Err(_))));
-    assert!(old.heir().is_none());
+    assert!(old.successor().is_none());
 }
 
 /// What the actors share, without any that run.
 fn shared() -> (Shared, Phases, Mailbox) {
     let config = Arc::new(parse(&configuration(&[])).unwrap());
-    let (phases, (door, _desk, mailbox)) = (Phases::default(), door());
+    let (phases, (dispatcher, _control, mailbox)) = (Phases::default(), channels());
     let (_, routes) = watch::channel(Arc::new(Routes::default()));
     let counters = Arc::<Counters>::default();
     let shared = Shared {
         clock: Clock::start(),
         upstream: Pool::new(config.upstream, config.idle, counters.clone()),
         counters,
-        door,
-        watch: phases.watch(),
+        dispatcher,
+        phase: phases.watch(),
         routes,
-        long: Arc::new(Semaphore::new(config.long)),
-        heir: Arc::default(),
+        streamed_values: Arc::new(Semaphore::new(config.long)),
+        successor: Arc::default(),
         config,
     };
     (shared, phases, mailbox)
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -25,8 +25,8 @@
 use futures_util::{SinkExt, StreamExt};
 use pumicebay::config::{Config, parse};
 use pumicebay::counters::Counters;
-use pumicebay::phases::{Phase, Watch};
-use pumicebay::resp::{Frame, LONGEST_BULK, Resp};
+use pumicebay::phases::{Phase, PhaseWatch};
+use pumicebay::resp::{Frame, MAX_BULK_BYTES, Resp};
 use pumicebay::serve::Proxy;
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
 pub struct World {
     pub address: SocketAddr,
     pub operator: Option<SocketAddr>,
-    pub watch: Watch,
+    pub watch: PhaseWatch,
     pub cache: Trace,
     pub origin: Trace,
     pub discovery: Trace,
@@ -256,7 +256,7 @@
         let line = buffer.iter().take(20).position(|&byte| byte == b'\n');
         let head = line.and_then(|end| std::str::from_utf8(&buffer[..end]).ok()).unwrap_or_default();
         match head.trim_end().strip_prefix('$').and_then(|length| length.parse::<usize>().ok()) {
-            Some(length) if length > LONGEST_BULK => {
+            Some(length) if length > MAX_BULK_BYTES => {
                 let begin = head.len() + 1;
                 let whole = buffer.len() >= begin + length + 2;
                 let mut frame = || buffer.split_to(begin + length + 2).freeze().slice(begin..begin + length);
--- a/crates/proxy/tests/proxy/phases.rs
+++ b/crates/proxy/tests/proxy/phases.rs
@@ -87,7 +87,7 @@
             for phase in [Phase::Draining, Phase::Closing, Phase::Leaving, Phase::Stopped] {
                 let mut seen = watch.clone();
                 seen.reached(phase).await;
-                if seen.now() == phase {
+                if seen.current() == phase {
                     lines += &format!(" {phase:?} at {} ms", start.elapsed().as_millis());
                 }
             }
--- a/crates/proxy/tests/proxy/told.rs
+++ b/crates/proxy/tests/proxy/told.rs
@@ -5,8 +5,8 @@
 use crate::endings::{Late, move_node};
 use crate::operations::{Folder, process};
 use crate::{Told, Trace, World, configuration, target};
-use pumicebay::arrival::stamp;
-use pumicebay::heir::Seat;
+use pumicebay::arrival::enable_timestamps;
+use pumicebay::heir::TakeoverSocket;
 use pumicebay_core::policy::deadline::time_to_tell;
 use pumicebay_names::identity;
 use serde_json::{Value as Json, json};
@@ -291,7 +291,7 @@
 fn a_request_older_than_its_process_tells_what_is_left() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    assert!(stamp(&socket));
+    assert!(enable_timestamps(&socket));
     let mut client = std::net::TcpStream::connect(socket.local_addr().unwrap()).unwrap();
     client.write_all(&get("miss", "c=read,d=3000")).unwrap();
     let asked = Instant::now();
@@ -341,9 +341,9 @@
     let own = folder.0.join(format!("pumicebay-{:016x}", identity("n0")));
     std::fs::create_dir(&own).unwrap();
     std::fs::set_permissions(&own, std::fs::Permissions::from_mode(0o700)).unwrap();
-    let old = Seat::take(&own).unwrap();
+    let old = TakeoverSocket::bind(&own).unwrap();
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    assert!(stamp(&socket));
+    assert!(enable_timestamps(&socket));
     let command = get("miss", "c=read,d=3000");
     let mut waiting = Vec::new();
     for read_before in [0, 20] {
@@ -361,7 +361,7 @@
     let list = Some(world.json["known"].clone());
     let (mut new, _) = process(&world, &socket, &folder, "told-handed-over", list).await;
     for (mut client, stream, read) in waiting {
-        old.heir().expect("another process").pass(&stream, &read, true).await.unwrap();
+        old.successor().expect("another process").pass(&stream, &read, true).await.unwrap();
         drop(stream);
         let reply = tokio::task::spawn_blocking(move || {
             let mut reply = [0; 4];
--- a/crates/proxy/tests/proxy/wire.rs
+++ b/crates/proxy/tests/proxy/wire.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use expect_test::expect;
 use pumicebay::http::{self, Http, Request};
-use pumicebay::messages::Cargo;
+use pumicebay::messages::ClientRequest;
 use pumicebay::resp::{self, Frame, Resp};
 use pumicebay::upstream::forms::{answered, command, labels, probed, replied, request};
 use std::fmt::Debug;
@@ -140,10 +140,10 @@
 
 #[test]
 fn a_try_goes_on_as_it_came_but_for_how_long_we_wait() {
-    let cargo = |write| Cargo {
-        at: 0,
-        ends: 0,
-        client: Weak::new(),
+    let cargo = |write| ClientRequest {
+        received_at: 0,
+        deadline: 0,
+        client_alive: Weak::new(),
         upload: None,
         write,
         key: "k/1 é".into(),
@@ -227,7 +227,7 @@
         Frame::Array(vec![]),
         Frame::Null,
     ] {
-        let end = |back: anyhow::Result<pumicebay::messages::Back>| match back {
+        let end = |back: anyhow::Result<pumicebay::messages::AttemptResult>| match back {
             Ok(back) => format!("{:?} {:?} {:?}", back.outcome, back.value, back.held),
             Err(error) => format!("garbage: {error}"),
         };
@@ -329,7 +329,7 @@
 #[test]
 fn long_members_come_in_pieces_whatever_the_cut() {
     let resp = |part| match part {
-        resp::Part::Piece(piece) => Ok(piece.len()),
+        resp::FramePart::Piece(piece) => Ok(piece.len()),
         other => Err(format!("{other:?}")),
     };
     let value = "v".repeat(70_000);
@@ -344,7 +344,7 @@
         "*1\r\n$4194305\r\n".into(),
     ] {
         trace += &format!("{}\n", bytes[..12].escape_debug());
-        trace += &in_parts(resp::Parts::default, bytes.as_bytes(), resp);
+        trace += &in_parts(resp::StreamingResp::default, bytes.as_bytes(), resp);
     }
     let http = |part| match part {
         http::Part::Piece(piece) => Ok(piece.len()),
