--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -59,7 +59,7 @@
     /// Connections that have brought an exchange.
     pub used_connections: Arc<AtomicUsize>,
     /// Commands that connections may take beyond their first: bounds the answers that slow readers leave here.
-    pub pipelined: Arc<Semaphore>,
+    pub pipeline_permits: Arc<Semaphore>,
 }
 
 /// Takes the connections that the process before passes on, as long as this one lives.
@@ -152,7 +152,7 @@
     frontend: Frontend,
     framed: Framed<ClientStream, StreamingResp>,
     /// In the order of the commands.
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingReply>,
     /// When the command began that has come in part.
     command_started: Option<Instant>,
     /// It has brought an exchange.
@@ -161,7 +161,7 @@
     alive: Arc<()>,
 }
 
-struct Pending {
+struct PendingReply {
     reply: Reply,
     _permit: Option<OwnedSemaphorePermit>,
 }
@@ -214,8 +214,9 @@
         let (mut sent_command, mut last_active) = (self.used, Instant::now());
         loop {
             let idle = self.pending.is_empty();
-            let read_more =
-                idle || self.pending.len() < MAX_PIPELINED && self.frontend.pipelined.available_permits() > 0;
+            let read_more = idle
+                || self.pending.len() < MAX_PIPELINED
+                    && self.frontend.pipeline_permits.available_permits() > 0;
             // What is left unread can't be late.
             self.command_started = self.command_started.filter(|_| read_more);
             tokio::select! {
@@ -241,9 +242,9 @@
                         if !self.used && matches!(reply, Reply::Waiting(..)) {
                             self.mark_used();
                         }
-                        let permit = || self.frontend.pipelined.clone().try_acquire_owned().ok();
+                        let permit = || self.frontend.pipeline_permits.clone().try_acquire_owned().ok();
                         let _permit = if idle { None } else { permit() };
-                        self.pending.push_back(Pending { reply, _permit });
+                        self.pending.push_back(PendingReply { reply, _permit });
                     }
                     Some(Err(error)) => return self.reject(error).await,
                     None => return Ok(()),
@@ -294,7 +295,7 @@
         }
         self.frontend.shared.counters.bad_commands.add();
         let reply = Reply::Ready(Frame::error(format!("ERR Protocol error: {error}")));
-        self.pending.push_back(Pending { reply, _permit: None });
+        self.pending.push_back(PendingReply { reply, _permit: None });
         self.send_pending_replies().await?;
         // Closing before all is read would reset the connection, and the client might lose the reply.
         let stream = self.framed.get_mut();
@@ -371,7 +372,7 @@
         if !self.used && matches!(reply, Reply::Waiting(..)) {
             self.mark_used();
         }
-        self.pending.push_back(Pending { reply, _permit: None });
+        self.pending.push_back(PendingReply { reply, _permit: None });
         let mut piece = None;
         loop {
             let (reply_pending, piece_pending) =
@@ -506,7 +507,7 @@
 /// The next command, which must be whole some time after its first byte. None once the client has left.
 async fn next_command(
     framed: &mut Framed<ClientStream, StreamingResp>,
-    last_active: &mut Option<Instant>,
+    started: &mut Option<Instant>,
     read_more: bool,
 ) -> Option<std::io::Result<FramePart>> {
     if !read_more {
@@ -519,14 +520,14 @@
     } else {
         framed.get_mut().record_unread_since();
     }
-    let deadline = *last_active.get_or_insert_with(Instant::now) + CLIENT_IO_TIMEOUT;
+    let deadline = *started.get_or_insert_with(Instant::now) + CLIENT_IO_TIMEOUT;
     let frame = timeout_at(deadline, framed.next()).await;
-    *last_active = None;
+    *started = None;
     frame.unwrap_or_else(|_| Some(Err(invalid("command without end"))))
 }
 
 /// The reply that is due next; who gets it takes it off. Losing the race to something else loses nothing.
-async fn next_reply(pending: &mut VecDeque<Pending>) -> OutgoingReply {
+async fn next_reply(pending: &mut VecDeque<PendingReply>) -> OutgoingReply {
     let reply = match pending.front_mut().map(|pending| &mut pending.reply) {
         Some(Reply::Ready(reply)) => reply.clone(),
         Some(Reply::Waiting(_, answer)) => match answer.await {
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -10,14 +10,14 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Nanos,
+    unix_start: Nanos,
     start: Instant,
 }
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_nanos() as Nanos, start: Instant::now() }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: unix_start.as_nanos() as Nanos, start: Instant::now() }
     }
 
     pub fn now(&self) -> Nanos {
@@ -25,10 +25,10 @@
     }
 
     pub fn at(&self, instant: Instant) -> Nanos {
-        self.unix + instant.saturating_duration_since(self.start).as_nanos() as Nanos
+        self.unix_start + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
     pub fn instant(&self, at: Nanos) -> Instant {
-        self.start + Duration::from_nanos(at.saturating_sub(self.unix))
+        self.start + Duration::from_nanos(at.saturating_sub(self.unix_start))
     }
 }
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -41,7 +41,7 @@
 /// Carries out what the decisions ask for.
 struct DispatcherHost {
     shared: Shared,
-    follow: mpsc::Sender<()>,
+    follow_discovery: mpsc::Sender<()>,
     nodes: Nodes,
     log_budget: LineBudget,
     open_requests: HashMap<RequestId, OpenRequest>,
@@ -49,8 +49,8 @@
     open_ids: HashSet<Bytes>,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
     /// Tries that could not be sent, and probes, to be reported once the decisions have returned.
-    unsent: Vec<(RequestId, usize, Node)>,
-    unprobed: Vec<Node>,
+    unsent_attempts: Vec<(RequestId, usize, Node)>,
+    unsent_probes: Vec<Node>,
     /// The fleet's way to probe, where there is one: then one process probes for many.
     prober: Option<Prober>,
 }
@@ -65,18 +65,23 @@
 }
 
 impl Dispatcher {
-    pub fn new(shared: Shared, settings: Settings, follow: mpsc::Sender<()>, mailbox: Mailbox) -> Dispatcher {
+    pub fn new(
+        shared: Shared,
+        settings: Settings,
+        follow_discovery: mpsc::Sender<()>,
+        mailbox: Mailbox,
+    ) -> Dispatcher {
         let (clock, config) = (shared.clock, shared.config.clone());
         let host = DispatcherHost {
             shared,
-            follow,
+            follow_discovery,
             nodes: Nodes::default(),
             log_budget: LineBudget::default(),
             open_requests: HashMap::new(),
             open_ids: HashSet::new(),
             timers: BinaryHeap::new(),
-            unsent: Vec::new(),
-            unprobed: Vec::new(),
+            unsent_attempts: Vec::new(),
+            unsent_probes: Vec::new(),
             prober: None,
         };
         let balance = Balance::new(host, settings, config.seed, clock.now());
@@ -279,11 +284,11 @@
 
     /// Ends what the decisions asked for in vain, until they ask for nothing more.
     fn report_unsent(&mut self) {
-        while let Some((request_id, attempt_number, node)) = self.balance.host.unsent.pop() {
+        while let Some((request_id, attempt_number, node)) = self.balance.host.unsent_attempts.pop() {
             let now = self.balance.host.shared.clock.now();
             self.attempt_ended(now, request_id, attempt_number, node, Outcome::Unsent.into());
         }
-        while let Some(node) = self.balance.host.unprobed.pop() {
+        while let Some(node) = self.balance.host.unsent_probes.pop() {
             self.balance.probed(node, Outcome::Unsent);
         }
     }
@@ -357,7 +362,7 @@
         let errand = Errand::Try { xchg: request_id, try_no: attempt_number, cargo: request, until, recall };
         // Once the proxy leaves, nothing is sent any more.
         if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, errand) {
-            self.unsent.push((request_id, attempt_number, node));
+            self.unsent_attempts.push((request_id, attempt_number, node));
         } else {
             self.shared.counters.tries_sent.add();
             if let Some(open) = self.open_requests.get(&request_id) {
@@ -401,7 +406,7 @@
             _ => self.send_probe(node),
         };
         if !sent {
-            self.unprobed.push(node);
+            self.unsent_probes.push(node);
         }
     }
 
@@ -415,7 +420,7 @@
 
     fn follow(&mut self) {
         // A call that is still waiting to be made is the same call.
-        let _ = self.follow.try_send(());
+        let _ = self.follow_discovery.try_send(());
     }
 
     fn log(&mut self, line: &str) {
--- a/crates/proxy/src/resp.rs
+++ b/crates/proxy/src/resp.rs
@@ -148,22 +148,20 @@
 
 /// Takes a frame off the buffer, or an array up to the bytes of its long member.
 fn decode(buffer: &mut BytesMut) -> Result<Decoded, Error> {
-    let (mut at, mut elements) = (0, Elements::new());
-    match measure(buffer, &mut at, MAX_DEPTH, &mut elements)? {
+    let (mut at, mut spans) = (0, Spans::new());
+    match measure(buffer, &mut at, MAX_DEPTH, &mut spans)? {
         Measured::Whole => {
-            let frame = build_frame(&buffer.split_to(at).freeze(), &mut elements.iter());
+            let frame = build_frame(&buffer.split_to(at).freeze(), &mut spans.iter());
             Ok(Decoded::Whole(frame))
         }
         Measured::Partial if buffer.len() > MAX_FRAME_BYTES => Err(invalid("frame too long")),
         Measured::Partial => Ok(Decoded::Partial),
         Measured::Long(length) => {
-            let (whole, mut members) = (buffer.split_to(at).freeze(), elements.iter());
-            let Some(&Element::Array(count)) = members.next() else {
-                return Err(invalid("bulk string too long"));
-            };
+            let (whole, mut iter) = (buffer.split_to(at).freeze(), spans.iter());
+            let Some(&Span::Array(count)) = iter.next() else { return Err(invalid("bulk string too long")) };
             let mut before = Vec::with_capacity(count);
-            while members.len() > 0 {
-                before.push(build_frame(&whole, &mut members));
+            while iter.len() > 0 {
+                before.push(build_frame(&whole, &mut iter));
             }
             let after = count - before.len() - 1;
             Ok(Decoded::Long(before, length, after))
@@ -180,7 +178,7 @@
 
 /// A part of a frame, by where it stands in the buffer. The parts of an array follow it.
 #[derive(Clone, Copy)]
-enum Element {
+enum Span {
     Line(u8, usize, usize),
     Integer(i64),
     Bulk(usize, usize),
@@ -189,10 +187,10 @@
 }
 
 /// As many as a command or reply of ours has, without memory of their own.
-type Elements = SmallVec<[Element; 8]>;
+type Spans = SmallVec<[Span; 8]>;
 
 /// Finds the end of the frame that begins at `at`, and its parts.
-fn measure(buffer: &[u8], at: &mut usize, depth: usize, elements: &mut Elements) -> Result<Measured, Error> {
+fn measure(buffer: &[u8], at: &mut usize, depth: usize, spans: &mut Spans) -> Result<Measured, Error> {
     let Some(&kind) = buffer.get(*at) else { return Ok(Measured::Partial) };
     if !b"+-:$*".contains(&kind) {
         return Err(invalid("expected a RESP type"));
@@ -212,9 +210,9 @@
         let text = std::str::from_utf8(text).ok().filter(|text| !text.starts_with('+'));
         text.and_then(|text| text.parse::<i64>().ok()).ok_or_else(|| invalid("expected a number"))
     };
-    let element = match kind {
-        b':' => Element::Integer(number()?),
-        b'$' | b'*' if number()? == -1 => Element::Null,
+    let span = match kind {
+        b':' => Span::Integer(number()?),
+        b'$' | b'*' if number()? == -1 => Span::Null,
         b'$' => {
             let length = usize::try_from(number()?).map_err(|_| invalid("invalid bulk length"))?;
             if length > MAX_BULK_BYTES {
@@ -229,39 +227,37 @@
                 return Err(invalid("bulk string without end"));
             }
             *at = end + 2;
-            Element::Bulk(begin, end)
+            Span::Bulk(begin, end)
         }
         b'*' => {
             let length = usize::try_from(number()?).map_err(|_| invalid("invalid array length"))?;
             if length > MAX_ARRAY_LENGTH || depth == 0 {
                 return Err(invalid("array too long or too deep"));
             }
-            elements.push(Element::Array(length));
+            spans.push(Span::Array(length));
             for _ in 0..length {
-                match measure(buffer, at, depth - 1, elements)? {
+                match measure(buffer, at, depth - 1, spans)? {
                     Measured::Whole => {}
                     incomplete => return Ok(incomplete),
                 }
             }
             return Ok(Measured::Whole);
         }
-        _ => Element::Line(kind, from, from + text.len()),
+        _ => Span::Line(kind, from, from + text.len()),
     };
-    elements.push(element);
+    spans.push(span);
     Ok(Measured::Whole)
 }
 
 /// The next frame of these shapes; each was measured, so none is missing.
-fn build_frame(buffer: &Bytes, elements: &mut std::slice::Iter<'_, Element>) -> Frame {
-    match elements.next() {
-        Some(&Element::Line(b'+', begin, end)) => Frame::Simple(buffer.slice(begin..end)),
-        Some(&Element::Line(_, begin, end)) => Frame::Error(buffer.slice(begin..end)),
-        Some(&Element::Integer(number)) => Frame::Integer(number),
-        Some(&Element::Bulk(begin, end)) => Frame::Bulk(buffer.slice(begin..end)),
-        Some(&Element::Array(length)) => {
-            Frame::Array((0..length).map(|_| build_frame(buffer, elements)).collect())
-        }
-        Some(Element::Null) | None => Frame::Null,
+fn build_frame(buffer: &Bytes, spans: &mut std::slice::Iter<'_, Span>) -> Frame {
+    match spans.next() {
+        Some(&Span::Line(b'+', begin, end)) => Frame::Simple(buffer.slice(begin..end)),
+        Some(&Span::Line(_, begin, end)) => Frame::Error(buffer.slice(begin..end)),
+        Some(&Span::Integer(number)) => Frame::Integer(number),
+        Some(&Span::Bulk(begin, end)) => Frame::Bulk(buffer.slice(begin..end)),
+        Some(&Span::Array(length)) => Frame::Array((0..length).map(|_| build_frame(buffer, spans)).collect()),
+        Some(Span::Null) | None => Frame::Null,
     }
 }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -86,19 +86,19 @@
     /// Opens its sockets only when it is able to serve what comes.
     pub async fn start(config: Config, counters: Arc<Counters>) -> Result<Proxy> {
         let file_config = config;
-        let (kept, laid) = carrier::kept(&file_config).await;
-        let (mut config, accepted_resources) = match laid {
-            Some(laid) => (laid.config, laid.good),
+        let (kept, applied) = carrier::kept(&file_config).await;
+        let (mut config, accepted_resources) = match applied {
+            Some(applied) => (applied.config, applied.good),
             None => (file_config.clone(), Vec::new()),
         };
         // Read once, below, and held by nobody after that.
         let mut file_config = file_config;
         file_config.known.take();
-        let known = config.known.take();
+        let known_list = config.known.take();
         let (phases, config) = (Phases::new(counters.clone()), Arc::new(config));
         tracing::info!("{}", config.summary().replace('\n', "; "));
         let (handle, control, mailbox) = messages::channels();
-        let (follow, followed) = mpsc::channel(1);
+        let (follow_sender, follow_receiver) = mpsc::channel(1);
         if let Some(folder) = &config.folder
             && let Err(error) = std::fs::create_dir_all(folder)
         {
@@ -111,7 +111,7 @@
         let share = |whole: usize| if taking_over { whole.div_ceil(2) } else { whole };
         let upstream = Pool::new(share(config.upstream), config.idle, counters.clone());
         let streamed_values = Arc::new(Semaphore::new(share(config.long)));
-        let pipelined = Arc::new(Semaphore::new(share(config.ahead)));
+        let pipeline_permits = Arc::new(Semaphore::new(share(config.ahead)));
         let mut route_registry = RouteRegistry::default();
         let (settings, routes) = route_registry.apply(&config.json["settings"]);
         let (routes_sender, routes) = watch::channel(Arc::new(routes));
@@ -127,25 +127,25 @@
             successor,
         };
         let config = &shared.config;
-        let mut dispatcher = Dispatcher::new(shared.clone(), settings, follow, mailbox);
+        let mut dispatcher = Dispatcher::new(shared.clone(), settings, follow_sender, mailbox);
         let mut version = None;
-        match entries(known.as_deref().unwrap_or("{}").as_bytes(), config) {
-            Ok((known, whole, named)) => {
-                version = Some(known);
-                dispatcher.apply_list(whole, named);
+        match entries(known_list.as_deref().unwrap_or("{}").as_bytes(), config) {
+            Ok((list_version, full, nodes)) => {
+                version = Some(list_version);
+                dispatcher.apply_list(full, nodes);
             }
             Err(error) => tracing::warn!("known: no list to start from: {error:#}"),
         }
-        drop(known);
-        let mut list = List::new(shared.clone(), followed, version);
+        drop(known_list);
+        let mut list = List::new(shared.clone(), follow_receiver, version);
         if config.inherited {
             // What the process before knew, and what discovery knows by now.
             match list.left(config.folder.as_deref()) {
-                Ok(named) => dispatcher.apply_list(true, named),
+                Ok(nodes) => dispatcher.apply_list(true, nodes),
                 Err(error) => tracing::info!("no list from a process before: {error:#}"),
             }
             match timeout(FIRST_LIST_TIMEOUT, list.first()).await.context("silent").flatten() {
-                Ok(named) => dispatcher.apply_list(true, named),
+                Ok(nodes) => dispatcher.apply_list(true, nodes),
                 Err(error) => tracing::warn!("discovery: starts from the list it was given: {error:#}"),
             }
         }
@@ -153,7 +153,8 @@
         let operator = config.operator.map(|at| listen("operator", at)).transpose()?;
         let operator_address = operator.as_ref().map(TcpListener::local_addr).transpose()?;
         let has_carrier = config.fleet.as_ref().is_some_and(|fleet| fleet.carrier.is_some());
-        let (tell, told) = has_carrier.then(|| watch::channel(carrier::actor::Told::default())).unzip();
+        let (carrier_status_sender, carrier_status) =
+            has_carrier.then(|| watch::channel(carrier::actor::Told::default())).unzip();
         let me = config.fleet.as_ref().map(|section| fleet::me::Me::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
@@ -187,7 +188,8 @@
             actors.spawn(Bans { desk: control.clone(), folder, out, fences, replication }.run(calls));
             if let Some(listener) = operator {
                 let counters = shared.counters.clone();
-                let operator = Operator { watch, counters, maintenance, replication: handle, carrier: told };
+                let operator =
+                    Operator { watch, counters, maintenance, replication: handle, carrier: carrier_status };
                 actors.spawn(operator::accept(operator, listener));
             }
         }
@@ -199,11 +201,12 @@
             asker
         });
         let (layer, carrier_orders) = apply::door();
-        let carrier = me.as_ref().zip(tell).and_then(|(me, tell)| {
+        let carrier = me.as_ref().zip(carrier_status_sender).and_then(|(me, carrier_status_sender)| {
             let section = me.config.carrier.clone()?;
-            let (door, parts) = carrier::start(me, section, fleet.clone(), layer, kept, tell);
+            let (carrier_handle, parts) =
+                carrier::start(me, section, fleet.clone(), layer, kept, carrier_status_sender);
             actors.spawn(parts);
-            Some(door)
+            Some(carrier_handle)
         });
         let listener =
             if config.inherited { inherited_listener()? } else { listen("listen", config.listen)? };
@@ -214,7 +217,7 @@
             connections: connections.clone(),
             limit: ConnectionLimit::new(config.clients),
             used_connections: Arc::default(),
-            pipelined: pipelined.clone(),
+            pipeline_permits: pipeline_permits.clone(),
         };
         let (config, counters) = (config.clone(), shared.counters.clone());
         let discovery = watch::Sender::new(config.discovery);
@@ -236,7 +239,7 @@
                 sleep(TAKEOVER_OVERLAP).await;
                 upstream.grow(limits.upstream / 2);
                 streamed_values.add_permits(limits.long / 2);
-                pipelined.add_permits(limits.ahead / 2);
+                pipeline_permits.add_permits(limits.ahead / 2);
             });
         }
         actors.spawn(reserve_descriptors(frontend.limit.clone()));
@@ -301,30 +304,30 @@
 
     /// Puts the file in force with what is carried over it.
     async fn apply_config(&mut self) -> apply::Laid {
-        let laid = if self.carrier_resources.is_empty() {
+        let applied = if self.carrier_resources.is_empty() {
             apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
         } else {
             let (file_config, carrier_resources, accepted_resources) =
                 (self.file_config.clone(), self.carrier_resources.clone(), self.accepted_resources.clone());
             // Many that fail are read one by one: exchanges don't wait for that.
-            let laid =
+            let applied =
                 spawn_blocking(move || apply::lay(&file_config, &carrier_resources, &accepted_resources))
                     .await;
-            laid.unwrap_or_else(|error| {
+            applied.unwrap_or_else(|error| {
                 tracing::error!("carrier: nothing of it is in force: {error}");
                 apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
             })
         };
-        self.accepted_resources.clone_from(&laid.good);
-        let (settings, routes) = self.route_registry.apply(&laid.config.json["settings"]);
+        self.accepted_resources.clone_from(&applied.good);
+        let (settings, routes) = self.route_registry.apply(&applied.config.json["settings"]);
         self.control.apply_settings(settings).await;
         self.routes.send_replace(Arc::new(routes));
-        let discovery = laid.config.discovery;
+        let discovery = applied.config.discovery;
         self.discovery.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
-        for (scope, name, why) in &laid.refused {
+        for (scope, name, why) in &applied.refused {
             tracing::error!("carrier: {name} for {scope} is refused: {why}");
         }
-        laid
+        applied
     }
 
     /// What the carrier wants.
@@ -332,8 +335,8 @@
         match order {
             apply::Order::Lay(resources, answer) => {
                 self.carrier_resources = resources;
-                let laid = self.apply_config().await;
-                let _ = answer.send(laid.refused);
+                let applied = self.apply_config().await;
+                let _ = answer.send(applied.refused);
             }
             apply::Order::Check(new, answer) => {
                 let (file_config, accepted_resources) =
@@ -404,7 +407,7 @@
     read: impl Fn() -> Result<Config> + Send + 'static,
 ) -> Result<mpsc::Receiver<Result<Config>>> {
     let mut hangup = signal(SignalKind::hangup())?;
-    let (tell, configs) = mpsc::channel(1);
+    let (sender, configs) = mpsc::channel(1);
     tokio::spawn(async move {
         while hangup.recv().await.is_some() {
             let (until, mut config) = (Instant::now() + MAX_RELOAD_WAIT, read());
@@ -412,7 +415,7 @@
                 sleep(DESCRIPTOR_CHECK_INTERVAL).await;
                 config = read();
             }
-            if tell.send(config).await.is_err() {
+            if sender.send(config).await.is_err() {
                 return;
             }
         }
--- a/crates/proxy/tests/proxy/endings.rs
+++ b/crates/proxy/tests/proxy/endings.rs
@@ -609,7 +609,7 @@
         connections: TaskTracker::new(),
         limit: ConnectionLimit::new(4),
         used_connections: Arc::default(),
-        pipelined: Arc::new(Semaphore::new(1)),
+        pipeline_permits: Arc::new(Semaphore::new(1)),
         shared,
     };
     let mut client = std::net::TcpStream::connect(address).unwrap();
