--- a/crates/proxy/src/arrival.rs
+++ b/crates/proxy/src/arrival.rs
@@ -1,6 +1,7 @@
-//! A client's connection that knows when what it reads came. The kernel stamps what it receives: what lay unread while the
-//! proxy was busy, had no room for it or was only starting is not taken for newer than it is. Where the kernel gives no
-//! stamps the time of the read counts. It must never make a request older than the kernel says.
+//! A client's TCP connection that knows when the bytes it reads arrived. The kernel timestamps received data,
+//! so a request that lay unread while the proxy was busy, had no free connection slot or was still starting
+//! keeps its true age. Without kernel timestamps the time of the read counts. A request must never be taken
+//! for older than the kernel says.
 
 use nix::cmsg_space;
 use nix::sys::socket::sockopt::ReceiveTimestampns;
@@ -15,42 +16,44 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A stamp that is older says that the machine's clock was set meanwhile.
+/// An older timestamp means that the system clock was set since.
 const MAX_AGE: Duration = Duration::from_secs(10);
 
-/// Has the kernel stamp what comes on this socket, and on those that a listener accepts from now on. Whether it does.
+/// Makes the kernel timestamp data received on this socket, and on those that a listener accepts from now on.
+/// Returns whether it does.
 pub fn enable_timestamps(socket: &impl AsFd) -> bool {
     setsockopt(socket, ReceiveTimestampns, &true).is_ok()
 }
 
-/// A client's connection, with the time at which the bytes came that were read last.
+/// A client's connection, with the arrival time of the bytes read last.
 #[derive(Debug)]
 pub struct ClientStream {
     stream: TcpStream,
-    /// Room for a stamp; empty where there are none.
+    /// Buffer for a timestamp's control message; empty if the kernel gives none.
     control: Vec<u8>,
-    /// Since when the next byte has lain unread, once that was looked at.
+    /// When the next unread byte arrived, if that was looked up.
     unread_since: Option<Instant>,
     received_at: Instant,
 }
 
 impl ClientStream {
-    /// Of a connection that was just accepted or taken over.
+    /// Wraps a connection that was just accepted or taken over.
     pub fn new(stream: TcpStream) -> ClientStream {
         let control = if enable_timestamps(&stream) { cmsg_space!(TimeSpec) } else { Vec::new() };
         ClientStream { stream, control, unread_since: None, received_at: Instant::now() }
     }
 
+    /// The underlying stream.
     pub fn tcp(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// When the bytes came that were read last, as far as is known.
+    /// When the bytes read last arrived, as far as is known.
     pub fn received_at(&self) -> Instant {
         self.received_at
     }
 
-    /// Returns once something is there to be read, or the end, and notes since when it has been.
+    /// Returns once data or the end of the stream can be read, and records when it arrived.
     pub async fn wait_readable(&mut self) -> Result<()> {
         if self.control.is_empty() {
             return self.stream.peek(&mut [0]).await.map(|_| ());
@@ -61,7 +64,7 @@
         Ok(())
     }
 
-    /// Notes since when what is there has been, if anything is.
+    /// Records when the unread data arrived, if there is any.
     pub fn record_unread_since(&mut self) {
         let Self { stream, control, .. } = self;
         if !control.is_empty()
@@ -72,7 +75,7 @@
     }
 }
 
-/// When the kernel received the next byte, by the machine's clock; `None` where it does not say.
+/// When the kernel received the next byte, by the system clock; `None` if the kernel does not say.
 fn peek_timestamp(stream: &TcpStream, control: &mut Vec<u8>) -> Result<Option<TimeSpec>> {
     control.clear();
     control.resize(control.capacity(), 0);
@@ -87,7 +90,8 @@
     }))
 }
 
-/// The steady clock's time for one of the machine's clock, if that can be right.
+/// Converts a time of the system clock to the monotonic clock; `None` if the time is in the future or too old
+/// to be right.
 fn to_instant(timestamp: TimeSpec) -> Option<Instant> {
     let received = UNIX_EPOCH.checked_add(Duration::from(timestamp))?;
     let age = SystemTime::now().duration_since(received).ok().filter(|age| *age <= MAX_AGE)?;
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' front: RESP commands in, answers out in the order of the commands.
+//! Client connections: reads RESP commands and writes the replies in the order of the commands.
 
 use crate::arrival::{self, ClientStream};
 use crate::clock::MILLIS;
@@ -27,42 +27,49 @@
 use tokio_util::codec::Framed;
 use tokio_util::task::TaskTracker;
 
-/// Commands on one connection that await their answers; more are left unread.
+/// Commands of one connection that may await their replies; further ones stay unread in the socket.
 const MAX_PIPELINED: usize = 32;
-/// A connection may be without a whole command for so long after it comes up, and without more of a long value.
+/// How long a new connection may take to send its first whole command, and how long a client may pause while
+/// it sends a long value.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
-/// What stands idle for less is closed for want of room last, as a request might be on its way.
+/// Connections idle for less than this are evicted last, since a request may be on its way.
 const RECENT_ACTIVITY: Duration = Duration::from_millis(2200);
-/// Past the cap, new connections that have brought nothing wait before the door: so many, for no longer than
-/// this, and the less the more there are. The rest of them wait in the kernel.
+/// Above the connection limit, at most this many accepted connections wait for their first bytes; the others
+/// stay in the kernel's accept queue.
 const MAX_WAITING_CONNECTIONS: usize = 16;
+/// The longest that such a connection waits for its first bytes (less, the more of them wait), and the age at
+/// which a connection without a request may be evicted.
 const NEW_CONNECTION_WAIT: Duration = Duration::from_millis(20);
-/// How long a client may take to read what it asked for, or to write a command that is not its first.
+/// How long a client may take to read a reply, or to send the rest of a command after the first one.
 const CLIENT_IO_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often it is looked whether a client that does not read its answer is still there.
+/// How often a blocked write checks whether the client is still connected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// What is still read from a client that was refused, and for how long.
+/// How long the rest of the input of a rejected client is read before the connection is closed.
 const LINGER: Duration = Duration::from_secs(1);
+/// How many bytes of it are read at most.
 const LINGER_BYTES: u64 = 1 << 20;
-/// How large a buffer for replies stays.
+/// Capacity of the write buffer that a connection keeps between replies.
 const MAX_KEPT_BUFFER: usize = 8 * 1024;
-/// The pause after a connection could not be accepted, for want of descriptors.
+/// Pause after an accept failed, usually for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
+/// Accepts client connections and serves them. Clones share all state.
 #[derive(Clone)]
 pub struct Frontend {
     pub shared: Shared,
+    /// Tasks of the open client connections.
     pub connections: TaskTracker,
-    /// For clients' connections: asked to close is one that brought no exchange yet, else the one without one
-    /// longest, also amid a command.
+    /// Limits client connections. To make room, it closes a connection that has not sent a request yet, else
+    /// the one idle longest; a partly sent command does not prevent that.
     pub limit: ConnectionLimit,
-    /// Connections that have brought an exchange.
+    /// Number of open connections that have sent a request.
     pub used_connections: Arc<AtomicUsize>,
-    /// Commands that connections may take beyond their first: bounds the answers that slow readers leave here.
+    /// Permits for commands beyond the first on a connection. Bounds the replies that slow readers leave in
+    /// memory.
     pub pipeline_permits: Arc<Semaphore>,
 }
 
-/// Takes the connections that the process before passes on, as long as this one lives.
+/// Serves the connections that the previous process passes on, for as long as this process runs.
 pub async fn take_over(frontend: Frontend, socket: Arc<TakeoverSocket>) {
     loop {
         match socket.receive().await {
@@ -80,15 +87,16 @@
                 });
             }
             Err(error) => {
-                tracing::warn!("connections passed on: {error}");
+                tracing::warn!("receiving a client connection from the previous process failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Accepts until the phase says no more, and then what the kernel has accepted by that time: such a client may have
-/// sent a command. Where another process has the same socket, it does.
+/// Accepts client connections until the phase reaches `Closing`, and then those that the kernel had accepted
+/// by that time, since their clients may have sent a command. If a successor has the same listening socket,
+/// it accepts the latter instead.
 pub async fn accept(frontend: Frontend, listener: TcpListener) {
     arrival::enable_timestamps(&listener);
     let (mut closing, waiting_slots) =
@@ -103,7 +111,7 @@
             Ok((stream, _)) => admit(&frontend, stream, &waiting_slots).await,
             Err(error) => {
                 frontend.shared.counters.accept_failures.add();
-                tracing::warn!("accept: {error}");
+                tracing::warn!("accepting a client connection failed: {error}");
                 frontend.limit.evict_one();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -112,7 +120,7 @@
     if frontend.shared.successor.get().is_none()
         && let Ok(listener) = listener.into_std()
     {
-        // The kernel itself is asked: the runtime may not have heard of the last ones.
+        // Calls accept directly: the runtime may not have been notified of the last connections yet.
         while let Ok((stream, _)) = listener.accept()
             && stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
@@ -122,7 +130,7 @@
     }
 }
 
-/// Lets a new connection in once there is room for it.
+/// Starts serving a new connection as soon as the limit allows it.
 async fn admit(frontend: &Frontend, stream: TcpStream, waiting_slots: &Arc<Semaphore>) {
     frontend.shared.counters.clients_accepted.add();
     let _ = stream.set_nodelay(true);
@@ -137,7 +145,7 @@
     frontend.connections.clone().spawn(async move {
         let _permit = match permit {
             Some(permit) => permit,
-            // Those that say nothing must not turn out those that do.
+            // A connection that sends nothing must not evict one that does.
             None if timeout(max_wait, stream.peek(&mut [0])).await.is_err() => {
                 return frontend.shared.counters.clients_closed_for_room.add();
             }
@@ -148,30 +156,34 @@
     });
 }
 
+/// One client connection.
 struct Client {
     frontend: Frontend,
     framed: Framed<ClientStream, StreamingResp>,
-    /// In the order of the commands.
+    /// Replies that are not sent yet, in the order of the commands.
     pending: VecDeque<PendingReply>,
-    /// When the command began that has come in part.
+    /// When the first byte of a partly received command was seen.
     command_started: Option<Instant>,
-    /// It has brought an exchange.
+    /// Whether it has sent a request.
     used: bool,
-    /// Given up once the client has left: tells so to what has not begun yet, also where the module is busy.
+    /// Dropped when the client disconnects. Attempts that have not started check it through
+    /// `ClientRequest::client_alive`, which works even while the dispatcher is busy.
     alive: Arc<()>,
 }
 
+/// The reply to a command that was read, and the permit of a pipelined command.
 struct PendingReply {
     reply: Reply,
     _permit: Option<OwnedSemaphorePermit>,
 }
 
+/// A reply that is known, or awaited from the dispatcher.
 enum Reply {
     Ready(Frame),
     Waiting(RequestId, oneshot::Receiver<Answer>),
 }
 
-/// A reply as it is to be sent.
+/// A reply that is ready to be written.
 enum OutgoingReply {
     Frame(Frame),
     Streamed(StreamedValue),
@@ -191,10 +203,11 @@
     }
 
     async fn run(mut self) {
-        // Until the runtime has heard of it: what lies unread, and whether the client has left by now.
+        // Lets the runtime poll the socket first, so that it knows of unread data and of a client that has
+        // already left.
         let _ = self.framed.get_ref().tcp().writable().await;
         if let Err(error) = self.serve().await {
-            tracing::debug!("client: {error}");
+            tracing::debug!("client connection ended: {error}");
         }
         drop(self.alive);
         if self.used {
@@ -207,7 +220,8 @@
         }
     }
 
-    /// Ends with the connection: the client closed it, broke it, said nothing, or is asked to take another.
+    /// Serves commands until the connection ends: the client closed it, it broke, the client was silent for
+    /// too long, or the connection is passed on or evicted.
     async fn serve(&mut self) -> std::io::Result<()> {
         let (mut closing, mut close_at) = (self.frontend.shared.phase.clone(), Phase::Closing);
         let limit = self.frontend.limit.clone();
@@ -217,7 +231,7 @@
             let read_more = idle
                 || self.pending.len() < MAX_PIPELINED
                     && self.frontend.pipeline_permits.available_permits() > 0;
-            // What is left unread can't be late.
+            // A partly received command does not time out while the proxy is not reading.
             self.command_started = self.command_started.filter(|_| read_more);
             tokio::select! {
                 biased;
@@ -226,7 +240,7 @@
                     last_active = Instant::now();
                 }
                 frame = next_command(&mut self.framed, &mut self.command_started, read_more) => match frame {
-                    // Nothing but the value of a write may be long.
+                    // Only the value of a write may be long.
                     Some(Ok(FramePart::Begin(words, _))) if !is_write(&words) => {
                         return self.reject(invalid("bulk string too long")).await;
                     }
@@ -250,7 +264,8 @@
                     None => return Ok(()),
                 },
                 () = closing.reached(close_at), if idle => {
-                    // Closed here, a command that is on its way would meet nobody.
+                    // Closing the connection here would lose a command that is on its way, so the successor
+                    // serves it on.
                     if let Some(successor) = self.frontend.shared.successor.get() {
                         let unread = self.framed.read_buffer();
                         match successor.pass(self.framed.get_ref().tcp(), unread, self.used).await {
@@ -258,10 +273,11 @@
                                 self.frontend.shared.counters.clients_passed_on.add();
                                 return Ok(());
                             }
-                            Err(error) => tracing::warn!("a connection stays: {error}"),
+                            Err(error) => tracing::warn!("passing a client connection to the new process failed, it stays here: {error}"),
                         }
                     }
-                    // What has come in part may still come whole.
+                    // A partly received command may still be completed: the connection stays open until
+                    // `Leaving`.
                     if close_at == Phase::Leaving || self.framed.read_buffer().is_empty() {
                         return Ok(());
                     }
@@ -279,8 +295,9 @@
         }
     }
 
-    /// A connection has brought its first exchange. Clients may hold so many for requests: some use each
-    /// once and keep it, and have none left for others unless those idle longest are closed.
+    /// Notes that the connection has sent its first request, and evicts others above `Config::used`. Guards
+    /// against clients that open a connection per request and keep it: without closing those idle longest, no
+    /// connections would be left for other clients.
     fn mark_used(&mut self) {
         self.used = true;
         let used = self.frontend.used_connections.fetch_add(1, Ordering::Relaxed) + 1;
@@ -288,7 +305,8 @@
         self.frontend.limit.evict_used(used.saturating_sub(max_used));
     }
 
-    /// What can't be read: answers what came before it, says what is wrong, and closes.
+    /// Handles input that can't be parsed: answers the commands before it, sends an error and closes the
+    /// connection.
     async fn reject(&mut self, error: std::io::Error) -> std::io::Result<()> {
         if error.kind() != ErrorKind::InvalidData {
             return Err(error);
@@ -297,7 +315,7 @@
         let reply = Reply::Ready(Frame::error(format!("ERR Protocol error: {error}")));
         self.pending.push_back(PendingReply { reply, _permit: None });
         self.send_pending_replies().await?;
-        // Closing before all is read would reset the connection, and the client might lose the reply.
+        // Closing with unread input would reset the connection, and the client might lose the reply.
         let stream = self.framed.get_mut();
         stream.shutdown().await?;
         let (mut rest, mut discard) = (stream.take(LINGER_BYTES), sink());
@@ -308,7 +326,7 @@
         Ok(())
     }
 
-    /// Answers what is pending, in its order, as long as the client is there.
+    /// Sends all pending replies in order. Fails once the client has disconnected.
     async fn send_pending_replies(&mut self) -> std::io::Result<()> {
         while !self.pending.is_empty() {
             let reply = tokio::select! {
@@ -321,8 +339,8 @@
         Ok(())
     }
 
-    /// Writes what is buffered, within the time that a client has to read it and no longer than it is there:
-    /// others wait for their answers behind this one.
+    /// Flushes the write buffer. Fails when the client does not read in time or has disconnected, since other
+    /// requests wait for their replies behind this one.
     async fn flush(&mut self) -> std::io::Result<()> {
         let deadline = Instant::now() + CLIENT_IO_TIMEOUT;
         loop {
@@ -337,7 +355,7 @@
         }
     }
 
-    /// Sends the reply that is due, within the time that a client has to read it.
+    /// Writes the next reply, within the time that a client has to read it.
     async fn send_reply(&mut self, reply: OutgoingReply) -> std::io::Result<()> {
         self.pending.pop_front();
         match reply {
@@ -347,7 +365,7 @@
             }
             OutgoingReply::Streamed(value) => self.stream_reply(value).await?,
         }
-        // A large value leaves no large buffer behind.
+        // Releases the memory that a large value took.
         let sent = self.framed.write_buffer_mut();
         if sent.capacity() > MAX_KEPT_BUFFER {
             *sent = BytesMut::with_capacity(MAX_KEPT_BUFFER);
@@ -355,8 +373,8 @@
         Ok(())
     }
 
-    /// A command whose last word is long: passed on as it comes, or left out where it is answered before. What was
-    /// asked before it is answered first.
+    /// Handles a command whose last argument is long: forwards the value as it arrives, or discards it if the
+    /// reply comes first. The replies to earlier commands are sent before.
     async fn receive_upload(&mut self, mut words: Vec<Frame>, length: usize) -> std::io::Result<()> {
         self.send_pending_replies().await?;
         words.push(Frame::Bulk(Bytes::new()));
@@ -388,7 +406,7 @@
                     sender = sender.filter(|_| sent.is_ok());
                 }
                 part = timeout(SILENCE_TIMEOUT, next_part(&mut self.framed, !piece_pending)) => match part {
-                    // Nobody has taken the last piece for as long as a client may be silent.
+                    // The receiver of the value is slow, not the client.
                     Err(_) if piece_pending => {}
                     Ok(Some(Ok(FramePart::Piece(received)))) => piece = Some(received),
                     Ok(Some(Ok(FramePart::End(after)))) if after.is_empty() => return Ok(()),
@@ -401,7 +419,8 @@
         }
     }
 
-    /// Passes a long value on as it comes. One that breaks off ends the connection, so that the client can tell.
+    /// Writes a streamed value as it arrives. If the value ends early the connection is closed, so that the
+    /// client can tell.
     async fn stream_reply(&mut self, mut value: StreamedValue) -> std::io::Result<()> {
         let head = format!("${}\r\n", value.length);
         self.framed.write_buffer_mut().extend_from_slice(head.as_bytes());
@@ -420,12 +439,13 @@
         }
     }
 
+    /// Executes a command, or submits its request to the dispatcher.
     async fn handle_command(&mut self, frame: Frame, upload: Option<Box<Upload>>) -> Reply {
         let age = self.framed.get_ref().received_at().elapsed().as_nanos() as Nanos;
         let received_at = self.frontend.shared.clock.now().saturating_sub(age);
         let routes = self.frontend.shared.routes.borrow().clone();
         match parse_command(frame, &self.frontend.shared.config, &routes) {
-            // It waited for room, or behind others: nobody is there for the answer.
+            // The client left while the request waited for a connection slot or behind other commands.
             Ok(Command::Request(..)) if is_disconnected(self.framed.get_ref().tcp()) => {
                 self.frontend.shared.counters.exchanges_untaken.add();
                 Reply::Ready(Frame::error("ERR the client has left"))
@@ -448,14 +468,14 @@
             }
             Err(why) => {
                 self.frontend.shared.counters.bad_commands.add();
-                tracing::debug!("client: {why}");
+                tracing::debug!("client command rejected: {why}");
                 Reply::Ready(Frame::error(format!("ERR {why}")))
             }
         }
     }
 }
 
-/// Brings a piece to whoever takes the value; losing the race to something else loses nothing.
+/// Sends a piece to the receiver of the value. Cancel safe: a cancelled call has not sent it.
 async fn send_piece(sender: &Option<long::ValueSender>, piece: &Option<Bytes>) -> std::io::Result<()> {
     match (sender, piece) {
         (Some(sender), Some(piece)) => sender.send(piece.clone()).await,
@@ -463,7 +483,7 @@
     }
 }
 
-/// Returns when a connection that has been idle since then is to make room.
+/// Returns when a connection idle since `last_active` is asked to close to make room.
 async fn eviction_requested(limit: &ConnectionLimit, used: bool, last_active: Instant) {
     if !used {
         sleep_until(last_active + NEW_CONNECTION_WAIT).await;
@@ -477,8 +497,8 @@
     }
 }
 
-/// Returns once the client has left: it closed its side, or the connection broke. What lies unread before that
-/// does not hide it, as word of the end alone is waited for.
+/// Returns once the client has closed its side or the connection broke. Waits for that alone, so unread data
+/// before the end does not hide it.
 async fn disconnected(stream: &TcpStream) {
     let ready = stream.ready(Interest::PRIORITY).await;
     if ready.is_ok_and(|ready| !ready.is_read_closed()) {
@@ -486,13 +506,13 @@
     }
 }
 
-/// Whether it has, as far as the runtime has heard.
+/// Whether the client has disconnected, as far as the runtime has been notified.
 fn is_disconnected(stream: &TcpStream) -> bool {
     disconnected(stream).now_or_never().is_some()
 }
 
-/// The next part of what a client sends. None once it has left, which is all that is looked for if nothing more
-/// is to be read.
+/// The next part of the client's input; `None` once it has disconnected. Without `read_more` it reads nothing
+/// and only waits for that.
 async fn next_part(
     framed: &mut Framed<ClientStream, StreamingResp>,
     read_more: bool,
@@ -504,7 +524,8 @@
     framed.next().await
 }
 
-/// The next command, which must be whole some time after its first byte. None once the client has left.
+/// The next command, which must be complete within `CLIENT_IO_TIMEOUT` of its first byte; `None` once the
+/// client has disconnected.
 async fn next_command(
     framed: &mut Framed<ClientStream, StreamingResp>,
     started: &mut Option<Instant>,
@@ -526,7 +547,7 @@
     frame.unwrap_or_else(|_| Some(Err(invalid("command without end"))))
 }
 
-/// The reply that is due next; who gets it takes it off. Losing the race to something else loses nothing.
+/// The next reply to send, which the caller then removes. Cancel safe.
 async fn next_reply(pending: &mut VecDeque<PendingReply>) -> OutgoingReply {
     let reply = match pending.front_mut().map(|pending| &mut pending.reply) {
         Some(Reply::Ready(reply)) => reply.clone(),
@@ -544,18 +565,19 @@
     OutgoingReply::Frame(reply)
 }
 
+/// A parsed client command.
 enum Command {
     Request(Ask, ClientRequest),
     Reply(Frame),
     Counters,
 }
 
-/// Whether these words want but the value of a write.
+/// Whether these are the arguments of a write up to its value.
 fn is_write(words: &[Frame]) -> bool {
     matches!(words, [Frame::Bulk(name), _, _, _] if name.eq_ignore_ascii_case(b"C.SET"))
 }
 
-/// Reads a client's command, or says in plain words what is wrong with it.
+/// Parses a client command. The error is the text sent to the client.
 fn parse_command(frame: Frame, config: &Config, routes: &Routes) -> Result<Command, String> {
     let Frame::Array(words) = frame else { return Err("expected a command".into()) };
     let word = |word: Frame| if let Frame::Bulk(word) = word { Some(word) } else { None };
@@ -578,6 +600,7 @@
     }
 }
 
+/// Parses the arguments of a read, or of a write if there is a `value`.
 fn parse_request(
     config: &Config,
     routes: &Routes,
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what the proxy takes in, sends and answers, since its start.
+//! Counters and gauges of a proxy since its start. `Display` writes them as one name and value a line.
 
 use crate::memory::MemoryUsage;
 use pumicebay_core::{GiveUp, Outcome, Status};
@@ -6,6 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+/// Defines `Counters` with these fields, which are written out under their own names.
 macro_rules! counters {
     ($($name:ident)*) => {
         #[derive(Debug, Default)]
@@ -20,20 +21,23 @@
     };
 }
 
+/// A count that only grows.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
+    /// Adds one.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// The count so far.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Requests that were given up, by reason: those without any attempt, and those with some.
+/// Requests that were given up, by reason: those without any attempt, and those with at least one.
 #[derive(Debug, Default)]
 pub struct GivenUp {
     unattempted: [Counter; GiveUp::ALL.len()],
@@ -41,6 +45,7 @@
 }
 
 impl GivenUp {
+    /// Counts a request that was given up after so many attempts.
     pub fn add(&self, reason: GiveUp, attempts: usize) {
         let counters = if attempts == 0 { &self.unattempted } else { &self.attempted };
         counters[reason as usize].add();
@@ -58,14 +63,14 @@
     }
 }
 
-/// Values as they are now, or were at most.
+/// Current values, or the highest since the start.
 #[derive(Debug, Default)]
 pub struct Gauges {
     caches_serving: AtomicU64,
     caches_ejected: AtomicU64,
     requests_open: AtomicU64,
     attempts_out: AtomicU64,
-    /// Connections to nodes without an attempt.
+    /// Idle connections to nodes.
     resting: AtomicU64,
     fetches_out: AtomicU64,
     fetches_bound_milli: AtomicU64,
@@ -75,7 +80,7 @@
 }
 
 impl Gauges {
-    /// Takes what the decisions tell of themselves.
+    /// Sets the gauges of the balancer, and the number of idle connections to nodes.
     pub fn update(&self, status: &Status, resting: usize) {
         let set = |gauge: &AtomicU64, value: usize| gauge.store(value as u64, Ordering::Relaxed);
         set(&self.caches_serving, status.serving);
@@ -88,12 +93,12 @@
         set(&self.fetches_queued, status.fetches_queued);
     }
 
-    /// The longest that one piece of work kept all others waiting.
+    /// Records how long one piece of work blocked the event loop. The gauge keeps the longest.
     pub fn record_turn(&self, elapsed: Duration) {
         self.longest_turn_us.fetch_max(elapsed.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// The longest that a timer of the decisions rang after its time.
+    /// Records how late a timer of the balancer fired. The gauge keeps the longest delay.
     pub fn record_timer_delay(&self, delay: Duration) {
         self.latest_timer_us.fetch_max(delay.as_micros() as u64, Ordering::Relaxed);
     }
@@ -138,6 +143,7 @@
 }
 
 impl Counters {
+    /// Counts the outcome of an upstream attempt.
     pub fn count_attempt(&self, outcome: Outcome) {
         match outcome {
             Outcome::Completed => self.tries_completed.add(),
--- a/crates/proxy/src/heir.rs
+++ b/crates/proxy/src/heir.rs
@@ -1,6 +1,7 @@
-//! From a process to the one that takes over: idle connections of clients go over one by one, so that none is closed
-//! while a command may be on its way. The heir has a datagram socket in the proxy's private folder; each message is a
-//! connection and what was read from it and not used.
+//! Passes idle client connections one by one from a process to the one that replaces it, so that none is
+//! closed while a command may be on its way. The successor has a datagram socket in the proxy's private
+//! folder; each message carries the descriptor of a connection and the bytes that were read from it but not
+//! used.
 
 use rustix::cmsg_space;
 use rustix::net::{
@@ -17,31 +18,35 @@
 use tokio::net::{TcpStream, UnixDatagram};
 use tokio::time::timeout;
 
-/// Its name has the version of the messages.
+/// The name of the socket, with the version of the messages.
 const SOCKET_NAME: &str = "pumicebay-heir-1";
+/// The first bytes of each message.
 const MAGIC: &[u8] = b"pumicebay";
-/// Of what was read and not used; a connection with more is served on where it is.
+/// The most unused bytes that are passed with a connection; one with more stays with its process.
 const MAX_UNREAD: usize = 16 * 1024;
-/// How long the heir may take to make room for one more.
+/// How long the successor may take until its socket accepts another message.
 const PASS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// This process as an heir to the one before it, and as what the next one has to replace.
+/// The socket on which this process receives connections of its predecessor, and at which its own successor
+/// is found.
 pub struct TakeoverSocket {
     socket: UnixDatagram,
     path: PathBuf,
     inode: u64,
 }
 
-/// A connection that came over.
+/// A connection received from the previous process.
 pub struct PassedConnection {
+    /// The client's connection, in non-blocking mode.
     pub stream: TcpStream,
+    /// Bytes that the previous process had read but not used.
     pub unread: Vec<u8>,
-    /// It has brought an exchange before.
+    /// Whether it has sent a request.
     pub used: bool,
 }
 
 impl TakeoverSocket {
-    /// Takes the place of the process before, from now on: whoever stops after this passes its connections here.
+    /// Replaces the previous process's socket: a process that stops from now on passes its connections here.
     pub fn bind(folder: &Path) -> Result<TakeoverSocket> {
         let temporary = folder.join(format!("{SOCKET_NAME}.{}", std::process::id()));
         let _ = std::fs::remove_file(&temporary);
@@ -51,19 +56,22 @@
         Ok(TakeoverSocket { socket, path, inode })
     }
 
-    /// Whether there is a process before this one, which still serves.
+    /// Whether a previous process is still serving.
     pub fn predecessor_exists(folder: &Path) -> bool {
         UnixDatagram::unbound().is_ok_and(|socket| socket.connect(folder.join(SOCKET_NAME)).is_ok())
     }
 
-    /// The process that has taken this one's place since, if there is one and it lives.
+    /// The process that has replaced this one's socket since, if it is running.
     pub fn successor(&self) -> Option<Successor> {
         let other = std::fs::metadata(&self.path).ok()?.ino() != self.inode;
         let socket = UnixDatagram::unbound().ok()?;
         (other && socket.connect(&self.path).is_ok()).then_some(Successor(socket))
     }
 
-    /// The next connection that comes over; an error for a message that is none of ours.
+    /// The next connection passed by the previous process.
+    ///
+    /// # Errors
+    /// If receiving fails, or the message is of another form.
     pub async fn receive(&self) -> Result<PassedConnection> {
         let (mut bytes, mut passed) = (vec![0; MAGIC.len() + 1 + MAX_UNREAD], None);
         let length = self.socket.async_io(Interest::READABLE, || {
@@ -79,7 +87,7 @@
             Ok(received.bytes)
         });
         let length = length.await?;
-        let invalid = || Error::new(ErrorKind::InvalidData, "a message that is none of ours");
+        let invalid = || Error::new(ErrorKind::InvalidData, "not a message that passes a connection");
         let rest = bytes[..length].strip_prefix(MAGIC).ok_or_else(invalid)?;
         let (&used, unread) = rest.split_first().ok_or_else(invalid)?;
         let stream: std::net::TcpStream = OwnedFd::into(passed.ok_or_else(invalid)?);
@@ -92,14 +100,17 @@
     }
 }
 
-/// The process that takes over.
+/// The process that takes over from this one.
 pub struct Successor(UnixDatagram);
 
 impl Successor {
-    /// Passes a connection on which nothing is open. After an error it is still this process's own.
+    /// Passes a connection that has no open request.
+    ///
+    /// # Errors
+    /// If it can't be passed, in which case it still belongs to this process.
     pub async fn pass(&self, stream: &TcpStream, unread: &[u8], used: bool) -> Result<()> {
         if unread.len() > MAX_UNREAD {
-            return Err(Error::new(ErrorKind::InvalidInput, "too much unread"));
+            return Err(Error::new(ErrorKind::InvalidInput, "too many unread bytes"));
         }
         let used = [u8::from(used)];
         let sent = self.0.async_io(Interest::WRITABLE, || {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy on sockets: actors round the decisions of `pumicebay-core`. Start reading at [`serve`].
+//! The proxy on sockets: actors around the balancer of `pumicebay-core`. Start reading at [`serve`].
 
 pub mod arrival;
 pub mod bans;
--- a/crates/proxy/src/memory.rs
+++ b/crates/proxy/src/memory.rs
@@ -1,15 +1,16 @@
-//! What memory this process holds, as the kernel says.
+//! The memory that this process uses, as the kernel reports it.
 
-/// In units of 1,024 bytes.
+/// Memory use in units of 1,024 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryUsage {
+    /// The resident memory now.
     pub resident_kb: u64,
-    /// The most that was resident since the start.
+    /// The most that was resident since the start of the process.
     pub peak_kb: u64,
 }
 
 impl MemoryUsage {
-    /// `None` where the kernel does not say.
+    /// Reads the current figures; `None` if the kernel does not report them.
     pub fn current() -> Option<MemoryUsage> {
         MemoryUsage::parse(&std::fs::read_to_string("/proc/self/status").ok()?)
     }
@@ -23,23 +24,24 @@
     }
 }
 
-/// Watches this process's memory against its limit: one log line whenever another part of it is in use.
+/// Compares the memory use with a limit and logs each time when another eighth of the limit is in use.
 #[derive(Debug)]
 pub struct MemoryMonitor {
     limit_kb: u64,
-    /// Eighths of the limit that were in use when it was looked last.
+    /// Eighths of the limit in use at the highest check so far.
     eighths: u64,
 }
 
 impl MemoryMonitor {
-    /// Parts of the limit that are told apart.
+    /// Parts into which the limit is divided.
     const STEPS: u64 = 8;
 
+    /// A monitor for this limit, in units of 1,024 bytes.
     pub fn new(limit_kb: u64) -> MemoryMonitor {
         MemoryMonitor { limit_kb: limit_kb.max(1), eighths: 0 }
     }
 
-    /// Looks once. Only growth is logged, and each part once.
+    /// Checks once. Logs growth only, and each eighth once.
     pub fn check(&mut self) {
         let Some(MemoryUsage { resident_kb, peak_kb }) = MemoryUsage::current() else { return };
         let eighths = resident_kb * MemoryMonitor::STEPS / self.limit_kb;
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the parts of a proxy tell the decisions, and the handle by which they do.
+//! The events that the dispatcher handles, and the handle for sending them.
 
 use crate::desk::{ControlCommand, ControlHandle};
 use crate::long::{Upload, Value};
@@ -9,67 +9,87 @@
 use std::sync::{Arc, Weak};
 use tokio::sync::{mpsc, oneshot};
 
+/// Events that may wait for the dispatcher.
 const EVENT_QUEUE: usize = 4096;
+/// Control commands that may wait for the dispatcher.
 const COMMAND_QUEUE: usize = 64;
 
-/// An exchange as it goes on to nodes; the value of a write is kept until its answer, no other.
+/// A client's request as it is forwarded to nodes. The value of a write is kept until the request is
+/// answered.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// When its last byte came.
+    /// When its last byte arrived.
     pub received_at: Nanos,
-    /// Until when its client waits.
+    /// When its client stops waiting.
     pub deadline: Nanos,
-    /// Its client's connection, as long as it is there: tells of its end before the module hears of it.
+    /// Can be upgraded while the client is connected, so that a disconnect is seen before the dispatcher
+    /// handles it.
     pub client_alive: Weak<()>,
+    /// Whether it writes a value.
     pub write: bool,
     pub key: Bytes,
+    /// The client's id of the request, by which nodes tell requests apart.
     pub id: Bytes,
-    /// The list of names and values as it came.
+    /// The list of names and values as the client sent it.
     pub labels: Bytes,
+    /// The value of a write, unless it is streamed; empty for a read.
     pub value: Bytes,
-    /// The value instead, where it is long: as it comes.
+    /// The value of a write that is streamed.
     pub upload: Option<Box<Upload>>,
 }
 
 impl ClientRequest {
+    /// Whether the client has disconnected.
     pub fn client_disconnected(&self) -> bool {
         self.client_alive.strong_count() == 0
     }
 }
 
-/// The final answer to an exchange.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
+    /// The value, or a node's reply to a write.
     Completed(Value),
+    /// The client may safely send the request again, after so many nanoseconds.
     Shed(Nanos),
+    /// The request failed; it may or may not have taken effect.
     Errored,
-    /// The client's own fault, in words for it.
+    /// The request itself is wrong; the text is sent to the client.
     Rejected(Bytes),
 }
 
-/// A node as discovery names it.
+/// A node as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct ListedNode {
+    /// Its unique id.
     pub uid: Arc<str>,
+    /// The address of its service.
     pub address: SocketAddr,
+    /// What else the list says about it.
     pub listed: Listed,
 }
 
-/// Some entries of a list or of changes, in their order.
+/// Consecutive entries of a list, or of changes to it.
 #[derive(Clone, Debug)]
 pub struct ListPart {
+    /// The nodes of these entries.
     pub nodes: Vec<ListedNode>,
-    /// All nodes there are, once its last part has come.
+    /// Whether the parts together name all nodes, so that others are gone after the last part.
     pub full: bool,
+    /// Whether this is the first part.
     pub first: bool,
+    /// Whether this is the last part.
     pub last: bool,
 }
 
-/// What came back for a try or a probe.
+/// The result of an attempt or a probe.
 #[derive(Debug)]
 pub struct AttemptResult {
+    /// How it ended.
     pub outcome: Outcome,
+    /// The value, or the text of a rejection; empty otherwise.
     pub value: Value,
+    /// The load that the node reported.
     pub held: Option<Held>,
 }
 
@@ -79,30 +99,37 @@
     }
 }
 
+/// An event for the dispatcher.
 pub enum Event {
+    /// A client's request arrived; the sender takes its final answer.
     RequestReceived(RequestId, Ask, Arc<ClientRequest>, oneshot::Sender<Answer>),
+    /// The client of a request disconnected.
     ClientDisconnected(RequestId),
+    /// An attempt ended: the request, the attempt's number, the node, and the result.
     AttemptEnded(RequestId, usize, Node, AttemptResult),
+    /// A probe of the node ended.
     ProbeEnded(Node, AttemptResult),
+    /// Discovery sent entries of the list.
     NodesListed(ListPart),
+    /// A call for the list failed.
     ListFailed,
 }
 
 impl Event {
-    /// For the log.
+    /// Names the event in the log.
     pub fn description(&self) -> &'static str {
         match self {
-            Event::RequestReceived(..) => "a request that arrived",
-            Event::ClientDisconnected(..) => "a client that left",
-            Event::AttemptEnded(..) => "an attempt that ended",
-            Event::ProbeEnded(..) => "a probe that ended",
-            Event::NodesListed(..) => "entries of the list",
-            Event::ListFailed => "a list that did not come",
+            Event::RequestReceived(..) => "the arrival of a request",
+            Event::ClientDisconnected(..) => "the disconnect of a client",
+            Event::AttemptEnded(..) => "the end of an attempt",
+            Event::ProbeEnded(..) => "the end of a probe",
+            Event::NodesListed(..) => "entries of the node list",
+            Event::ListFailed => "a failed call for the node list",
         }
     }
 }
 
-/// The way to the module for all other actors.
+/// Sends events to the dispatcher. Clones share the mailbox.
 #[derive(Clone)]
 pub struct DispatcherHandle {
     events: mpsc::Sender<Event>,
@@ -111,11 +138,11 @@
 
 impl DispatcherHandle {
     async fn send(&self, event: Event) {
-        // The module ends only with the process.
+        // The dispatcher ends only with the process, so a failure to send needs no handling.
         let _ = self.events.send(event).await;
     }
 
-    /// Takes an exchange; its final answer comes by the channel.
+    /// Submits a request. Returns its number and the channel by which the final answer comes.
     pub async fn submit(&self, ask: Ask, request: ClientRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, answered) = oneshot::channel();
         let request_id = self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1;
@@ -123,10 +150,12 @@
         (request_id, answered)
     }
 
+    /// Reports that the client of a request disconnected.
     pub async fn client_disconnected(&self, request_id: RequestId) {
         self.send(Event::ClientDisconnected(request_id)).await;
     }
 
+    /// Reports the result of an attempt.
     pub async fn attempt_ended(
         &self,
         request_id: RequestId,
@@ -137,22 +166,26 @@
         self.send(Event::AttemptEnded(request_id, attempt, node, result)).await;
     }
 
+    /// Reports the result of a probe.
     pub async fn probe_ended(&self, node: Node, result: AttemptResult) {
         self.send(Event::ProbeEnded(node, result)).await;
     }
 
+    /// Reports entries of the list.
     pub async fn nodes_listed(&self, part: ListPart) {
         self.send(Event::NodesListed(part)).await;
     }
 
+    /// Reports that a call for the list failed.
     pub async fn list_failed(&self) {
         self.send(Event::ListFailed).await;
     }
 }
 
-/// The module's mailboxes.
+/// The dispatcher's ends of the channels for events and for control commands.
 pub struct Mailbox(pub mpsc::Receiver<Event>, pub mpsc::Receiver<ControlCommand>);
 
+/// Creates the channels of a dispatcher.
 pub fn channels() -> (DispatcherHandle, ControlHandle, Mailbox) {
     let ((events, event_queue), (commands, command_queue)) =
         (mpsc::channel(EVENT_QUEUE), mpsc::channel(COMMAND_QUEUE));
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -1,5 +1,5 @@
-//! The module actor: the decisions, their mailbox, and the host that carries out what they ask for.
-//! Nothing here waits for anyone.
+//! The dispatcher actor: the balancer of `pumicebay-core`, its mailbox, and the host that carries out what
+//! the balancer asks for. No handler ever waits for I/O.
 
 use crate::desk::{ControlCommand, NodeKind, PROBE_TIMEOUT};
 use crate::fleet::prober::Prober;
@@ -24,47 +24,52 @@
 use tokio::time::{Instant, sleep_until};
 use tokio_util::sync::CancellationToken;
 
-/// As long as it takes to notice that no timer is set.
+/// How long the dispatcher sleeps at most while no timer is set.
 const IDLE_WAKE_INTERVAL: Nanos = 1_000_000_000;
-/// How often it is looked how much memory is in use.
+/// How often the memory in use is checked.
 const MEMORY_CHECK_INTERVAL: Nanos = 1_000_000_000;
 
+/// The actor that owns the balancer. Its events come from clients, attempts and discovery; its control
+/// commands go ahead of them.
 pub struct Dispatcher {
     balance: Balance<DispatcherHost>,
     mailbox: Mailbox,
     memory_monitor: MemoryMonitor,
     memory_check_at: Nanos,
-    /// The nodes of a whole list as far as it has come.
+    /// The nodes in the received parts of a full list.
     full_list: Vec<Node>,
 }
 
-/// Carries out what the decisions ask for.
+/// Carries out what the balancer asks for.
 struct DispatcherHost {
     shared: Shared,
     follow_discovery: mpsc::Sender<()>,
     nodes: Nodes,
     log_budget: LineBudget,
     open_requests: HashMap<RequestId, OpenRequest>,
-    /// The ids of the exchanges that await their answers.
+    /// The ids of the requests that await their answers.
     open_ids: HashSet<Bytes>,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
-    /// Tries that could not be sent, and probes, to be reported once the decisions have returned.
+    /// Attempts and probes that could not be sent, reported as soon as the balancer has returned.
     unsent_attempts: Vec<(RequestId, usize, Node)>,
     unsent_probes: Vec<Node>,
-    /// The fleet's way to probe, where there is one: then one process probes for many.
+    /// The prober of the fleet, if there is one: then one process probes on behalf of many.
     prober: Option<Prober>,
 }
 
+/// A request that the balancer has not forgotten yet.
 struct OpenRequest {
     request: Arc<ClientRequest>,
-    /// Taken with the final answer.
+    /// Taken when the final answer is sent.
     answer: Option<oneshot::Sender<Answer>>,
+    /// Attempts so far, which is also the number of the next one.
     attempts: usize,
-    /// Takes back the last try, as long as its last byte isn't sent.
+    /// Cancels the last attempt unless its last byte has been sent.
     recall: CancellationToken,
 }
 
 impl Dispatcher {
+    /// Creates the dispatcher. `follow` asks discovery to send changes from now on.
     pub fn new(
         shared: Shared,
         settings: Settings,
@@ -89,11 +94,12 @@
         Dispatcher { balance, mailbox, memory_monitor, memory_check_at: 0, full_list: Vec::new() }
     }
 
-    /// From here on the fleet decides who probes.
+    /// Lets the fleet decide which process probes a node.
     pub fn use_prober(&mut self, prober: Prober) {
         self.balance.host.prober = Some(prober);
     }
 
+    /// Handles control commands, timers and events, in this order of priority, until all handles are gone.
     pub async fn run(mut self) {
         loop {
             let host = &self.balance.host;
@@ -117,6 +123,7 @@
         }
     }
 
+    /// Runs the timers that are due, and updates the gauges.
     fn run_timers(&mut self) {
         let now = self.balance.host.shared.clock.now();
         let counters = self.balance.host.shared.counters.clone();
@@ -166,7 +173,7 @@
         }
     }
 
-    /// Takes a node out of service or puts it back, known or not.
+    /// Takes a node out of service or puts it back, whether it is listed or not.
     pub fn set_maintenance(&mut self, now: Nanos, uid: &str, out_of_service: bool) {
         tracing::info!("maintenance: {uid} {}", if out_of_service { "out" } else { "back" });
         self.balance.maintained(now, identity(uid), out_of_service);
@@ -175,7 +182,8 @@
     fn handle_event(&mut self, event: Event) {
         let now = self.balance.host.shared.clock.now();
         match event {
-            // Nodes tell exchanges apart by their ids: of two with one id either might get the other's value.
+            // Nodes identify a request by its id: with two open requests of one id, either client could get
+            // the other's value.
             Event::RequestReceived(_, _, request, answer)
                 if self.balance.host.open_ids.contains(&request.id) =>
             {
@@ -183,7 +191,8 @@
                 let _ = answer.send(Answer::Rejected(Bytes::from_static(b"ERR id of an open request")));
             }
             Event::RequestReceived(request_id, ask, request, answer) => {
-                // What its client has left is reckoned once, from when its last byte came.
+                // The time that the client has left is computed once, from the arrival of the request's last
+                // byte.
                 let grace = request.deadline.saturating_sub(now);
                 self.balance.host.open_ids.insert(request.id.clone());
                 self.balance.host.shared.counters.exchanges_taken.add();
@@ -208,7 +217,7 @@
                 self.record_load(now, node, result.held);
                 let host = &self.balance.host;
                 match (&host.prober, host.nodes.get(node)) {
-                    // It tells this process too, where its decisions asked.
+                    // The prober reports the result back to this process too, if its balancer asked for it.
                     (Some(prober), Some(known)) => {
                         prober.probed(&known.uid, result.outcome == Outcome::Completed)
                     }
@@ -235,7 +244,7 @@
             let (id, outcome) = (String::from_utf8_lossy(&open.request.id), result.outcome);
             tracing::debug!("request {id}: attempt {attempt_number} at node {node} ended: {outcome:?}");
         }
-        // What the node says to the client itself is passed on.
+        // A value or a rejection is the node's answer to the client.
         let answer = match (result.outcome, result.value) {
             (Outcome::Completed, value) => Some((&counters.exchanges_completed, Answer::Completed(value))),
             (Outcome::Rejected, Value::Whole(why)) => {
@@ -260,12 +269,13 @@
         }
     }
 
-    /// Takes in a whole list, or changes to it.
+    /// Applies a full list, or changes to it.
     pub fn apply_list(&mut self, full: bool, nodes: Vec<ListedNode>) {
         self.apply_list_part(ListPart { nodes, full, first: true, last: true });
     }
 
-    /// Takes in some entries of a list. What a whole one does not name is gone once its last part has come.
+    /// Applies some entries of a list. After the last part of a full list, nodes that it did not name are
+    /// gone.
     fn apply_list_part(&mut self, part: ListPart) {
         let now = self.balance.host.shared.clock.now();
         if part.first {
@@ -282,7 +292,7 @@
         }
     }
 
-    /// Ends what the decisions asked for in vain, until they ask for nothing more.
+    /// Reports attempts and probes that could not be sent, until the balancer asks for no more of them.
     fn report_unsent(&mut self) {
         while let Some((request_id, attempt_number, node)) = self.balance.host.unsent_attempts.pop() {
             let now = self.balance.host.shared.clock.now();
@@ -295,11 +305,13 @@
 }
 
 impl DispatcherHost {
+    /// Removes and returns the next timer if it is due.
     fn pop_due_timer(&mut self, now: Nanos) -> Option<Reverse<(Nanos, u64)>> {
         let due = self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now);
         if due { self.timers.pop() } else { None }
     }
 
+    /// The sender for the final answer; `None` once the request has been answered.
     fn take_answer(&mut self, request_id: RequestId) -> Option<oneshot::Sender<Answer>> {
         let open = self.open_requests.get_mut(&request_id)?;
         let answer = open.answer.take()?;
@@ -307,7 +319,7 @@
         Some(answer)
     }
 
-    /// A line about nodes, which come in thousands.
+    /// Logs a line about a node. There may be thousands of nodes, so lines beyond the budget get level debug.
     fn log_node(&mut self, line: impl std::fmt::Display) {
         if self.log_budget.allows(self.shared.clock.now()) {
             tracing::info!("{line}");
@@ -316,7 +328,8 @@
         }
     }
 
-    /// The number of a node, a new one where it is not known yet. None for one that left before it was known.
+    /// The node's number, which is new for a node seen the first time. `None` for a node that left before it
+    /// was known.
     fn node_number(&mut self, listed_node: &ListedNode) -> Option<Node> {
         let (node, new) = self.nodes.number(listed_node)?;
         if new {
@@ -329,6 +342,7 @@
         Some(node)
     }
 
+    /// Starts a probe; false if the node is no longer known.
     fn send_probe(&mut self, node: Node) -> bool {
         let sent = self.start_attempt(node, Errand::Probe { until: Instant::now() + PROBE_TIMEOUT });
         if sent {
@@ -337,7 +351,7 @@
         sent
     }
 
-    /// Begins it, unless the node is known no more.
+    /// Starts an attempt or probe; false if the node is no longer known.
     fn start_attempt(&mut self, node: Node, errand: Errand) -> bool {
         let Some(known) = self.nodes.get_mut(node) else { return false };
         if !known.logged {
@@ -360,7 +374,7 @@
         }
         let (request, recall) = (open.request.clone(), open.recall.clone());
         let errand = Errand::Try { xchg: request_id, try_no: attempt_number, cargo: request, until, recall };
-        // Once the proxy leaves, nothing is sent any more.
+        // From `Leaving` on nothing is sent.
         if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, errand) {
             self.unsent_attempts.push((request_id, attempt_number, node));
         } else {
@@ -412,14 +426,14 @@
 
     fn dismiss(&mut self, node: Node) {
         if let Some(Known { uid, .. }) = self.nodes.remove(node) {
-            self.log_node(format_args!("node {node} is {uid} no more"));
+            self.log_node(format_args!("node {node} is no longer {uid}: removed"));
             self.shared.counters.nodes_dismissed.add();
             self.shared.upstream.forget(node);
         }
     }
 
     fn follow(&mut self) {
-        // A call that is still waiting to be made is the same call.
+        // If the channel is full, a call is already waiting to be made, and one call serves both.
         let _ = self.follow_discovery.try_send(());
     }
 
--- a/crates/proxy/src/resp.rs
+++ b/crates/proxy/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2 on the wire: commands from clients and to cache nodes, and the replies to both.
+//! The RESP2 protocol: commands from clients and to cache nodes, and the replies to both.
 
 use crate::long::PIECE_BYTES;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -8,16 +8,20 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// The longest bulk string that is held whole, and the longest that is passed on as it comes; the longest line and
-/// array.
+/// The longest bulk string that is kept in memory as a whole.
 pub const MAX_BULK_BYTES: usize = 64 * 1024;
+/// The longest bulk string that is streamed.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
-/// A frame that is not whole by then is no command or reply of ours: guards the memory.
+/// Limits the memory that an incomplete frame can take; no valid command or reply is longer.
 const MAX_FRAME_BYTES: usize = MAX_BULK_BYTES + 16 * 1024;
+/// The longest line, without its end.
 const MAX_LINE_BYTES: usize = 1024;
+/// The most members of an array.
 const MAX_ARRAY_LENGTH: usize = 64;
+/// How deep arrays may be nested.
 const MAX_DEPTH: usize = 4;
 
+/// A RESP value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     Simple(Bytes),
@@ -29,19 +33,23 @@
 }
 
 impl Frame {
+    /// An error reply.
     pub fn error(text: impl Into<Bytes>) -> Frame {
         Frame::Error(text.into())
     }
 
+    /// A simple string reply.
     pub fn simple(text: &'static str) -> Frame {
         Frame::Simple(Bytes::from_static(text.as_bytes()))
     }
 
+    /// A command as an array of bulk strings.
     pub fn command<const N: usize>(words: [&[u8]; N]) -> Frame {
         Frame::Array(words.iter().map(|word| Frame::Bulk(Bytes::copy_from_slice(word))).collect())
     }
 }
 
+/// Codec for frames that are kept in memory as a whole.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Resp;
 
@@ -58,27 +66,31 @@
     }
 }
 
-/// What comes where one member of an array may be long: a frame as ever, or such an array in parts.
+/// A decoded frame, or a part of an array with one long member, which is streamed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FramePart {
+    /// A frame without a long member.
     Frame(Frame),
-    /// The members before the long one, and its length.
+    /// The members before the long one, and its length in bytes.
     Begin(Vec<Frame>, usize),
+    /// The next bytes of the long member.
     Piece(Bytes),
-    /// The members after it.
+    /// The members after the long one.
     End(Vec<Frame>),
 }
 
-/// Commands and replies in which one member may be long.
+/// Codec for commands and replies in which one member may be long.
 #[derive(Debug, Default)]
 pub struct StreamingResp(State);
 
 #[derive(Debug, Default)]
 enum State {
     #[default]
+    /// Between two frames.
     FrameStart,
-    /// Bytes of the long member that are still to come, and members after it.
+    /// In the long member: how many of its bytes are still to come, and the number of members after it.
     LongMember(usize, usize),
+    /// After the long member: how many members are still to come, and those that were read.
     TrailingMembers(usize, Vec<Frame>),
 }
 
@@ -132,7 +144,8 @@
     }
 }
 
-/// Takes what has come of a long value off the buffer, up to a piece.
+/// Splits off the received bytes of a long value, up to one piece. `left` counts those that are still to
+/// come.
 pub fn take_piece(buffer: &mut BytesMut, left: &mut usize) -> Option<Bytes> {
     let length = buffer.len().min(*left).min(PIECE_BYTES);
     *left -= length;
@@ -142,11 +155,11 @@
 enum Decoded {
     Whole(Frame),
     Partial,
-    /// The members of an array before a long one, its length, and how many come after it.
+    /// The members of an array before a long one, its length, and the number of members after it.
     Long(Vec<Frame>, usize, usize),
 }
 
-/// Takes a frame off the buffer, or an array up to the bytes of its long member.
+/// Decodes one frame, or an array up to the bytes of its long member.
 fn decode(buffer: &mut BytesMut) -> Result<Decoded, Error> {
     let (mut at, mut spans) = (0, Spans::new());
     match measure(buffer, &mut at, MAX_DEPTH, &mut spans)? {
@@ -176,7 +189,7 @@
     Long(usize),
 }
 
-/// A part of a frame, by where it stands in the buffer. The parts of an array follow it.
+/// A value of a frame, given by its offsets in the buffer. The members of an array follow it.
 #[derive(Clone, Copy)]
 enum Span {
     Line(u8, usize, usize),
@@ -186,10 +199,10 @@
     Array(usize),
 }
 
-/// As many as a command or reply of ours has, without memory of their own.
+/// Holds the values of a usual command or reply without a heap allocation.
 type Spans = SmallVec<[Span; 8]>;
 
-/// Finds the end of the frame that begins at `at`, and its parts.
+/// Finds the end of the frame that begins at `at`, and the offsets of its values.
 fn measure(buffer: &[u8], at: &mut usize, depth: usize, spans: &mut Spans) -> Result<Measured, Error> {
     let Some(&kind) = buffer.get(*at) else { return Ok(Measured::Partial) };
     if !b"+-:$*".contains(&kind) {
@@ -249,7 +262,7 @@
     Ok(Measured::Whole)
 }
 
-/// The next frame of these shapes; each was measured, so none is missing.
+/// Builds the next frame from measured spans, so none can be missing.
 fn build_frame(buffer: &Bytes, spans: &mut std::slice::Iter<'_, Span>) -> Frame {
     match spans.next() {
         Some(&Span::Line(b'+', begin, end)) => Frame::Simple(buffer.slice(begin..end)),
@@ -287,7 +300,8 @@
     }
 }
 
-/// The beginning of an array of these and one more, of so many bytes, which is sent behind it.
+/// Encodes an array of `members` and one more of `length` bytes, up to the bytes of the latter, which the
+/// caller sends.
 pub fn encode_streamed_array(members: &[Frame], length: usize, buffer: &mut BytesMut) -> Result<(), Error> {
     number_line(buffer, b'*', members.len() as i64 + 1);
     members.iter().try_for_each(|member| Resp.encode(member, buffer))?;
@@ -295,7 +309,7 @@
     Ok(())
 }
 
-/// Without a text of its own, which would have to be allocated.
+/// Writes the number straight into the buffer, without allocating a string.
 fn number_line(buffer: &mut BytesMut, kind: u8, number: i64) {
     buffer.put_u8(kind);
     let _ = write!(buffer, "{number}\r\n");
@@ -304,12 +318,12 @@
 fn line(buffer: &mut BytesMut, kind: u8, text: &[u8]) {
     buffer.reserve(text.len() + 3);
     buffer.put_u8(kind);
-    // A line break in a reply's text would begin another reply.
+    // A line break in the text would start another reply.
     buffer.put(text.split(|byte| b"\r\n".contains(byte)).next().unwrap_or_default());
     buffer.put_slice(b"\r\n");
 }
 
-/// Returns once something of the next frame is there, or the end.
+/// Returns once data of the next frame, or the end of the stream, can be read.
 pub async fn readable<C>(framed: &Framed<TcpStream, C>) -> Result<(), Error> {
     if framed.read_buffer().is_empty() {
         framed.get_ref().peek(&mut [0]).await?;
@@ -317,7 +331,7 @@
     Ok(())
 }
 
-/// What a codec can't read.
+/// The error for input that violates the protocol.
 pub fn invalid(why: &'static str) -> Error {
     Error::new(ErrorKind::InvalidData, why)
 }
--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/room.rs
@@ -1,4 +1,5 @@
-//! Room for so many connections, and a word to one that can be closed when there is none left.
+//! A limit on the number of open connections. When it is reached, a connection that can be closed is asked to
+//! close.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,32 +7,35 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-/// The pause between one connection that is asked to close and the next.
+/// The pause between two such requests while a new connection waits.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How well a connection can be spared, best first.
+/// How readily a connection is closed to make room, first to last.
 #[derive(Clone, Copy, Debug)]
 pub enum EvictionClass {
-    /// Never used.
+    /// It has never been used.
     Unused,
+    /// It has been idle for a while.
     Idle,
-    /// Idle for so short a time that something may be on its way.
+    /// It has been idle for so short a time that a request may be on its way.
     RecentlyActive,
 }
 
+/// Limits the number of open connections. Clones share the limit.
 #[derive(Clone)]
 pub struct ConnectionLimit {
     permits: Arc<Semaphore>,
     queues: Arc<[EvictionQueue; 3]>,
 }
 
-/// Connections that can be closed.
+/// The connections of one class that can be closed.
 #[derive(Default)]
 struct EvictionQueue {
     count: AtomicUsize,
     close: Notify,
 }
 
+/// Lowers the count when dropped, also if the waiting call is cancelled.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl Drop for CountGuard<'_> {
@@ -41,21 +45,22 @@
 }
 
 impl ConnectionLimit {
+    /// A limit of so many connections.
     pub fn new(connections: usize) -> ConnectionLimit {
         ConnectionLimit { permits: Arc::new(Semaphore::new(connections)), queues: Arc::default() }
     }
 
-    /// More connections from now on.
+    /// Raises the limit.
     pub fn add_permits(&self, connections: usize) {
         self.permits.add_permits(connections);
     }
 
-    /// A place for one more, if there is one now.
+    /// Takes a permit for one connection; `None` if the limit is reached.
     pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.permits.clone().try_acquire_owned().ok()
     }
 
-    /// A place for one more, once there is one.
+    /// Waits for a permit for one connection. Asks others to close until it has one.
     pub async fn acquire(&self) -> OwnedSemaphorePermit {
         let permit = self.permits.clone().acquire_owned();
         tokio::pin!(permit);
@@ -68,25 +73,24 @@
         }
     }
 
-    /// Asks the connection to close that can be spared best, if there is one.
+    /// Asks one connection to close, of the first class that has any.
     pub fn evict_one(&self) {
         self.evict_from(EvictionClass::Unused);
     }
 
-    /// Asks for so many of those that have been used.
+    /// Asks so many connections to close that have been used, or all of them if there are fewer.
     pub fn evict_used(&self, connections: usize) {
         let _all_asked = (0..connections).all(|_| self.evict_from(EvictionClass::Idle));
     }
 
-    /// Asks one that can be spared so well at best; says whether there is one.
+    /// Asks one connection of class `best` or a later one to close. Returns whether there is one.
     fn evict_from(&self, best: EvictionClass) -> bool {
         let mut queues = self.queues[best as usize..].iter();
         let queue = queues.find(|queue| queue.count.load(Ordering::Relaxed) > 0);
         queue.inspect(|queue| queue.close.notify_one()).is_some()
     }
 
-    /// Returns when this is the connection to close: of those that can be spared alike, the one that waits
-    /// here longest.
+    /// Returns when this connection is the one to close: of each class the one that has waited here longest.
     pub async fn eviction_requested(&self, class: EvictionClass) {
         let EvictionQueue { count, close } = &self.queues[class as usize];
         count.fetch_add(1, Ordering::Relaxed);
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the actors together and runs them through the phases.
+//! Starts the actors of a proxy and runs them through its phases.
 
 use crate::bans::{self, Bans, Replication};
 use crate::clients::{self, Frontend};
@@ -38,52 +38,59 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::task::TaskTracker;
 
-/// How long the process before may go on after this one serves.
+/// How long the previous process may keep serving after this one has begun to. Until then this one uses half
+/// of the limits.
 const TAKEOVER_OVERLAP: Duration = Duration::from_secs(4);
-/// Descriptors that are kept free: discovery, a new configuration and operators must not wait until an idle client leaves.
+/// File descriptors kept free, so that discovery, a configuration reload and operators do not wait until an
+/// idle client leaves.
 const RESERVED_DESCRIPTORS: usize = 4;
-/// How often it is looked whether so many are, and how often a configuration is read again for want of one.
+/// How often the reserve is checked, and how often a reload that lacks a descriptor is tried again.
 const DESCRIPTOR_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a configuration may wait for a descriptor.
+/// How long a reload retries for want of a descriptor.
 const MAX_RELOAD_WAIT: Duration = Duration::from_secs(10);
-/// How long a process that takes over waits for the list: operators wait some seconds for its yes.
+/// How long a process that takes over waits for the first list. Short, since operators wait only some seconds
+/// for the confirmation that it serves.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A proxy that serves.
+/// A running proxy.
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The address of the operator interface, if it is enabled.
     pub operator: Option<SocketAddr>,
-    /// The way to ask the fleet, where it is in one.
+    /// Sends commands to the fleet's voters, if the proxy is part of a fleet.
     pub fleet: Option<Asker>,
-    /// The way to the carrier, where it has one.
+    /// Handle of the carrier actor, if there is one.
     carrier: Option<carrier::door::Door>,
     phases: Phases,
     config: Arc<Config>,
     counters: Arc<Counters>,
     connections: TaskTracker,
-    /// Where discovery is now.
+    /// The current address of discovery.
     discovery: watch::Sender<SocketAddr>,
-    /// The routes and their numbers, who must know of them, and the way to the module.
+    /// The routes and their numbers, the channel that publishes them, and the handle of the dispatcher.
     route_registry: RouteRegistry,
     routes: watch::Sender<Arc<Routes>>,
     control: ControlHandle,
-    /// Where the next process finds this one.
+    /// The socket at which the next process finds this one.
     takeover_socket: Option<Arc<TakeoverSocket>>,
     successor: Arc<OnceLock<Successor>>,
-    /// The file as it was read last, what the carrier last wanted laid over it, and what of that is in force.
+    /// The configuration file as last read, the resources that the carrier last wanted applied on top of it,
+    /// and those of them that are in force.
     file_config: Config,
     carrier_resources: Vec<Resource>,
     accepted_resources: Vec<Resource>,
-    /// What the carrier wants.
+    /// Commands from the carrier.
     carrier_orders: mpsc::Receiver<apply::Order>,
-    /// Those without which it can't go on.
+    /// Actors that the proxy can't run without.
     actors: JoinSet<()>,
 }
 
 impl Proxy {
-    /// Opens its sockets only when it is able to serve what comes.
+    /// Starts all actors. Opens the clients' socket only when the proxy is able to serve.
+    ///
+    /// # Errors
+    /// If a socket can't be opened.
     pub async fn start(config: Config, counters: Arc<Counters>) -> Result<Proxy> {
         let file_config = config;
         let (kept, applied) = carrier::kept(&file_config).await;
@@ -91,7 +98,7 @@
             Some(applied) => (applied.config, applied.good),
             None => (file_config.clone(), Vec::new()),
         };
-        // Read once, below, and held by nobody after that.
+        // The list is used once, below, and its memory is freed after that.
         let mut file_config = file_config;
         file_config.known.take();
         let known_list = config.known.take();
@@ -102,10 +109,11 @@
         if let Some(folder) = &config.folder
             && let Err(error) = std::fs::create_dir_all(folder)
         {
-            tracing::warn!("{}: {error}", folder.display());
+            tracing::warn!("creating the folder {} failed: {error}", folder.display());
         }
         let (clock, phase, successor) = (Clock::start(), phases.watch(), Arc::new(OnceLock::new()));
-        // Both processes together hold no more than one may: this one begins with half.
+        // During a takeover both processes together must stay within the limits of one: this one starts with
+        // half.
         let taking_over =
             config.inherited && config.folder.as_deref().is_some_and(TakeoverSocket::predecessor_exists);
         let share = |whole: usize| if taking_over { whole.div_ceil(2) } else { whole };
@@ -134,19 +142,23 @@
                 version = Some(list_version);
                 dispatcher.apply_list(full, nodes);
             }
-            Err(error) => tracing::warn!("known: no list to start from: {error:#}"),
+            Err(error) => {
+                tracing::warn!("configuration: no node list to start from under `known`: {error:#}")
+            }
         }
         drop(known_list);
         let mut list = List::new(shared.clone(), follow_receiver, version);
         if config.inherited {
-            // What the process before knew, and what discovery knows by now.
+            // The list that the previous process wrote, then the one that discovery has now.
             match list.left(config.folder.as_deref()) {
                 Ok(nodes) => dispatcher.apply_list(true, nodes),
-                Err(error) => tracing::info!("no list from a process before: {error:#}"),
+                Err(error) => tracing::info!("no node list from a previous process: {error:#}"),
             }
-            match timeout(FIRST_LIST_TIMEOUT, list.first()).await.context("silent").flatten() {
+            match timeout(FIRST_LIST_TIMEOUT, list.first()).await.context("no answer in time").flatten() {
                 Ok(nodes) => dispatcher.apply_list(true, nodes),
-                Err(error) => tracing::warn!("discovery: starts from the list it was given: {error:#}"),
+                Err(error) => {
+                    tracing::warn!("discovery: no list at the start, the known one is used: {error:#}")
+                }
             }
         }
         let mut actors = JoinSet::new();
@@ -174,7 +186,7 @@
             let (out, back) = match folder.as_deref().map(|folder| bans::found(folder, cold)) {
                 Some(Ok(found)) => found,
                 Some(Err(error)) => {
-                    tracing::warn!("maintenance: no bans taken over: {error}");
+                    tracing::warn!("maintenance: reading the stored bans failed: {error}");
                     Default::default()
                 }
                 None => Default::default(),
@@ -225,7 +237,7 @@
         actors.spawn(list.run(discovery.subscribe()));
         let takeover_socket = config.folder.as_deref().filter(|_| config.inherited).map(TakeoverSocket::bind);
         let takeover_socket = takeover_socket.transpose().unwrap_or_else(|error| {
-            tracing::warn!("connections can't be passed on here: {error}");
+            tracing::warn!("client connections can't be passed to this process: {error}");
             None
         });
         let takeover_socket = takeover_socket.map(Arc::new);
@@ -272,8 +284,8 @@
         })
     }
 
-    /// Takes from a new configuration what can change while it serves; one that can't be read, or lacks what the
-    /// last one had, changes nothing.
+    /// Applies the parts of a new configuration that can change at run time. A configuration that can't be
+    /// read, or that lacks something the last one had, changes nothing.
     async fn reload(&mut self, file_config: Result<Config>) {
         let keeps = |file_config: Config| {
             config::keeps(&self.file_config.json, &file_config.json).map(|()| file_config)
@@ -282,7 +294,7 @@
         match turns::timed(&self.counters, what, || file_config.and_then(keeps)) {
             Ok(file_config) => {
                 self.file_config = file_config;
-                // A list is for a start.
+                // A list in the configuration is only used at the start.
                 self.file_config.known.take();
                 self.counters.reloads.add();
                 let config = self.apply_config().await.config;
@@ -302,19 +314,20 @@
         }
     }
 
-    /// Puts the file in force with what is carried over it.
+    /// Puts the file's configuration in force, with the carrier's resources applied on top of it.
     async fn apply_config(&mut self) -> apply::Laid {
         let applied = if self.carrier_resources.is_empty() {
             apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
         } else {
             let (file_config, carrier_resources, accepted_resources) =
                 (self.file_config.clone(), self.carrier_resources.clone(), self.accepted_resources.clone());
-            // Many that fail are read one by one: exchanges don't wait for that.
+            // If many resources fail they are checked one by one, so this runs on a blocking thread and
+            // requests don't wait.
             let applied =
                 spawn_blocking(move || apply::lay(&file_config, &carrier_resources, &accepted_resources))
                     .await;
             applied.unwrap_or_else(|error| {
-                tracing::error!("carrier: nothing of it is in force: {error}");
+                tracing::error!("carrier: applying its resources failed, none is in force: {error}");
                 apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
             })
         };
@@ -325,12 +338,12 @@
         let discovery = applied.config.discovery;
         self.discovery.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
         for (scope, name, why) in &applied.refused {
-            tracing::error!("carrier: {name} for {scope} is refused: {why}");
+            tracing::error!("carrier: resource {name} for {scope} is refused: {why}");
         }
         applied
     }
 
-    /// What the carrier wants.
+    /// Executes a command of the carrier.
     async fn handle_carrier_order(&mut self, order: apply::Order) {
         match order {
             apply::Order::Lay(resources, answer) => {
@@ -346,11 +359,16 @@
         }
     }
 
+    /// A watch on the proxy's phase.
     pub fn watch(&self) -> PhaseWatch {
         self.phases.watch()
     }
 
-    /// Serves until it is told to stop and has answered what it took; meanwhile new configurations come.
+    /// Serves until `stop` completes and the accepted requests are answered. New configurations come by
+    /// `configs`.
+    ///
+    /// # Errors
+    /// If an actor ends.
     pub async fn run(
         mut self,
         stop: impl Future<Output = ()>,
@@ -360,7 +378,7 @@
         loop {
             tokio::select! {
                 () = &mut stop => break,
-                ended = self.actors.join_next() => bail!("an actor ended: {ended:?}"),
+                ended = self.actors.join_next() => bail!("an actor ended unexpectedly: {ended:?}"),
                 Some(config) = configs.recv() => self.reload(config).await,
                 Some(order) = self.carrier_orders.recv() => self.handle_carrier_order(order).await,
             }
@@ -369,7 +387,7 @@
         let mut draining = self.config.draining;
         if let Some(successor) = self.takeover_socket.and_then(|socket| socket.successor()) {
             tracing::info!("another process takes over: {} client connections", self.connections.len());
-            // Whoever still connects meets the other one.
+            // New clients connect to the other process.
             draining = Duration::ZERO;
             let _ = self.successor.set(successor);
         }
@@ -378,8 +396,8 @@
     }
 }
 
-/// The clients' listening socket from the platform. Deploy files pass it on as standard input, the one descriptor
-/// that can be taken over safely.
+/// The listening socket that the platform passes on as standard input (`0<&$PROXY_FD` in the deploy files),
+/// the one descriptor that can be taken over safely.
 fn inherited_listener() -> Result<TcpListener> {
     let why = "PROXY_FD: standard input is no listening socket; start with 0<&$PROXY_FD";
     let socket = Socket::from(std::io::stdin().as_fd().try_clone_to_owned()?);
@@ -388,8 +406,9 @@
     Ok(TcpListener::from_std(socket.into())?)
 }
 
-/// Asks idle clients to close while hardly a descriptor is left, as where the platform gives fewer than the limits say.
-/// A client that can't be accepted asks so too; but what goes out of the proxy may have taken the last ones.
+/// Asks idle clients to close while fewer than `RESERVED_DESCRIPTORS` are free, for example where the
+/// platform grants fewer than the configured limits. A failed accept does so too, but connections to nodes
+/// may have used the last descriptors.
 async fn reserve_descriptors(limit: ConnectionLimit) {
     let Ok(any) = std::fs::File::open("/dev/null") else { return std::future::pending().await };
     loop {
@@ -401,8 +420,11 @@
     }
 }
 
-/// Reads the configuration again each time the platform says so. For want of a descriptor it tries again: the word
-/// would be lost.
+/// Reads the configuration again on each SIGHUP. Tries again for want of a descriptor, since the signal is
+/// not repeated.
+///
+/// # Errors
+/// If the signal handler can't be installed.
 pub fn reload_on_hangup(
     read: impl Fn() -> Result<Config> + Send + 'static,
 ) -> Result<mpsc::Receiver<Result<Config>>> {
@@ -423,12 +445,16 @@
     Ok(configs)
 }
 
+/// Whether reading failed because the process or the system has no free file descriptor.
 fn out_of_descriptors(error: &anyhow::Error) -> bool {
     let code = error.chain().find_map(|error| error.downcast_ref::<std::io::Error>()?.raw_os_error());
     code.is_some_and(|code| [Errno::MFILE, Errno::NFILE].contains(&Errno::from_raw_os_error(code)))
 }
 
-/// Returns when the platform says to stop.
+/// Returns a future that completes on SIGTERM or SIGINT.
+///
+/// # Errors
+/// If a signal handler can't be installed.
 pub async fn termination_signal() -> Result<impl Future<Output = ()>> {
     let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     Ok(async move {
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a proxy share. It stands below them all and imports none that uses it.
+//! The state that all actors of a proxy share. Other modules import it; it imports none of those that use it.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -11,20 +11,25 @@
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Semaphore, watch};
 
-/// What all actors share.
+/// State that all actors share.
 #[derive(Clone)]
 pub struct Shared {
+    /// The proxy's clock.
     pub clock: Clock,
+    /// The configuration at the start.
     pub config: Arc<Config>,
+    /// Counters and gauges.
     pub counters: Arc<Counters>,
+    /// Sends events to the dispatcher.
     pub dispatcher: DispatcherHandle,
+    /// The current phase.
     pub phase: PhaseWatch,
-    /// As of the last settings that were taken.
+    /// The routes of the settings in force.
     pub routes: watch::Receiver<Arc<Routes>>,
     /// Connections to nodes.
     pub upstream: Pool,
-    /// For long answers of nodes that are on their way.
+    /// Permits for long values that are being streamed.
     pub streamed_values: Arc<Semaphore>,
-    /// The process that takes over from this one, once it has.
+    /// The process that takes over from this one, once there is one.
     pub successor: Arc<OnceLock<Successor>>,
 }
--- a/crates/proxy/src/tuning.rs
+++ b/crates/proxy/src/tuning.rs
@@ -1,5 +1,6 @@
-//! The routes as they change while the proxy serves. A route's number is its name's: the decisions and all that is
-//! open know routes by number, so a number never means another route while anything might still mean the first.
+//! The routes, which may change while the proxy serves. Each route has a number, by which the balancer and
+//! open requests refer to it, so a number is not given to another route while anything may still mean the
+//! first.
 
 use pumicebay_core::{Nanos, Settings};
 use pumicebay_names as names;
@@ -7,10 +8,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long clients may go on naming a route that was dropped; its number is free for another after twice that.
+/// How long clients may still name a route that was dropped. Its number is free for another route after twice
+/// that time.
 const DROPPED_ROUTE_GRACE: Duration = Duration::from_secs(10);
 
-/// What the clients' front must know of the routes, by number.
+/// What the client connections need to know of the routes, indexed by number.
 #[derive(Clone, Debug, Default)]
 pub struct Routes(Vec<Route>);
 
@@ -22,7 +24,8 @@
 }
 
 impl Routes {
-    /// The number of a name, and how long a client of that route waits at most.
+    /// The number of the route of this name, and its overall timeout; `None` if there is none or it was
+    /// dropped too long ago.
     pub fn find(&self, name: &str) -> Option<(usize, Nanos)> {
         let named = |route: &Route| {
             route.name == name && route.dropped.is_none_or(|dropped| dropped.elapsed() < DROPPED_ROUTE_GRACE)
@@ -30,23 +33,23 @@
         self.0.iter().position(named).map(|number| (number, self.0[number].overall_timeout))
     }
 
-    /// The longest that a client of any route waits.
+    /// The longest overall timeout of any route.
     pub fn longest_timeout(&self) -> Duration {
         Duration::from_nanos(self.0.iter().map(|route| route.overall_timeout).max().unwrap_or(0))
     }
 }
 
-/// Gives the routes of one configuration after another their numbers.
+/// Assigns numbers to the routes of successive configurations.
 #[derive(Debug, Default)]
 pub struct RouteRegistry {
-    /// As the wire has them, by number.
+    /// The routes as in the configuration, by number.
     route_json: Vec<Json>,
     routes: Routes,
 }
 
 impl RouteRegistry {
-    /// Takes the routes of checked settings: what the decisions get, with each route under its number, and what
-    /// the front gets.
+    /// Applies checked settings. Returns the balancer's settings, with each route under its number, and the
+    /// table for client connections.
     pub fn apply(&mut self, settings: &Json) -> (Settings, Routes) {
         let now = Instant::now();
         for (route, json) in self.routes.0.iter_mut().zip(&mut self.route_json) {
@@ -73,7 +76,7 @@
         (parsed, self.routes.clone())
     }
 
-    /// The number that a name has or gets.
+    /// The number that the route of this name has, else one that is free.
     fn number(&self, name: &str) -> usize {
         let routes = &self.routes.0;
         let free =
--- a/crates/proxy/src/turns.rs
+++ b/crates/proxy/src/turns.rs
@@ -1,12 +1,13 @@
-//! Notes work that keeps all else in the process waiting, since one thread does it all.
+//! Measures how long the event loop is blocked. One thread does all the work of the process, so a long piece
+//! of work delays everything else.
 
 use crate::counters::Counters;
 use std::time::{Duration, Instant};
 
-/// A turn that takes longer is counted and logged.
+/// Work that takes longer is counted and logged.
 const SLOW_TURN: Duration = Duration::from_millis(20);
 
-/// Does the work, and notes it where it was long, in the words of `what`.
+/// Runs `work` and measures it. If it was slow, the log line names it by `description`.
 pub fn timed<T>(counters: &Counters, description: impl FnOnce() -> String, work: impl FnOnce() -> T) -> T {
     let started = Instant::now();
     let result = work();
@@ -14,12 +15,12 @@
     counters.gauges.record_turn(elapsed);
     if elapsed >= SLOW_TURN {
         counters.turns_long.add();
-        tracing::info!("long turn: {} ms for {}", elapsed.as_millis(), description());
+        tracing::info!("event loop blocked for {} ms by {}", elapsed.as_millis(), description());
     }
     result
 }
 
-/// Notes a timer that rang so much after its time: until then nothing else was heard either.
+/// Records a timer that fired late by `delay`: for that long nothing else was handled either.
 pub fn timer_fired(counters: &Counters, delay: Duration) {
     counters.gauges.record_timer_delay(delay);
     if delay >= SLOW_TURN {
