--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -56,6 +56,7 @@
 /// Accepts client connections and serves them. Clones share all state.
 #[derive(Clone)]
 pub struct Frontend {
+    /// State shared with the other actors.
     pub shared: Shared,
     /// Tasks of the open client connections.
     pub connections: TaskTracker,
@@ -264,8 +265,8 @@
                     None => return Ok(()),
                 },
                 () = closing.reached(close_at), if idle => {
-                    // Closing the connection here would lose a command that is on its way, so the successor
-                    // serves it on.
+                    // Closing the connection here would lose a command that is on its way, so it is
+                    // passed to the successor instead.
                     if let Some(successor) = self.frontend.shared.successor.get() {
                         let unread = self.framed.read_buffer();
                         match successor.pass(self.framed.get_ref().tcp(), unread, self.used).await {
@@ -273,7 +274,7 @@
                                 self.frontend.shared.counters.clients_passed_on.add();
                                 return Ok(());
                             }
-                            Err(error) => tracing::warn!("passing a client connection to the new process failed, it stays here: {error}"),
+                            Err(error) => tracing::warn!("a client connection could not be passed on: {error}"),
                         }
                     }
                     // A partly received command may still be completed: the connection stays open until
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -81,13 +81,13 @@
 
 impl Gauges {
     /// Sets the gauges of the balancer, and the number of idle connections to nodes.
-    pub fn update(&self, status: &Status, resting: usize) {
+    pub fn update(&self, status: &Status, idle_connections: usize) {
         let set = |gauge: &AtomicU64, value: usize| gauge.store(value as u64, Ordering::Relaxed);
         set(&self.caches_serving, status.serving);
         set(&self.caches_ejected, status.ejected);
         set(&self.requests_open, status.requests);
         set(&self.attempts_out, status.attempts);
-        set(&self.resting, resting);
+        set(&self.resting, idle_connections);
         set(&self.fetches_out, status.fetches);
         set(&self.fetches_bound_milli, (status.fetches_bound * 1000.0) as usize);
         set(&self.fetches_queued, status.fetches_queued);
--- a/crates/proxy/src/heir.rs
+++ b/crates/proxy/src/heir.rs
@@ -63,9 +63,9 @@
 
     /// The process that has replaced this one's socket since, if it is running.
     pub fn successor(&self) -> Option<Successor> {
-        let other = std::fs::metadata(&self.path).ok()?.ino() != self.inode;
+        let replaced = std::fs::metadata(&self.path).ok()?.ino() != self.inode;
         let socket = UnixDatagram::unbound().ok()?;
-        (other && socket.connect(&self.path).is_ok()).then_some(Successor(socket))
+        (replaced && socket.connect(&self.path).is_ok()).then_some(Successor(socket))
     }
 
     /// The next connection passed by the previous process.
--- a/crates/proxy/src/long.rs
+++ b/crates/proxy/src/long.rs
@@ -22,7 +22,9 @@
 /// A value, either in memory as a whole or streamed.
 #[derive(Debug)]
 pub enum Value {
+    /// All bytes of the value.
     Whole(Bytes),
+    /// A value whose bytes are still arriving.
     Streamed(StreamedValue),
 }
 
@@ -88,7 +90,7 @@
         match timeout(STALL_TIMEOUT, self.0.send(piece)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(invalid("the receiver of a streamed value is gone")),
-            Err(_) => Err(invalid("the receiver of a streamed value takes nothing")),
+            Err(_) => Err(invalid("the receiver of a streamed value has stalled")),
         }
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,3 +1,5 @@
+//! The `pumicebay` program, whose command line is in `pumicebay::cli`.
+
 fn main() -> std::process::ExitCode {
     match pumicebay::cli::main(lexopt::Parser::from_env()) {
         Ok(code) => code,
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -90,12 +90,12 @@
     /// The value, or the text of a rejection; empty otherwise.
     pub value: Value,
     /// The load that the node reported.
-    pub held: Option<Held>,
+    pub reported_load: Option<Held>,
 }
 
 impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> AttemptResult {
-        AttemptResult { outcome, value: Bytes::new().into(), held: None }
+        AttemptResult { outcome, value: Bytes::new().into(), reported_load: None }
     }
 }
 
@@ -159,11 +159,11 @@
     pub async fn attempt_ended(
         &self,
         request_id: RequestId,
-        attempt: usize,
+        attempt_number: usize,
         node: Node,
         result: AttemptResult,
     ) {
-        self.send(Event::AttemptEnded(request_id, attempt, node, result)).await;
+        self.send(Event::AttemptEnded(request_id, attempt_number, node, result)).await;
     }
 
     /// Reports the result of a probe.
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -69,7 +69,7 @@
 }
 
 impl Dispatcher {
-    /// Creates the dispatcher. `follow` asks discovery to send changes from now on.
+    /// Creates the dispatcher. `follow_discovery` asks discovery to send changes from now on.
     pub fn new(
         shared: Shared,
         settings: Settings,
@@ -131,8 +131,8 @@
             turns::timer_fired(&counters, Duration::from_nanos(now.saturating_sub(at)));
             self.balance.woke(now, token);
         }
-        let resting = self.balance.host.shared.upstream.count();
-        counters.gauges.update(&self.balance.status(), resting);
+        let idle_connections = self.balance.host.shared.upstream.count();
+        counters.gauges.update(&self.balance.status(), idle_connections);
         self.balance.host.log_budget.report_at(now);
         if self.memory_check_at <= now {
             self.memory_check_at = now + MEMORY_CHECK_INTERVAL;
@@ -214,7 +214,7 @@
                 if result.outcome != Outcome::Completed {
                     self.balance.host.shared.counters.probes_failed.add();
                 }
-                self.record_load(now, node, result.held);
+                self.record_load(now, node, result.reported_load);
                 let host = &self.balance.host;
                 match (&host.prober, host.nodes.get(node)) {
                     // The prober reports the result back to this process too, if its balancer asked for it.
@@ -259,13 +259,13 @@
             let _ = client.send(answer);
         }
         let answered = host.open_requests.get(&request_id).is_none_or(|open| open.answer.is_none());
-        self.record_load(now, node, result.held);
+        self.record_load(now, node, result.reported_load);
         self.balance.ended(now, request_id, attempt_number, result.outcome, answered);
     }
 
-    fn record_load(&mut self, now: Nanos, node: Node, held: Option<Held>) {
-        if let Some(held) = held {
-            self.balance.reported(now, node, held);
+    fn record_load(&mut self, now: Nanos, node: Node, load: Option<Held>) {
+        if let Some(load) = load {
+            self.balance.reported(now, node, load);
         }
     }
 
--- a/crates/proxy/src/resp.rs
+++ b/crates/proxy/src/resp.rs
@@ -85,8 +85,8 @@
 
 #[derive(Debug, Default)]
 enum State {
-    #[default]
     /// Between two frames.
+    #[default]
     FrameStart,
     /// In the long member: how many of its bytes are still to come, and the number of members after it.
     LongMember(usize, usize),
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -199,7 +199,8 @@
         Err(_) => return (Some(Outcome::Overdue.into()), None),
     };
     let (source, value) = long::streamed_value(length, Some(room));
-    let back = AttemptResult { outcome: Outcome::Completed, value: Value::Streamed(value), held };
+    let back =
+        AttemptResult { outcome: Outcome::Completed, value: Value::Streamed(value), reported_load: held };
     if let Errand::Try { xchg, try_no, .. } = errand {
         shared.dispatcher.attempt_ended(*xchg, *try_no, target.node, back).await;
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -172,7 +172,7 @@
                         }
                         http::Part::Begin(response, length) if response.status == 200 && !probe => {
                             let last = response.last;
-                            return Ok(Came::Long(length, answered(response).held, last));
+                            return Ok(Came::Long(length, answered(response).reported_load, last));
                         }
                         other => bail!("origin: unexpected {other:?}"),
                     }
--- a/crates/proxy/src/upstream/forms.rs
+++ b/crates/proxy/src/upstream/forms.rs
@@ -79,7 +79,7 @@
                 other => bail!("unexpected value {other:?}"),
             };
             let held = if let Frame::Bulk(report) = report { held(&report) } else { None };
-            Ok(AttemptResult { outcome, value: value.into(), held })
+            Ok(AttemptResult { outcome, value: value.into(), reported_load: held })
         }
         Frame::Error(text) if text.starts_with(b"BUSY") => Ok(Outcome::Saturated.into()),
         Frame::Error(text) if text.starts_with(b"ERR failed") => Ok(Outcome::Errored.into()),
@@ -93,7 +93,9 @@
 pub fn probed(frame: Frame) -> Result<AttemptResult> {
     match frame {
         Frame::Simple(_) => Ok(Outcome::Completed.into()),
-        Frame::Bulk(report) => Ok(AttemptResult { held: held(&report), ..Outcome::Completed.into() }),
+        Frame::Bulk(report) => {
+            Ok(AttemptResult { reported_load: held(&report), ..Outcome::Completed.into() })
+        }
         Frame::Error(_) => Ok(Outcome::Errored.into()),
         other => bail!("unexpected reply {other:?}"),
     }
@@ -116,7 +118,7 @@
         }
     };
     let held = response.header("x-pressure").and_then(held);
-    AttemptResult { outcome, value: response.body.into(), held }
+    AttemptResult { outcome, value: response.body.into(), reported_load: held }
 }
 
 /// How much a node says it holds, in a report of names and values; one that can't be is none.
--- a/crates/proxy/tests/proxy/wire.rs
+++ b/crates/proxy/tests/proxy/wire.rs
@@ -228,7 +228,7 @@
         Frame::Null,
     ] {
         let end = |back: anyhow::Result<pumicebay::messages::AttemptResult>| match back {
-            Ok(back) => format!("{:?} {:?} {:?}", back.outcome, back.value, back.held),
+            Ok(back) => format!("{:?} {:?} {:?}", back.outcome, back.value, back.reported_load),
             Err(error) => format!("garbage: {error}"),
         };
         trace += &format!(
