--- a/crates/proxy/src/discovery/entries.rs
+++ b/crates/proxy/src/discovery/entries.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::MILLIS;
 use crate::config::Config;
-use crate::messages::ListedNode;
+use crate::messages::DiscoveredNode;
 use anyhow::{Context, Result, bail};
 use pumicebay_core::{Listed, Standing};
 use pumicebay_names::identity;
@@ -51,7 +51,7 @@
     }
 
     /// Reads one of its entries. One that can't be read is left out with a line in the log.
-    pub fn named(&self, at: usize, config: &Config) -> Option<ListedNode> {
+    pub fn named(&self, at: usize, config: &Config) -> Option<DiscoveredNode> {
         let read = entry(self.entries[at], config);
         read.inspect_err(|error| tracing::warn!("list: targets[{at}] left out: {error:#}")).ok()
     }
@@ -61,13 +61,13 @@
 ///
 /// # Errors
 /// Names the key that is missing or broken.
-pub fn entries(text: &[u8], config: &Config) -> Result<(u64, bool, Vec<ListedNode>)> {
+pub fn entries(text: &[u8], config: &Config) -> Result<(u64, bool, Vec<DiscoveredNode>)> {
     let list = ListText::read(text)?;
     let named = (0..list.entries.len()).filter_map(|at| list.named(at, config)).collect();
     Ok((list.version, list.whole, named))
 }
 
-fn entry(text: &RawValue, config: &Config) -> Result<ListedNode> {
+fn entry(text: &RawValue, config: &Config) -> Result<DiscoveredNode> {
     let target: Json = serde_json::from_str(text.get())?;
     let text = |key: &str| target.get(key).and_then(Json::as_str);
     let number = |key: &str| target.get(key).and_then(Json::as_u64).unwrap_or(0);
@@ -97,5 +97,5 @@
         kind: model.unwrap_or(config.kinds.len()),
         rating: rating.filter(|rating| (0.0..MOST_RATED).contains(rating) && *rating > 0.0).unwrap_or(1.0),
     };
-    Ok(ListedNode { uid: uid.into(), address, listed })
+    Ok(DiscoveredNode { uid: uid.into(), address, listed })
 }
--- a/crates/proxy/src/discovery/left.rs
+++ b/crates/proxy/src/discovery/left.rs
@@ -1,6 +1,6 @@
 //! The list that a process leaves for the next one in its place: the text of each entry, as it was told last.
 
-use crate::messages::ListedNode;
+use crate::messages::DiscoveredNode;
 use anyhow::{Context, Result, ensure};
 use pumicebay_core::Standing;
 use serde_json::value::RawValue;
@@ -30,7 +30,7 @@
         self.told.clear();
     }
 
-    pub fn note(&mut self, named: &ListedNode, text: &RawValue) {
+    pub fn note(&mut self, named: &DiscoveredNode, text: &RawValue) {
         if named.listed.standing == Standing::Gone {
             self.told.remove(&*named.uid);
         } else {
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -3,7 +3,7 @@
 use crate::discovery::entries::{ListText, entries};
 use crate::discovery::left::{self, LeftList};
 use crate::http::{Http, Request, Response};
-use crate::messages::{ListPart, ListedNode};
+use crate::messages::{DiscoveredNode, ListPart};
 use crate::shared::Shared;
 use crate::turns;
 use anyhow::{Context, Result, bail, ensure};
@@ -79,7 +79,7 @@
 
     /// The whole list as it is now, for a process that takes over from one that may have been told more than the
     /// configuration knows.
-    pub async fn first(&mut self) -> Result<Vec<ListedNode>> {
+    pub async fn first(&mut self) -> Result<Vec<DiscoveredNode>> {
         self.version = None;
         let body = self.call().await?;
         let list = self.read(&body)?;
@@ -90,7 +90,7 @@
     }
 
     /// What a process before this one was told last. Its version is not followed: discovery is asked anew.
-    pub fn left(&mut self, folder: Option<&Path>) -> Result<Vec<ListedNode>> {
+    pub fn left(&mut self, folder: Option<&Path>) -> Result<Vec<DiscoveredNode>> {
         let text = left::read(folder.context("no folder")?)?;
         let (_, whole, named) = entries(&text, &self.shared.config)?;
         ensure!(whole, "not a whole list");
@@ -114,7 +114,7 @@
     }
 
     /// Reads some entries of an answer.
-    fn part(&mut self, list: &ListText, range: Range<usize>) -> Vec<ListedNode> {
+    fn part(&mut self, list: &ListText, range: Range<usize>) -> Vec<DiscoveredNode> {
         let mut part = Vec::with_capacity(range.len());
         for at in range {
             let Some(named) = list.named(at, &self.shared.config) else { continue };
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -60,7 +60,7 @@
 
 /// A node as discovery lists it.
 #[derive(Clone, Debug)]
-pub struct ListedNode {
+pub struct DiscoveredNode {
     /// Its unique id.
     pub uid: Arc<str>,
     /// The address of its service.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct ListPart {
     /// The nodes of these entries.
-    pub nodes: Vec<ListedNode>,
+    pub nodes: Vec<DiscoveredNode>,
     /// Whether the parts together name all nodes, so that others are gone after the last part.
     pub full: bool,
     /// Whether this is the first part.
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -6,7 +6,7 @@
 use crate::line_budget::LineBudget;
 use crate::long::Value;
 use crate::memory::MemoryMonitor;
-use crate::messages::{Answer, AttemptResult, ClientRequest, Event, ListPart, ListedNode, Mailbox};
+use crate::messages::{Answer, AttemptResult, ClientRequest, DiscoveredNode, Event, ListPart, Mailbox};
 use crate::nodes::{Known, Nodes};
 use crate::phases::Phase;
 use crate::shared::Shared;
@@ -270,7 +270,7 @@
     }
 
     /// Applies a full list, or changes to it.
-    pub fn apply_list(&mut self, full: bool, nodes: Vec<ListedNode>) {
+    pub fn apply_list(&mut self, full: bool, nodes: Vec<DiscoveredNode>) {
         self.apply_list_part(ListPart { nodes, full, first: true, last: true });
     }
 
@@ -281,9 +281,9 @@
         if part.first {
             self.full_list.clear();
         }
-        for listed_node in part.nodes {
-            let Some(node) = self.balance.host.node_number(&listed_node) else { continue };
-            self.balance.listed(now, node, listed_node.listed);
+        for discovered_node in part.nodes {
+            let Some(node) = self.balance.host.node_number(&discovered_node) else { continue };
+            self.balance.listed(now, node, discovered_node.listed);
             self.full_list.extend(part.full.then_some(node));
         }
         if part.full && part.last {
@@ -330,8 +330,8 @@
 
     /// The node's number, which is new for a node seen the first time. `None` for a node that left before it
     /// was known.
-    fn node_number(&mut self, listed_node: &ListedNode) -> Option<Node> {
-        let (node, new) = self.nodes.number(listed_node)?;
+    fn node_number(&mut self, discovered_node: &DiscoveredNode) -> Option<Node> {
+        let (node, new) = self.nodes.number(discovered_node)?;
         if new {
             self.shared.counters.nodes_known.add();
             let logged = self.log_budget.allows(self.shared.clock.now());
--- a/crates/proxy/src/nodes.rs
+++ b/crates/proxy/src/nodes.rs
@@ -1,7 +1,7 @@
 //! The names and addresses of the listed nodes, under the numbers by which the decisions know them. All that a listed
 //! node has outside the decisions is its entry here.
 
-use crate::messages::ListedNode;
+use crate::messages::DiscoveredNode;
 use hashbrown::HashMap;
 use pumicebay_core::{Node, Standing};
 use std::cmp::Reverse;
@@ -38,7 +38,7 @@
 
 impl Nodes {
     /// The number of a node, with whether it is new. None for one that left before it was known.
-    pub fn number(&mut self, named: &ListedNode) -> Option<(Node, bool)> {
+    pub fn number(&mut self, named: &DiscoveredNode) -> Option<(Node, bool)> {
         if let Some(&node) = self.by_uid.get(&named.uid) {
             if let Some(known) = &mut self.known[node] {
                 known.address = named.address;
