--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,11 +1,12 @@
-//! Counts of what the proxy takes in, sends and answers, since its start.
+//! Counters and gauges of a proxy since its start. `Display` writes them as one name and value a line.
 
-use crate::memory::Memory;
+use crate::memory::MemoryUsage;
 use pumicebay_core::{GiveUpReason, Outcome, Status};
 use std::fmt::{Display, Formatter, Result};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+/// Defines `Counters` with these fields, which are written out under their own names.
 macro_rules! counters {
     ($($name:ident)*) => {
         #[derive(Debug, Default)]
@@ -20,20 +21,23 @@
     };
 }
 
+/// A count that only grows.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
+    /// Adds one.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// The count so far.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Requests that were given up, by reason: those without any attempt, and those with some.
+/// Requests that were given up, by reason: those without any attempt, and those with at least one.
 #[derive(Debug, Default)]
 pub struct GivenUp {
     unattempted: [Counter; GiveUpReason::ALL.len()],
@@ -41,6 +45,7 @@
 }
 
 impl GivenUp {
+    /// Counts a request that was given up after so many attempts.
     pub fn add(&self, reason: GiveUpReason, attempts: usize) {
         let counters = if attempts == 0 { &self.unattempted } else { &self.attempted };
         counters[reason as usize].add();
@@ -58,14 +63,14 @@
     }
 }
 
-/// Values as they are now, or were at most.
+/// Current values, or the highest since the start.
 #[derive(Debug, Default)]
 pub struct Gauges {
     caches_serving: AtomicU64,
     caches_ejected: AtomicU64,
     requests_open: AtomicU64,
     attempts_out: AtomicU64,
-    /// Connections to nodes without an attempt.
+    /// Idle connections to nodes.
     resting: AtomicU64,
     fetches_out: AtomicU64,
     fetches_bound_milli: AtomicU64,
@@ -75,33 +80,33 @@
 }
 
 impl Gauges {
-    /// Takes what the decisions tell of themselves.
-    pub fn take(&self, status: &Status, resting: usize) {
+    /// Sets the gauges of the balancer, and the number of idle connections to nodes.
+    pub fn update(&self, status: &Status, idle_connections: usize) {
         let set = |gauge: &AtomicU64, value: usize| gauge.store(value as u64, Ordering::Relaxed);
         set(&self.caches_serving, status.serving);
         set(&self.caches_ejected, status.ejected);
         set(&self.requests_open, status.requests);
         set(&self.attempts_out, status.attempts);
-        set(&self.resting, resting);
+        set(&self.resting, idle_connections);
         set(&self.fetches_out, status.fetches);
         set(&self.fetches_bound_milli, (status.fetch_limit * 1000.0) as usize);
         set(&self.fetches_queued, status.fetches_queued);
     }
 
-    /// The longest that one piece of work kept all others waiting.
-    pub fn turn(&self, took: Duration) {
-        self.longest_turn_us.fetch_max(took.as_micros() as u64, Ordering::Relaxed);
+    /// Records how long one piece of work blocked the event loop. The gauge keeps the longest.
+    pub fn record_turn(&self, elapsed: Duration) {
+        self.longest_turn_us.fetch_max(elapsed.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// The longest that a timer of the decisions rang after its time.
-    pub fn timer(&self, late: Duration) {
-        self.latest_timer_us.fetch_max(late.as_micros() as u64, Ordering::Relaxed);
+    /// Records how late a timer of the balancer fired. The gauge keeps the longest delay.
+    pub fn record_timer_delay(&self, delay: Duration) {
+        self.latest_timer_us.fetch_max(delay.as_micros() as u64, Ordering::Relaxed);
     }
 }
 
 impl Display for Gauges {
     fn fmt(&self, f: &mut Formatter<'_>) -> Result {
-        let named = [
+        let gauges = [
             ("caches_serving", &self.caches_serving),
             ("caches_ejected", &self.caches_ejected),
             ("requests_open", &self.requests_open),
@@ -113,10 +118,10 @@
             ("longest_turn_us", &self.longest_turn_us),
             ("latest_timer_us", &self.latest_timer_us),
         ];
-        for (name, gauge) in named {
+        for (name, gauge) in gauges {
             writeln!(f, "{name} {}", gauge.load(Ordering::Relaxed))?;
         }
-        let Some(Memory { resident_kb, peak_kb }) = Memory::now() else { return Ok(()) };
+        let Some(MemoryUsage { resident_kb, peak_kb }) = MemoryUsage::current() else { return Ok(()) };
         writeln!(f, "memory_resident_kb {resident_kb}\nmemory_peak_kb {peak_kb}")
     }
 }
@@ -138,7 +143,8 @@
 }
 
 impl Counters {
-    pub fn tried(&self, outcome: Outcome) {
+    /// Counts the outcome of an upstream attempt.
+    pub fn count_attempt(&self, outcome: Outcome) {
         match outcome {
             Outcome::Completed => self.tries_completed.add(),
             Outcome::Missed => self.tries_missed.add(),
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -1,30 +1,35 @@
-//! What all parts of a proxy share. It stands below them all and imports none that uses it.
+//! The state that all actors of a proxy share. Other modules import it; it imports none of those that use it.
 
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::heir::Heir;
-use crate::messages::Door;
-use crate::phases::Watch;
+use crate::heir::Successor;
+use crate::messages::DispatcherHandle;
+use crate::phases::PhaseWatch;
 use crate::tuning::Routes;
 use crate::upstream::pool::Pool;
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Semaphore, watch};
 
-/// What all actors share.
+/// State that all actors share.
 #[derive(Clone)]
 pub struct Shared {
+    /// The proxy's clock.
     pub clock: Clock,
+    /// The configuration at the start.
     pub config: Arc<Config>,
+    /// Counters and gauges.
     pub counters: Arc<Counters>,
-    pub door: Door,
-    pub watch: Watch,
-    /// As of the last settings that were taken.
+    /// Sends events to the dispatcher.
+    pub dispatcher: DispatcherHandle,
+    /// The current phase.
+    pub phase: PhaseWatch,
+    /// The routes of the settings in force.
     pub routes: watch::Receiver<Arc<Routes>>,
     /// Connections to nodes.
     pub upstream: Pool,
-    /// For long answers of nodes that are on their way.
-    pub long: Arc<Semaphore>,
-    /// The process that takes over from this one, once it has.
-    pub heir: Arc<OnceLock<Heir>>,
+    /// Permits for long values that are being streamed.
+    pub streamed_values: Arc<Semaphore>,
+    /// The process that takes over from this one, once there is one.
+    pub successor: Arc<OnceLock<Successor>>,
 }
