--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -1,7 +1,7 @@
 //! Nodes that operators have taken out of service, by `uid`. Each is a file in the proxy's private folder, so that a
 //! process that serves beside this one, or comes after it, keeps the same bans: whoever is called writes, both look.
 
-use crate::desk::{ControlHandle, NodeKind};
+use crate::control::{ControlHandle, NodeKind};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
 use pumicebay_accord::{Fences, Passage, Token};
 use pumicebay_replication::{Lease, Refusal, Service, Stamp};
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -2,11 +2,11 @@
 
 use crate::config::{self, Config};
 use crate::counters::Counters;
+use crate::event_loop;
 use crate::fleet;
 use crate::migrate::{self, Answers, OWN};
 use crate::resp::{Frame, Resp};
 use crate::serve::{self, Proxy};
-use crate::turns;
 use anyhow::{Context, Result, bail};
 use futures_util::{SinkExt, StreamExt};
 use lexopt::prelude::*;
@@ -165,7 +165,11 @@
     let served = runtime.block_on(async {
         let noted = counters.clone();
         let reread = move || {
-            turns::timed(&noted, || "reading the configuration".into(), || config::reread(&file, variable))
+            event_loop::timed(
+                &noted,
+                || "reading the configuration".into(),
+                || config::reread(&file, variable),
+            )
         };
         let (stop, configs) = (serve::termination_signal().await?, serve::reload_on_hangup(reread)?);
         Proxy::start(config, counters.clone()).await?.run(stop, configs).await
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -1,16 +1,16 @@
 //! Client connections: reads RESP commands and writes the replies in the order of the commands.
 
-use crate::arrival::{self, ClientStream};
+use crate::client_stream::{self, ClientStream};
 use crate::clock::MILLIS;
 use crate::config::Config;
-use crate::heir::{PassedConnection, TakeoverSocket};
-use crate::long::{self, StreamedValue, Upload, Value};
+use crate::connection_limit::{ConnectionLimit, EvictionClass};
 use crate::messages::{Answer, ClientRequest};
 use crate::phases::Phase;
 use crate::resp::{Frame, FramePart, StreamingResp, invalid};
-use crate::room::{ConnectionLimit, EvictionClass};
+use crate::routes::Routes;
 use crate::shared::Shared;
-use crate::tuning::Routes;
+use crate::streaming::{self, StreamedValue, Upload, Value};
+use crate::takeover::{PassedConnection, TakeoverSocket};
 use bytes::{Bytes, BytesMut};
 use futures_util::{FutureExt, SinkExt, StreamExt};
 use pumicebay_core::{Ask, Nanos, RequestId};
@@ -99,7 +99,7 @@
 /// by that time, since their clients may have sent a command. If a successor has the same listening socket,
 /// it accepts the latter instead.
 pub async fn accept(frontend: Frontend, listener: TcpListener) {
-    arrival::enable_timestamps(&listener);
+    client_stream::enable_timestamps(&listener);
     let (mut closing, waiting_slots) =
         (frontend.shared.phase.clone(), Arc::new(Semaphore::new(MAX_WAITING_CONNECTIONS)));
     loop {
@@ -381,7 +381,7 @@
         words.push(Frame::Bulk(Bytes::new()));
         let (reply, mut sender) = match self.frontend.shared.streamed_values.clone().try_acquire_owned() {
             Ok(permit) => {
-                let (sender, value) = long::streamed_value(length, Some(permit));
+                let (sender, value) = streaming::streamed_value(length, Some(permit));
                 let reply =
                     self.handle_command(Frame::Array(words), Some(Box::new(Upload::new(value)))).await;
                 (reply, Some(sender))
@@ -477,7 +477,7 @@
 }
 
 /// Sends a piece to the receiver of the value. Cancel safe: a cancelled call has not sent it.
-async fn send_piece(sender: &Option<long::ValueSender>, piece: &Option<Bytes>) -> std::io::Result<()> {
+async fn send_piece(sender: &Option<streaming::ValueSender>, piece: &Option<Bytes>) -> std::io::Result<()> {
     match (sender, piece) {
         (Some(sender), Some(piece)) => sender.send(piece.clone()).await,
         _ => Ok(()),
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,10 +2,10 @@
 
 use crate::discovery::known::Known;
 use crate::fleet::config::FleetConfig;
-use crate::long;
 use crate::operator::CALLERS;
 use crate::resp::MAX_BULK_BYTES;
 use crate::sound::{key, sound};
+use crate::streaming;
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_core::Settings;
 use pumicebay_core::host::Repeat;
@@ -193,7 +193,7 @@
         used: used.min(clients),
         upstream: (sockets - clients_part(sockets)).min(memory / 4 / NODE_BYTES),
         ahead: memory / 8 / MAX_BULK_BYTES,
-        long: memory / 8 / long::MAX_BUFFERED_BYTES,
+        long: memory / 8 / streaming::MAX_BUFFERED_BYTES,
         known,
         longest_list: (memory / 8).min(LONGEST_LIST),
         json: json.clone(),
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -2,10 +2,10 @@
 
 use crate::discovery::entries::{ListText, entries};
 use crate::discovery::left::{self, LeftList};
+use crate::event_loop;
 use crate::http::{Http, Request, Response};
 use crate::messages::{ListPart, ListedNode};
 use crate::shared::Shared;
-use crate::turns;
 use anyhow::{Context, Result, bail, ensure};
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
@@ -139,13 +139,13 @@
     async fn take(&mut self, body: &[u8]) -> Result<()> {
         let counters = self.shared.counters.clone();
         let what = || format!("reading a list of {} bytes", body.len());
-        let list = turns::timed(&counters, what, || self.read(body))?;
+        let list = event_loop::timed(&counters, what, || self.read(body))?;
         let (whole, entries) = (list.whole, list.entries.len());
         let mut from = 0;
         loop {
             let to = (from + PART).min(entries);
             let what = || format!("reading {} entries of the list", to - from);
-            let named = turns::timed(&counters, what, || self.part(&list, from..to));
+            let named = event_loop::timed(&counters, what, || self.part(&list, from..to));
             let part = ListPart { nodes: named, full: whole, first: from == 0, last: to == entries };
             self.shared.dispatcher.nodes_listed(part).await;
             if to == entries {
@@ -154,7 +154,7 @@
             from = to;
             yield_now().await;
         }
-        turns::timed(&counters, || "leaving the list".into(), || self.leave(&list));
+        event_loop::timed(&counters, || "leaving the list".into(), || self.leave(&list));
         Ok(())
     }
 
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! The dispatcher actor: the balancer of `pumicebay-core`, its mailbox, and the host that carries out what
 //! the balancer asks for. No handler ever waits for I/O.
 
-use crate::desk::{ControlCommand, NodeKind, PROBE_TIMEOUT};
+use crate::control::{ControlCommand, NodeKind, PROBE_TIMEOUT};
+use crate::event_loop;
 use crate::fleet::prober::Prober;
 use crate::line_budget::LineBudget;
-use crate::long::Value;
 use crate::memory::MemoryMonitor;
 use crate::messages::{Answer, AttemptResult, ClientRequest, Event, ListPart, ListedNode, Mailbox};
 use crate::nodes::{Known, Nodes};
 use crate::phases::Phase;
 use crate::shared::Shared;
-use crate::turns;
+use crate::streaming::Value;
 use crate::upstream::attempt::{self, Errand, Target};
 use bytes::Bytes;
 use hashbrown::{HashMap, HashSet};
@@ -114,7 +114,7 @@
                     Some(event) => {
                         let counters = self.balance.host.shared.counters.clone();
                         let description = event.description();
-                        turns::timed(&counters, || description.to_string(), || self.handle_event(event));
+                        event_loop::timed(&counters, || description.to_string(), || self.handle_event(event));
                     }
                     None => return,
                 },
@@ -128,7 +128,7 @@
         let now = self.balance.host.shared.clock.now();
         let counters = self.balance.host.shared.counters.clone();
         while let Some(Reverse((at, token))) = self.balance.host.pop_due_timer(now) {
-            turns::timer_fired(&counters, Duration::from_nanos(now.saturating_sub(at)));
+            event_loop::timer_fired(&counters, Duration::from_nanos(now.saturating_sub(at)));
             self.balance.woke(now, token);
         }
         let idle_connections = self.balance.host.shared.upstream.count();
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -45,7 +45,7 @@
 pub mod store;
 pub mod wire;
 
-use crate::desk::ControlHandle;
+use crate::control::ControlHandle;
 use crate::fleet::asker::Asker;
 use crate::fleet::me::Me;
 use tokio::task::JoinSet;
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -1,7 +1,7 @@
 //! Probes of nodes that are down, for the whole of a zone: the actor between the module, which wants their outcomes, and the
 //! fleet, in which one process probes for all. The choices are `pumicebay_accord::Watch`'s.
 
-use crate::desk::ControlHandle;
+use crate::control::ControlHandle;
 use crate::fleet::asker::Asker;
 use crate::fleet::door::Door;
 use crate::fleet::lease::Lease;
@@ -104,7 +104,7 @@
             _ = tick.tick() => {
                 let held = lease.as_ref().and_then(|lease| *lease.held.borrow());
                 // A lease that can't outlast a probe is none: the next holder may probe already.
-                let held = held.filter(|held| clock.now() + crate::desk::PROBE_TIMEOUT.as_nanos() as u64 <= held.until);
+                let held = held.filter(|held| clock.now() + crate::control::PROBE_TIMEOUT.as_nanos() as u64 <= held.until);
                 watch.held(held.map(|held| held.token));
                 watch.tick(clock.now(), &mut acts);
                 // Nobody probes while nothing is down, and nobody keeps a lease for it.
--- a/crates/proxy/src/messages.rs
+++ b/crates/proxy/src/messages.rs
@@ -1,7 +1,7 @@
 //! The events that the dispatcher handles, and the handle for sending them.
 
-use crate::desk::{ControlCommand, ControlHandle};
-use crate::long::{Upload, Value};
+use crate::control::{ControlCommand, ControlHandle};
+use crate::streaming::{Upload, Value};
 use bytes::Bytes;
 use pumicebay_core::{Ask, Held, Listed, Nanos, Node, Outcome, RequestId};
 use std::net::SocketAddr;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -3,12 +3,12 @@
 //! the module.
 
 use crate::bans::{Asked, LONGEST_LEASE, Maintenance};
+use crate::connection_limit::{ConnectionLimit, EvictionClass};
 use crate::counters::Counters;
 use crate::fleet::carrier::actor::Told;
 use crate::fleet::replication::handle::Handle;
 use crate::http::{Call, Calls, Word};
 use crate::phases::{Phase, PhaseWatch};
-use crate::room::{ConnectionLimit, EvictionClass};
 use futures_util::{SinkExt, StreamExt};
 use serde_json::Value as Json;
 use std::sync::Arc;
--- a/crates/proxy/src/resp.rs
+++ b/crates/proxy/src/resp.rs
@@ -1,6 +1,6 @@
 //! The RESP2 protocol: commands from clients and to cache nodes, and the replies to both.
 
-use crate::long::PIECE_BYTES;
+use crate::streaming::PIECE_BYTES;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use smallvec::SmallVec;
 use std::fmt::Write;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -4,23 +4,23 @@
 use crate::clients::{self, Frontend};
 use crate::clock::Clock;
 use crate::config::{self, Config};
+use crate::connection_limit::ConnectionLimit;
+use crate::control::ControlHandle;
 use crate::counters::Counters;
-use crate::desk::ControlHandle;
 use crate::discovery::entries::entries;
 use crate::discovery::list::List;
+use crate::dispatcher::Dispatcher;
+use crate::event_loop;
 use crate::fleet::carrier::{self, apply};
 use crate::fleet::replication::handle::Channels;
 use crate::fleet::{self, asker::Asker, replication};
-use crate::heir::{Successor, TakeoverSocket};
 use crate::listen::listen;
 use crate::messages;
-use crate::module::Dispatcher;
 use crate::operator::{self, Operator};
 use crate::phases::{Phase, PhaseWatch, Phases};
-use crate::room::ConnectionLimit;
+use crate::routes::{RouteRegistry, Routes};
 use crate::shared::Shared;
-use crate::tuning::{RouteRegistry, Routes};
-use crate::turns;
+use crate::takeover::{Successor, TakeoverSocket};
 use crate::upstream::pool::{self, Pool};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_accord::Fences;
@@ -291,7 +291,7 @@
             config::keeps(&self.file_config.json, &file_config.json).map(|()| file_config)
         };
         let what = || "checking a new configuration".into();
-        match turns::timed(&self.counters, what, || file_config.and_then(keeps)) {
+        match event_loop::timed(&self.counters, what, || file_config.and_then(keeps)) {
             Ok(file_config) => {
                 self.file_config = file_config;
                 // A list in the configuration is only used at the start.
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -3,10 +3,10 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::heir::Successor;
 use crate::messages::DispatcherHandle;
 use crate::phases::PhaseWatch;
-use crate::tuning::Routes;
+use crate::routes::Routes;
+use crate::takeover::Successor;
 use crate::upstream::pool::Pool;
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Semaphore, watch};
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -2,10 +2,10 @@
 //! it: a node that nothing is sent to has none.
 
 use crate::clock::MILLIS;
-use crate::long::{self, Upload, Value};
 use crate::messages::{AttemptResult, ClientRequest};
 use crate::phases::Phase;
 use crate::shared::Shared;
+use crate::streaming::{self, Upload, Value};
 use crate::upstream::connection::{Came, Connection, connect};
 use pumicebay_core::{Held, Nanos, Node, Outcome, RequestId};
 use std::io::ErrorKind;
@@ -198,7 +198,7 @@
         Ok(Err(error)) => return (Some(failed(address, &error).into()), None),
         Err(_) => return (Some(Outcome::Overdue.into()), None),
     };
-    let (source, value) = long::streamed_value(length, Some(room));
+    let (source, value) = streaming::streamed_value(length, Some(room));
     let back =
         AttemptResult { outcome: Outcome::Completed, value: Value::Streamed(value), reported_load: held };
     if let Errand::Try { xchg, try_no, .. } = errand {
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -2,10 +2,10 @@
 //! closing its connection.
 
 use crate::http::{self, Request};
-use crate::long::{self, PIECE_BYTES, STALL_TIMEOUT, StreamedValue};
 use crate::messages::{AttemptResult, ClientRequest};
 use crate::resp::{self, Frame, MAX_BULK_BYTES, readable};
 use crate::shared::Shared;
+use crate::streaming::{self, PIECE_BYTES, STALL_TIMEOUT, StreamedValue};
 use crate::upstream::attempt::Errand;
 use crate::upstream::forms::{answered, command, labels, probed, replied, request};
 use anyhow::{Context, Result, bail};
@@ -210,7 +210,7 @@
     }
 
     /// Brings a long value to whoever takes it.
-    pub async fn pass_on(&mut self, first: Vec<Bytes>, source: long::ValueSender) -> Result<()> {
+    pub async fn pass_on(&mut self, first: Vec<Bytes>, source: streaming::ValueSender) -> Result<()> {
         for piece in first {
             source.send(piece).await?;
         }
--- a/crates/proxy/tests/proxy/config.rs
+++ b/crates/proxy/tests/proxy/config.rs
@@ -3,7 +3,7 @@
 use crate::configuration;
 use expect_test::expect;
 use pumicebay::config;
-use pumicebay::tuning::RouteRegistry;
+use pumicebay::routes::RouteRegistry;
 use serde_json::json;
 
 #[test]
