--- a/crates/carrier/src/children.rs
+++ b/crates/carrier/src/children.rs
@@ -1,67 +1,75 @@
-//! The children of a process: what each holds, and what is on its way to it.
+//! The children of a process: what each of them holds, and what is being sent to it.
 
-use crate::message::{Attachment, Down, Sum};
-use crate::node::{Child, Host};
-use crate::planted::{Fault, planted};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::message::{Attachment, ParentMessage, Summary};
+use crate::node::{ChildId, Host};
 use crate::resource::{Interest, Version};
 use crate::store::{Cursor, Store};
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const PULSE: Nanos = SECOND;
-/// What was sent counts against a child's bytes a second for somewhat longer: on their way messages draw nearer to each other.
-const SPENT: Nanos = SECOND + SECOND / 4;
-/// A pulse that moves a child for which nothing changed comes this long after the last one, at the soonest.
-const EARLY: Nanos = 250 * MILLISECOND;
-/// One that says nothing for so long, or leaves a part without an answer, holds a place that others need.
-const STALLED: Nanos = 10 * SECOND;
-/// No part is cut smaller than this for want of bytes in a second; more of them come with the next.
-pub(crate) const LEAST_PART: usize = 1_024;
-/// What a part takes beside its resources, and a pulse, in bytes at most.
-const FRAME: usize = 64;
-const PULSE_BYTES: usize = 48;
+const HEARTBEAT_INTERVAL: Nanos = SECOND;
+/// Sent bytes count against a child's bytes per second for somewhat longer than a second, since messages that were sent
+/// apart can arrive closer together.
+const BANDWIDTH_WINDOW: Nanos = SECOND + SECOND / 4;
+/// A heartbeat that moves a child to a newer version without changes for it is sent early, but not sooner than this after
+/// the last heartbeat.
+const MIN_HEARTBEAT_INTERVAL: Nanos = 250 * MILLISECOND;
+/// A child that sends nothing for so long, or does not answer a part within it, is disconnected: it takes a place that other
+/// children need.
+const STALL_TIMEOUT: Nanos = 10 * SECOND;
+/// No part is made smaller than this, in bytes, because the bytes of a second are used up; it is sent later instead.
+pub(crate) const MIN_PART_BYTES: usize = 1_024;
+/// The maximum size of a part without its resources and of a heartbeat, in bytes.
+const PART_OVERHEAD_BYTES: usize = 64;
+const HEARTBEAT_BYTES: usize = 48;
 
+/// A delta that is being sent to a child in parts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Sending {
+struct Transfer {
     after: Version,
-    /// At which version a whole set was begun.
-    whole: Option<Version>,
-    from: Cursor,
+    /// If a full set is sent: the version at which it was begun.
+    full_set: Option<Version>,
+    cursor: Cursor,
 }
 
+/// One child and the state of its link.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Subscriber {
-    pub who: Option<(Attachment, Interest)>,
-    /// What it holds, as it said, and the digest of that.
-    pub holds: (Version, u64),
-    /// Of a control machine: what it has on disk.
-    pub on_disk: Option<Version>,
-    /// What it said of those at and below it.
-    pub sum: Option<Sum>,
-    /// The oldest version that is held here and not in force there, and since when.
+    /// Which member it is and what it wants, once it has subscribed.
+    pub subscription: Option<(Attachment, Interest)>,
+    /// The version that the child reported to hold, and the digest of it.
+    pub held: (Version, u64),
+    /// The version on the child's disk; reported by control machines only.
+    pub persisted: Option<Version>,
+    /// The child's last summary of itself and everything below it.
+    pub summary: Option<Summary>,
+    /// The oldest version that is held here but not in force there, and since when.
     pub behind: Option<(Version, Nanos)>,
-    sending: Option<Sending>,
-    /// A part is on its way: the version that its last one leads to, and since when.
-    part: Option<(Option<Version>, Nanos)>,
-    /// A whole set was sent at this version: where its digest differs after that, sending it again would not help.
-    whole_at: Option<Version>,
-    /// Bytes sent in the last second, and when.
-    spent: VecDeque<(Nanos, usize)>,
-    pulsed: Nanos,
-    pulse_at: Nanos,
-    heard: Nanos,
+    transfer: Option<Transfer>,
+    /// A part without an answer: the version that the child holds after it if it is the last part, and when it was sent.
+    part_in_flight: Option<(Option<Version>, Nanos)>,
+    /// The version at which a full set was sent: if the digest still differs after that, sending it again would not help.
+    full_set_sent: Option<Version>,
+    /// When how many bytes were sent within the bandwidth window.
+    sent_bytes: VecDeque<(Nanos, usize)>,
+    last_heartbeat: Nanos,
+    next_heartbeat: Nanos,
+    /// When the child's last message arrived.
+    last_message: Nanos,
     due: Nanos,
 }
 
+/// All children, and when each of them needs attention.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Children {
-    of: BTreeMap<Child, Subscriber>,
-    agenda: BTreeSet<(Nanos, Child)>,
+    subscribers: BTreeMap<ChildId, Subscriber>,
+    due_times: BTreeSet<(Nanos, ChildId)>,
 }
 
-/// What a child is sent from, and within which of.
+/// The resources that a child is sent, the age of this process's knowledge in nanoseconds, and the child's limits.
 #[derive(Clone, Copy)]
-pub(crate) struct Served<'a> {
+pub(crate) struct ServeContext<'a> {
     pub store: &'a Store,
     pub age: Nanos,
     pub bytes_per_second: usize,
@@ -70,214 +78,229 @@
 
 impl Children {
     pub fn len(&self) -> usize {
-        self.of.len()
+        self.subscribers.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&Child, &Subscriber)> {
-        self.of.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&ChildId, &Subscriber)> {
+        self.subscribers.iter()
     }
 
-    /// Those that serve nobody themselves.
-    pub fn proxies(&self) -> usize {
-        let proxy = |one: &&Subscriber| matches!(one.who, Some((_, Interest::Proxy(..))));
-        self.of.values().filter(proxy).count()
+    /// The number of subscribed children that have no children themselves.
+    pub fn proxy_count(&self) -> usize {
+        let is_proxy =
+            |subscriber: &&Subscriber| matches!(subscriber.subscription, Some((_, Interest::Proxy(..))));
+        self.subscribers.values().filter(is_proxy).count()
     }
 
-    pub fn numbers(&self) -> Vec<Child> {
-        self.of.keys().copied().collect()
+    pub fn ids(&self) -> Vec<ChildId> {
+        self.subscribers.keys().copied().collect()
     }
 
-    pub fn get(&mut self, child: Child) -> Option<&mut Subscriber> {
-        self.of.get_mut(&child)
+    pub fn get_mut(&mut self, child: ChildId) -> Option<&mut Subscriber> {
+        self.subscribers.get_mut(&child)
     }
 
-    pub fn add(&mut self, now: Nanos, child: Child) {
-        let due = now + STALLED;
-        self.agenda.insert((due, child));
-        let new = Subscriber {
-            who: None,
-            holds: Default::default(),
-            on_disk: None,
-            sum: None,
+    pub fn add(&mut self, now: Nanos, child: ChildId) {
+        let due = now + STALL_TIMEOUT;
+        self.due_times.insert((due, child));
+        let subscriber = Subscriber {
+            subscription: None,
+            held: Default::default(),
+            persisted: None,
+            summary: None,
             behind: None,
-            sending: None,
-            part: None,
-            whole_at: None,
-            spent: VecDeque::new(),
-            pulsed: now,
-            pulse_at: now,
-            heard: now,
+            transfer: None,
+            part_in_flight: None,
+            full_set_sent: None,
+            sent_bytes: VecDeque::new(),
+            last_heartbeat: now,
+            next_heartbeat: now,
+            last_message: now,
             due,
         };
-        self.of.insert(child, new);
+        self.subscribers.insert(child, subscriber);
     }
 
-    pub fn remove(&mut self, child: Child) -> Option<Subscriber> {
-        let gone = self.of.remove(&child)?;
-        self.agenda.remove(&(gone.due, child));
-        Some(gone)
+    pub fn remove(&mut self, child: ChildId) -> Option<Subscriber> {
+        let removed = self.subscribers.remove(&child)?;
+        self.due_times.remove(&(removed.due, child));
+        Some(removed)
     }
 
+    /// When the next child needs attention; `Nanos::MAX` if there are no children.
     pub fn due(&self) -> Nanos {
-        self.agenda.first().map_or(Nanos::MAX, |(due, _)| *due)
+        self.due_times.first().map_or(Nanos::MAX, |(due, _)| *due)
     }
 
-    /// Those whose time has come.
-    pub fn at(&self, now: Nanos) -> Vec<Child> {
-        self.agenda.iter().take_while(|(due, _)| *due <= now).map(|(_, child)| *child).collect()
+    /// The children that need attention now.
+    pub fn due_at(&self, now: Nanos) -> Vec<ChildId> {
+        self.due_times.iter().take_while(|(due, _)| *due <= now).map(|(_, child)| *child).collect()
     }
 
-    /// Sends this child what may be sent now; `false` where it has stalled.
-    pub fn serve(&mut self, now: Nanos, child: Child, of: Served, host: &mut impl Host) -> bool {
-        let Some(one) = self.of.get_mut(&child) else { return true };
-        let mut due = one.heard + STALLED;
-        if let Some((_, since)) = one.part {
-            due = due.min(since + STALLED);
+    /// Sends this child what may be sent now; `false` if the child has stalled.
+    pub fn serve(&mut self, now: Nanos, child: ChildId, context: ServeContext, host: &mut impl Host) -> bool {
+        let Some(subscriber) = self.subscribers.get_mut(&child) else { return true };
+        let mut due = subscriber.last_message + STALL_TIMEOUT;
+        if let Some((_, since)) = subscriber.part_in_flight {
+            due = due.min(since + STALL_TIMEOUT);
         }
         if now >= due {
             return false;
         }
-        if let Some((_, wants)) = one.who.clone() {
-            due = due.min(one.next_part(now, child, &wants, of, host));
-            if now >= one.pulse_at {
-                one.pulse(now, child, &wants, of, host);
+        if let Some((_, interest)) = subscriber.subscription.clone() {
+            due = due.min(subscriber.send_next_part(now, child, &interest, context, host));
+            if now >= subscriber.next_heartbeat {
+                subscriber.send_heartbeat(now, child, &interest, context, host);
             }
-            due = due.min(one.pulse_at);
+            due = due.min(subscriber.next_heartbeat);
         }
-        self.agenda.remove(&(one.due, child));
-        one.due = due;
-        self.agenda.insert((due, child));
+        self.due_times.remove(&(subscriber.due, child));
+        subscriber.due = due;
+        self.due_times.insert((due, child));
         true
     }
 }
 
 impl Subscriber {
-    pub fn heard(&mut self, now: Nanos) {
-        self.heard = now;
+    /// Records that a message of the child arrived.
+    pub fn message_received(&mut self, now: Nanos) {
+        self.last_message = now;
     }
 
-    /// It has taken a part that was not the last.
-    pub fn took(&mut self) {
-        if matches!(self.part, Some((None, _))) {
-            self.part = None;
+    /// Records that the child has acknowledged a part that was not the last.
+    pub fn part_acknowledged(&mut self) {
+        if matches!(self.part_in_flight, Some((None, _))) {
+            self.part_in_flight = None;
         }
     }
 
-    /// It holds this now.
-    pub fn holds(&mut self, version: Version, digest: u64) {
-        self.holds = (version, digest);
-        if let Some((Some(until), _)) = self.part
+    /// Records what the child holds now.
+    pub fn set_held(&mut self, version: Version, digest: u64) {
+        self.held = (version, digest);
+        if let Some((Some(until), _)) = self.part_in_flight
             && version >= until
         {
-            (self.part, self.sending) = (None, None);
+            (self.part_in_flight, self.transfer) = (None, None);
         }
     }
 
-    /// Its first pulse comes at once.
-    pub fn subscribed(
+    /// Records the subscription; the first heartbeat is sent at once.
+    pub fn subscribe(
         &mut self,
         now: Nanos,
-        who: Attachment,
-        wants: Interest,
+        attachment: Attachment,
+        interest: Interest,
         version: Version,
         digest: u64,
     ) {
-        self.who = Some((who, wants));
-        self.holds = (version, digest);
-        self.pulse_at = now;
+        self.subscription = Some((attachment, interest));
+        self.held = (version, digest);
+        self.next_heartbeat = now;
     }
 
-    /// Begins what it misses, or sends the next part of that; when to look again.
-    fn next_part(
+    /// Begins to send what the child misses, or sends the next part of it. Returns when to call this again.
+    fn send_next_part(
         &mut self,
         now: Nanos,
-        child: Child,
-        wants: &Interest,
-        of: Served,
+        child: ChildId,
+        interest: &Interest,
+        context: ServeContext,
         host: &mut impl Host,
     ) -> Nanos {
-        let store = of.store;
-        if self.part.is_some() {
+        let store = context.store;
+        if self.part_in_flight.is_some() {
             return Nanos::MAX;
         }
-        if self.sending.is_none() {
-            self.begin(wants, store);
+        if self.transfer.is_none() {
+            self.begin_transfer(interest, store);
         }
-        let Some(sending) = &mut self.sending else { return Nanos::MAX };
-        // Marks of what was removed since it was begun may be gone: then only a new one helps.
-        match &mut sending.whole {
-            Some(began) if *began < store.pruned => {
-                (*began, sending.from) = (store.version, Cursor::default());
+        let Some(transfer) = &mut self.transfer else { return Nanos::MAX };
+        // Tombstones that were set since the transfer began may have been pruned: then only a new full set is complete.
+        match &mut transfer.full_set {
+            Some(begun_at) if *begun_at < store.pruned => {
+                (*begun_at, transfer.cursor) = (store.version, Cursor::default());
             }
-            None if sending.after < store.pruned => {
-                (sending.whole, sending.from) = (Some(store.version), Cursor::default());
+            None if transfer.after < store.pruned => {
+                (transfer.full_set, transfer.cursor) = (Some(store.version), Cursor::default());
             }
             _ => {}
         }
-        while self.spent.front().is_some_and(|(at, _)| at + SPENT <= now) {
-            self.spent.pop_front();
+        while self.sent_bytes.front().is_some_and(|(at, _)| at + BANDWIDTH_WINDOW <= now) {
+            self.sent_bytes.pop_front();
         }
-        let most = of.bytes_per_second.max(LEAST_PART + FRAME + PULSE_BYTES);
-        let room = most
-            .saturating_sub(self.spent.iter().map(|(_, bytes)| bytes).sum::<usize>() + PULSE_BYTES + FRAME);
-        if room < LEAST_PART.min(of.part_bytes) {
-            return self.spent.front().map_or(now, |(at, _)| at + SPENT);
+        let limit = context.bytes_per_second.max(MIN_PART_BYTES + PART_OVERHEAD_BYTES + HEARTBEAT_BYTES);
+        let available = limit.saturating_sub(
+            self.sent_bytes.iter().map(|(_, bytes)| bytes).sum::<usize>()
+                + HEARTBEAT_BYTES
+                + PART_OVERHEAD_BYTES,
+        );
+        if available < MIN_PART_BYTES.min(context.part_bytes) {
+            return self.sent_bytes.front().map_or(now, |(at, _)| at + BANDWIDTH_WINDOW);
         }
-        let room = room.min(of.part_bytes.max(LEAST_PART) - FRAME);
-        let Sending { after, whole, from } = sending;
-        let part = store.part(wants, *after, *whole, from, room);
-        *from = part.next;
-        let bytes = FRAME + part.resources.iter().map(crate::store::size).sum::<usize>();
-        self.spent.push_back((now, bytes));
-        self.part = Some((part.last.then_some(store.version), now));
-        if part.last && whole.is_some() {
-            self.whole_at = Some(store.version);
+        let available = available.min(context.part_bytes.max(MIN_PART_BYTES) - PART_OVERHEAD_BYTES);
+        let Transfer { after, full_set, cursor } = transfer;
+        let part = store.next_part(interest, *after, *full_set, cursor, available);
+        *cursor = part.next;
+        let bytes =
+            PART_OVERHEAD_BYTES + part.resources.iter().map(crate::store::encoded_size).sum::<usize>();
+        self.sent_bytes.push_back((now, bytes));
+        self.part_in_flight = Some((part.last.then_some(store.version), now));
+        if part.last && full_set.is_some() {
+            self.full_set_sent = Some(store.version);
         }
-        host.send_down(
+        host.send_to_child(
             child,
-            Down::Delta {
+            ParentMessage::Delta {
                 after: *after,
                 version: store.version,
-                whole: whole.is_some(),
+                full_set: full_set.is_some(),
                 last: part.last,
-                cut: part.cut,
+                truncated: part.truncated,
                 resources: part.resources,
             },
         );
         if part.last {
-            self.pulse(now, child, wants, of, host);
+            self.send_heartbeat(now, child, interest, context, host);
         }
-        now + STALLED
+        now + STALL_TIMEOUT
     }
 
-    /// What is it to be sent, if anything? A parent that is behind its child sends it nothing; where nothing changed for
-    /// the child a pulse carries it, soon.
-    fn begin(&mut self, wants: &Interest, store: &Store) {
-        let (version, digest) = self.holds;
-        let same = store.digest(wants) == digest;
-        let ahead = version > store.version && !planted(Fault::TakesOlder);
-        if ahead || (version == store.version && same) {
+    /// Decides what the child is to be sent, if anything. A parent that is behind its child sends it nothing. If nothing
+    /// changed for the child, an early heartbeat moves it to the newer version.
+    fn begin_transfer(&mut self, interest: &Interest, store: &Store) {
+        let (version, digest) = self.held;
+        let same_content = store.digest(interest) == digest;
+        let child_is_ahead = version > store.version && !is_injected(InjectedFault::AcceptsOlderVersion);
+        if child_is_ahead || (version == store.version && same_content) {
             return;
         }
-        if same {
-            self.pulse_at = self.pulse_at.min(self.pulsed + EARLY);
+        if same_content {
+            self.next_heartbeat = self.next_heartbeat.min(self.last_heartbeat + MIN_HEARTBEAT_INTERVAL);
             return;
         }
-        let whole = version.epoch != store.version.epoch
+        let full_set = version.epoch != store.version.epoch
             || version < store.pruned
-            || store.delta(version, wants).next().is_none();
-        if whole && self.whole_at == Some(store.version) {
+            || store.changed_since(version, interest).next().is_none();
+        if full_set && self.full_set_sent == Some(store.version) {
             return;
         }
-        let whole = whole.then_some(store.version);
-        self.sending = Some(Sending { after: version, whole, from: Cursor::default() });
+        let full_set = full_set.then_some(store.version);
+        self.transfer = Some(Transfer { after: version, full_set, cursor: Cursor::default() });
     }
 
-    fn pulse(&mut self, now: Nanos, child: Child, wants: &Interest, of: Served, host: &mut impl Host) {
-        let Served { store, age, .. } = of;
-        let pulse = Down::Pulse { holds: store.version, digest: store.digest(wants), age };
-        host.send_down(child, pulse);
-        self.spent.push_back((now, PULSE_BYTES));
-        (self.pulsed, self.pulse_at) = (now, now + PULSE);
+    fn send_heartbeat(
+        &mut self,
+        now: Nanos,
+        child: ChildId,
+        interest: &Interest,
+        context: ServeContext,
+        host: &mut impl Host,
+    ) {
+        let ServeContext { store, age, .. } = context;
+        let heartbeat =
+            ParentMessage::Heartbeat { version: store.version, digest: store.digest(interest), age };
+        host.send_to_child(child, heartbeat);
+        self.sent_bytes.push_back((now, HEARTBEAT_BYTES));
+        (self.last_heartbeat, self.next_heartbeat) = (now, now + HEARTBEAT_INTERVAL);
     }
 }
--- a/crates/carrier/src/message.rs
+++ b/crates/carrier/src/message.rs
@@ -1,18 +1,19 @@
-//! What parent and child say to each other.
+//! The messages between a parent and its children.
 
 use crate::Nanos;
 use crate::resource::{Interest, Name, Resource, Scope, Version};
 use serde::{Deserialize, Serialize};
 
-/// A process: its name and which life of it.
+/// A process, identified by its name and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub name: Name,
+    /// Grows with each restart of the process.
     pub incarnation: u64,
 }
 
-/// One link of a member to a parent. A member numbers its own links, so that whoever hears of two of them knows which
-/// is the later one, in whatever order the news came.
+/// One link of a member to a parent. Each member numbers its own links, so that a process that learns of two of them knows
+/// which one is later, whatever the order in which it learned of them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attachment {
     pub member: Member,
@@ -21,74 +22,86 @@
 }
 
 impl Attachment {
-    /// Whether this is a later link of the same process, or of a later incarnation of it.
+    /// Whether this is a later link of the same process, either of the same or of a later incarnation.
     pub fn is_later_than(&self, other: &Attachment) -> bool {
-        let order = |one: &Attachment| (one.member.incarnation, one.number);
+        let order = |attachment: &Attachment| (attachment.member.incarnation, attachment.number);
         self.member.name == other.member.name && order(self) > order(other)
     }
 }
 
-/// From a child to its parent.
+/// A message from a child to its parent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Up {
-    /// First on a link: who calls on which of its links, what it wants, and the version and digest of what it holds of
-    /// that.
-    Subscribe { who: Attachment, wants: Interest, holds: Version, digest: u64 },
-    /// What it holds now: the answer to the last part of a difference, to one that it passed over, and to a pulse that
-    /// moved it.
+pub enum ChildMessage {
+    /// The first message on a link: which member connects and by which of its links, what it wants, and the version and
+    /// digest of what it holds of that.
+    Subscribe { attachment: Attachment, interest: Interest, version: Version, digest: u64 },
+    /// What the child holds now. Sent after the last part of a delta, after a delta that it ignored, and after a heartbeat
+    /// that moved it to a newer version.
     Holds { version: Version, digest: u64 },
-    /// The answer to a part that is not the last: the next may come.
-    Took,
-    /// Of a control machine: this is on its disk.
-    Kept(Version),
-    /// What is in force below and at the child, as a sum.
-    Sum(Sum),
+    /// Acknowledges a part that is not the last one of its delta: the parent may send the next part.
+    PartAck,
+    /// Sent by control machines only: this version is on the child's disk.
+    Persisted(Version),
+    /// What is in force at the child and below it.
+    Summary(Summary),
 }
 
-/// From a parent to its child.
+/// A message from a parent to its child.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Down {
-    /// Once a second, and after the last part of a difference: the newest version that the parent holds, the digest of what
-    /// the child wants at that version, and how old the parent's knowledge is: time since the root held just this, in
-    /// nanoseconds, the greatest number where it is not known. A child that has this digest holds that version by it.
-    Pulse { holds: Version, digest: u64, age: Nanos },
-    /// What changed for the child after `after`, up to `version`; in parts, of which only the last makes it hold `version`,
-    /// which grows from part to part where the parent's does. A whole one replaces what the child has. Of a part that is
-    /// `cut` the last patch goes on in the next part, under the same scope, name and version.
-    Delta { after: Version, version: Version, whole: bool, last: bool, cut: bool, resources: Vec<Resource> },
-    /// No room for one more child: it goes to another.
-    Full,
+pub enum ParentMessage {
+    /// Sent once a second, and after the last part of a delta: the newest version that the parent holds, the digest of what
+    /// the child wants at that version, and the age of the parent's knowledge. The age is the time since the root held
+    /// exactly this, in nanoseconds, or `Nanos::MAX` if that is not known. A child whose own digest equals this one thereby
+    /// holds that version.
+    #[serde(rename = "Pulse")]
+    Heartbeat { version: Version, digest: u64, age: Nanos },
+    /// What changed for the child after version `after`, up to `version`. Sent in parts; the child holds `version` only
+    /// after the last part, and `version` grows from part to part when the parent's does. A full set replaces what the child
+    /// has. If a part is `truncated`, its last patch continues in the next part under the same scope, name and version.
+    Delta {
+        after: Version,
+        version: Version,
+        full_set: bool,
+        last: bool,
+        truncated: bool,
+        resources: Vec<Resource>,
+    },
+    /// The parent accepts no more children; the child should connect to another parent.
+    AtCapacity,
 }
 
-/// What is in force at a process and all below it. It never claims more than what was said to be in force there.
+/// What is in force at a process and at all processes below it. It never claims more than the members have reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sum {
-    /// Everyone counted has this in force, but the exceptions.
+pub struct Summary {
+    /// Every counted member has this version in force, except those listed as exceptions.
     pub in_force: Version,
-    /// All that are counted, exceptions included.
+    /// The number of counted members, including the exceptions.
     pub members: u32,
-    /// The gravest, and of one member four refusals at most.
+    /// The most severe exceptions, with at most four refusals for each member.
     pub exceptions: Vec<Exception>,
-    /// Members that are exceptions beyond those named.
+    /// The number of members that are exceptions but are not listed in `exceptions`.
     pub unnamed: u32,
-    /// Who came from another parent a short while ago: whoever sums takes their earlier links off what it has as lost.
+    /// Members that recently arrived from another parent. A process that aggregates summaries no longer counts their
+    /// earlier links as lost.
     pub arrived: Vec<Attachment>,
 }
 
+/// A member that does not have the summary's version completely in force.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Exception {
-    pub who: Member,
-    /// What it had in force last.
+    pub member: Member,
+    /// The last version that the member is known to have had in force.
     pub in_force: Version,
-    pub why: Why,
+    pub kind: ExceptionKind,
 }
 
+/// Why a member is an exception.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Why {
-    /// It refused this resource, at this version of it, for this reason; the last good one stays in force.
+pub enum ExceptionKind {
+    /// The member refused this version of this resource, for this reason; the last good version of it stays in force there.
     Refused { scope: Scope, resource: Name, version: Version, reason: String },
-    /// It is there and has not caught up within the time that is usual.
+    /// The member is connected but has not caught up within the usual time.
     Late,
-    /// Its link of this number was lost, and no later one has been heard of.
+    /// The member's link with this number was lost, and no later link of it is known.
     Lost { attachment: u64 },
 }
--- a/crates/carrier/src/node.rs
+++ b/crates/carrier/src/node.rs
@@ -1,626 +1,705 @@
-//! A process of the fleet: it has one parent at most, any number of children, and what it holds.
-
-use crate::children::{Children, Served, Subscriber};
-use crate::force::Force;
-use crate::message::{Attachment, Down, Exception, Member, Sum, Up, Why};
-use crate::parents::{OLD, Parents};
-use crate::planted::{Fault, planted};
-use crate::resource::{Interest, Name, Place, Resource, Scope, Version, wrong_name};
-use crate::store::{Kept, Store};
-use crate::sums::{self, LATE, Moves, Own};
+//! One process in the distribution tree: it has one parent at most, any number of children, and the resources that it holds.
+
+use crate::apply_state::ApplyState;
+use crate::children::{Children, ServeContext, Subscriber};
+use crate::fault_injection::{InjectedFault, is_injected};
+use crate::message::{Attachment, ChildMessage, Exception, ExceptionKind, Member, ParentMessage, Summary};
+use crate::parents::{ParentSelector, STALE_AGE};
+use crate::resource::{Interest, Location, Name, Resource, Scope, Version, invalid_name};
+use crate::store::{Snapshot, Store};
+use crate::summary::{self, LATE_AFTER, MembershipChanges, OwnState};
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// A link from a child: a number that the host gives, and never gives again in a process.
-pub type Child = u64;
+/// Identifies the link of a child. The host assigns the numbers and never reuses one within a process.
+pub type ChildId = u64;
 
-/// What a node asks of the process that it lives in.
+/// What a [`TreeNode`] needs from the process that it runs in.
 pub trait Host {
-    /// Calls this parent; comes back as `parent_up` or `parent_lost`.
-    fn dial(&mut self, parent: &str);
-    /// Ends the link, or the call, to the parent; nothing comes back for it.
-    fn hang_up(&mut self);
-    fn send_up(&mut self, message: Up);
-    fn send_down(&mut self, child: Child, message: Down);
-    /// Ends the link once what was sent is out; nothing comes back for it.
-    fn drop_child(&mut self, child: Child);
-    /// All that concerns this process now, the widest scope first, then by name. Comes back as `in_force`, and none is
-    /// asked for before. Of those that it refuses the process leaves in force what it had.
-    fn put_in_force(&mut self, version: Version, resources: Vec<Resource>);
-    /// To disk; comes back as `kept` once it is synced, and none is asked for before. At most four times a second. Where
-    /// there is no disk nothing comes back: what only memory has counts for no majority.
-    fn keep(&mut self, kept: &Kept);
-    /// Between 0 and 1.
-    fn chance(&mut self) -> f64;
+    /// Opens a connection to this parent; the result is reported by `parent_connected` or `parent_disconnected`.
+    fn connect_parent(&mut self, parent: &str);
+    /// Ends the link or the pending connection to the parent; nothing is reported for it afterwards.
+    fn disconnect_parent(&mut self);
+    fn send_to_parent(&mut self, message: ChildMessage);
+    fn send_to_child(&mut self, child: ChildId, message: ParentMessage);
+    /// Ends the child's link once everything before it is sent; nothing is reported for it afterwards.
+    fn disconnect_child(&mut self, child: ChildId);
+    /// Puts these resources in force: all that apply to this process now, the widest scope first, then by name. The result is
+    /// reported by `applied`, and there is no second call before that. The process may refuse some of them; for those it
+    /// leaves in force what it had.
+    fn apply(&mut self, version: Version, resources: Vec<Resource>);
+    /// Writes the snapshot to disk; reported by `persisted` once it is synced, and there is no second call before that.
+    /// Called at most four times a second. A process without a disk reports nothing: what is only in memory counts towards no
+    /// majority.
+    fn persist(&mut self, snapshot: &Snapshot);
+    /// A random number between 0 and 1.
+    fn random(&mut self) -> f64;
 }
 
-/// What a process is, and its limits.
+/// The identity, the role and the limits of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
-    pub me: Member,
-    pub place: Place,
-    /// It holds everything and has its parent by `root_is`.
-    pub control: bool,
-    /// It holds what concerns anybody of its site.
-    pub relay: bool,
-    /// Whom it may call, the tiers in the order given, within each in an order of its own. None of a control machine.
-    pub tiers: Vec<Vec<Name>>,
-    /// At most so many children, control machines and relays not counted.
-    pub children: usize,
-    /// At most so many bytes to a child in any second, pulses included.
+pub struct TreeNodeConfig {
+    pub member: Member,
+    pub location: Location,
+    /// Whether the process is a control machine: it holds all resources, and `set_root` determines its parent.
+    pub is_control: bool,
+    /// Whether the process is a relay: it holds the resources of every proxy of its site.
+    pub is_relay: bool,
+    /// The parent candidates: tiers are tried in the given order, the candidates of a tier in an order that differs between
+    /// processes. Not used by control machines.
+    pub parent_tiers: Vec<Vec<Name>>,
+    /// The maximum number of children, not counting control machines and relays.
+    pub max_children: usize,
+    /// The maximum number of bytes that are sent to a child in any second, including heartbeats.
     pub child_bytes_per_second: u64,
-    /// At most so many bytes in a part of a difference.
+    /// The maximum size of one part of a delta, in bytes.
     pub part_bytes: usize,
-    /// The same for a control machine: all others wait for what these have, and nothing leaves the record before a majority
-    /// of them has it. Proxies are what is spared.
+    /// The same limits for children that are control machines. They are higher, since all other processes wait for the
+    /// control machines, and nothing leaves the record before a majority of them has it. Only proxies need protection from
+    /// too much traffic.
     pub control_bytes_per_second: u64,
     pub control_part_bytes: usize,
-    /// The other control machines: the root names those that it does not hear, also where none that lives ever did.
+    /// The other control machines. The root lists those that are not connected to it as exceptions, even if no living
+    /// process ever had a link to them.
     pub control_machines: Vec<Name>,
-    /// At most so many exceptions by name in a sum.
-    pub named: usize,
+    /// The maximum number of exceptions that are listed in a summary.
+    pub max_exceptions: usize,
 }
 
-/// Places beyond those for proxies: for control machines, relays, and links on which nobody has said who calls.
-const SPARE: usize = 64;
-/// Parts of a difference that are not its end, in bytes at most: who sends more is no parent.
-const COLLECTED: usize = 4 * 1024 * 1024;
-/// A sum goes up this soon after the last one where it has changed, and else as late as the other.
-const SUM: [Nanos; 2] = [250 * MILLISECOND, SECOND];
-/// The disk is written this soon after the last time; where nothing but the version has moved, of others than control
-/// machines, as late as the other.
-const KEEP: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
-
+/// Links accepted beyond `max_children`: for control machines, relays, and children that have not subscribed yet.
+const SPARE_CHILDREN: usize = 64;
+/// The maximum size of an incomplete delta, in bytes. A parent that sends more is faulty.
+const MAX_INCOMPLETE_BYTES: usize = 4 * 1024 * 1024;
+/// The minimum delay after the last summary if the summary has changed, and the interval if it has not.
+const SUMMARY_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, SECOND];
+/// The minimum delay between two writes to disk. The second applies where only the version has changed, except on control
+/// machines.
+const PERSIST_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
+
+/// The received parts of a delta whose last part is still missing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Collected {
-    whole: bool,
+struct IncompleteDelta {
+    full_set: bool,
     resources: Vec<Resource>,
     bytes: usize,
-    cut: bool,
+    /// Whether the last patch continues in the next part.
+    truncated: bool,
 }
 
-/// What is on disk, and what is to go there.
+/// What is on disk, what is being written there, and when the next write is due.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Disk {
-    has: Option<Version>,
-    out: Option<Version>,
-    wrote: Option<Nanos>,
+struct DiskState {
+    persisted: Option<Version>,
+    writing: Option<Version>,
+    last_write: Option<Nanos>,
     due: Option<Nanos>,
 }
 
+/// The protocol state of one process in the distribution tree.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Node {
-    terms: Terms,
-    /// What it holds, and what it puts in force itself.
-    wants: Interest,
-    concerns: Interest,
+pub struct TreeNode {
+    config: TreeNodeConfig,
+    /// The scopes that it holds for itself and its children, and those that it puts in force itself.
+    interest: Interest,
+    own_interest: Interest,
     store: Store,
-    parents: Parents,
+    parents: ParentSelector,
     children: Children,
-    force: Force,
-    moves: Moves,
-    /// How many links to a parent it has had.
-    attachments: u64,
-    disk: Disk,
-    collected: Option<Collected>,
-    /// It publishes: from when it has published once on, what it holds is what the root holds.
-    root: bool,
-    /// When the root is known to have held just this.
-    known: Option<Nanos>,
-    published: bool,
-    /// What went up last and when, when it was summed last, and when that is due again.
-    sent: Sum,
-    summed: Nanos,
-    looked: Nanos,
-    sum_due: Nanos,
+    apply_state: ApplyState,
+    membership_changes: MembershipChanges,
+    /// The number of links to a parent that it has had.
+    attachment_count: u64,
+    disk: DiskState,
+    incomplete: Option<IncompleteDelta>,
+    /// Whether this process publishes. Once it has published, what it holds is what the root holds.
+    is_root: bool,
+    /// The last time for which the root is known to have held exactly this.
+    known_current_at: Option<Nanos>,
+    has_published: bool,
+    /// The last summary that was sent, when it was sent, when the summary was last computed, and when that is due again.
+    sent_summary: Summary,
+    summary_sent_at: Nanos,
+    summary_computed_at: Nanos,
+    summary_due: Nanos,
 }
 
-impl Node {
-    /// From what was on the disk.
-    pub fn start(now: Nanos, terms: Terms, kept: Option<Kept>, host: &mut impl Host) -> Node {
-        let Terms { me, place, .. } = &terms;
-        let concerns = Interest::Proxy(place.clone(), me.name.clone());
-        let wants = match () {
-            () if terms.control => Interest::All,
-            () if terms.relay => Interest::Site(place.clone()),
-            () => concerns.clone(),
+impl TreeNode {
+    /// Starts from the snapshot that was on the disk, if there was one.
+    pub fn start(
+        now: Nanos,
+        config: TreeNodeConfig,
+        snapshot: Option<Snapshot>,
+        host: &mut impl Host,
+    ) -> TreeNode {
+        let TreeNodeConfig { member, location, .. } = &config;
+        let own_interest = Interest::Proxy(location.clone(), member.name.clone());
+        let interest = match () {
+            () if config.is_control => Interest::All,
+            () if config.is_relay => Interest::Site(location.clone()),
+            () => own_interest.clone(),
         };
-        let parents = Parents::new(now, &me.name, if terms.control { &[] } else { &terms.tiers }, host);
-        let on_disk = kept.is_some();
-        let mut kept = kept.unwrap_or_default();
-        // Its place may have changed since.
-        kept.resources.retain(|resource| wants.wants(&resource.scope));
-        let store = Store::from(&kept);
-        let force = Force::from(kept.good);
-        let has = on_disk.then_some(store.version);
-        let mut node = Node {
-            terms,
-            wants,
-            concerns,
+        let parents = ParentSelector::new(
+            now,
+            &member.name,
+            if config.is_control { &[] } else { &config.parent_tiers },
+            host,
+        );
+        let on_disk = snapshot.is_some();
+        let mut snapshot = snapshot.unwrap_or_default();
+        // The location of the process may have changed since the snapshot was written.
+        snapshot.resources.retain(|resource| interest.includes(&resource.scope));
+        let store = Store::from_snapshot(&snapshot);
+        let apply_state = ApplyState::with_last_good(snapshot.last_good);
+        let persisted = on_disk.then_some(store.version);
+        let mut node = TreeNode {
+            config,
+            interest,
+            own_interest,
             store,
             parents,
             children: Children::default(),
-            force,
-            moves: Moves::default(),
-            attachments: 0,
-            disk: Disk { has, ..Disk::default() },
-            collected: None,
-            root: false,
-            known: None,
-            published: false,
-            sent: Sum::default(),
-            summed: now,
-            looked: now,
-            sum_due: Nanos::MAX,
+            apply_state,
+            membership_changes: MembershipChanges::default(),
+            attachment_count: 0,
+            disk: DiskState { persisted, ..DiskState::default() },
+            incomplete: None,
+            is_root: false,
+            known_current_at: None,
+            has_published: false,
+            sent_summary: Summary::default(),
+            summary_sent_at: now,
+            summary_computed_at: now,
+            summary_due: Nanos::MAX,
         };
-        node.force.look(now, &node.store, &node.concerns, host);
+        node.apply_state.request_apply(now, &node.store, &node.own_interest, host);
         node
     }
 
-    /// Of a control machine: who holds the lease `carrier`. Its own name makes it the root; where nobody is known it
-    /// keeps a parent that works.
-    pub fn root_is(&mut self, now: Nanos, root: Option<&str>, host: &mut impl Host) {
-        if !self.terms.control {
+    /// Tells a control machine who holds the lease `carrier`. If it is the process itself, the process becomes the root. If
+    /// nobody is known to hold the lease, the process keeps its current parent.
+    pub fn set_root(&mut self, now: Nanos, root: Option<&str>, host: &mut impl Host) {
+        if !self.config.is_control {
             return;
         }
-        let own = root == Some(self.terms.me.name.as_str());
-        if own != self.root {
-            if self.root && self.published {
-                self.known = Some(now);
+        let is_root = root == Some(self.config.member.name.as_str());
+        if is_root != self.is_root {
+            if self.is_root && self.has_published {
+                self.known_current_at = Some(now);
             }
-            (self.root, self.published) = (own, false);
+            (self.is_root, self.has_published) = (is_root, false);
         }
         match root {
-            Some(_) if own => self.parents.set(now, Vec::new(), host),
-            Some(root) => self.parents.set(now, vec![root.into()], host),
+            Some(_) if is_root => self.parents.set_candidates(now, Vec::new(), host),
+            Some(root) => self.parents.set_candidates(now, vec![root.into()], host),
             None => {}
         }
         if self.parents.parent().is_none() {
-            self.collected = None;
+            self.incomplete = None;
         }
     }
 
-    /// The call was answered.
-    pub fn parent_up(&mut self, now: Nanos, host: &mut impl Host) {
-        if !self.parents.up(now) {
+    /// The requested connection to the parent is up.
+    pub fn parent_connected(&mut self, now: Nanos, host: &mut impl Host) {
+        if !self.parents.connected(now) {
             return;
         }
-        self.collected = None;
-        self.attachments += 1;
-        let who = Attachment { member: self.terms.me.clone(), number: self.attachments };
-        let wants = self.wants.clone();
-        host.send_up(Up::Subscribe { who, wants, holds: self.store.version, digest: self.digest() });
-        self.say_kept(host);
-        self.send_sum(now, host);
+        self.incomplete = None;
+        self.attachment_count += 1;
+        let attachment = Attachment { member: self.config.member.clone(), number: self.attachment_count };
+        let interest = self.interest.clone();
+        host.send_to_parent(ChildMessage::Subscribe {
+            attachment,
+            interest,
+            version: self.store.version,
+            digest: self.digest(),
+        });
+        self.send_persisted(host);
+        self.send_summary(now, host);
     }
 
-    /// The call failed, or the link is gone.
-    pub fn parent_lost(&mut self, now: Nanos, host: &mut impl Host) {
-        self.collected = None;
-        self.parents.lost(now, host);
+    /// The connection to the parent failed, or the link is lost.
+    pub fn parent_disconnected(&mut self, now: Nanos, host: &mut impl Host) {
+        self.incomplete = None;
+        self.parents.disconnected(now, host);
     }
 
-    /// The parent said this.
-    pub fn told(&mut self, now: Nanos, message: Down, host: &mut impl Host) {
+    /// A message of the parent arrived.
+    pub fn parent_message(&mut self, now: Nanos, message: ParentMessage, host: &mut impl Host) {
         if self.parents.parent().is_none() {
             return;
         }
-        self.parents.heard(now);
+        self.parents.message_received(now);
         match message {
-            Down::Full => self.leave(now, host),
-            Down::Pulse { holds, digest, age } => self.pulsed(now, holds, digest, age, host),
-            Down::Delta { after, version, whole, last, cut, resources } => {
-                let passed = version < self.store.version || (version == self.store.version && !whole);
-                let gap = !whole && after > self.store.version;
-                if (passed && !planted(Fault::TakesOlder)) || gap {
-                    self.collected = None;
-                    return self.say_held(host);
+            ParentMessage::AtCapacity => self.leave_parent(now, host),
+            ParentMessage::Heartbeat { version, digest, age } => {
+                self.handle_heartbeat(now, version, digest, age, host)
+            }
+            ParentMessage::Delta { after, version, full_set, last, truncated, resources } => {
+                let outdated = version < self.store.version || (version == self.store.version && !full_set);
+                let gap = !full_set && after > self.store.version;
+                if (outdated && !is_injected(InjectedFault::AcceptsOlderVersion)) || gap {
+                    self.incomplete = None;
+                    return self.send_held(host);
                 }
-                // What is newer than the whole, or has a name that fits into no part, no parent sends.
-                let absurd =
-                    |one: &Resource| one.version > version || wrong_name(&one.scope, &one.name).is_some();
-                if resources.iter().any(absurd) {
-                    return self.leave(now, host);
+                // A correct parent sends no resource that is newer than the delta, and no name that is too long for a part.
+                let is_invalid = |resource: &Resource| {
+                    resource.version > version || invalid_name(&resource.scope, &resource.name).is_some()
+                };
+                if resources.iter().any(is_invalid) {
+                    return self.leave_parent(now, host);
                 }
-                self.collect(whole, cut, resources);
-                if self.collected.as_ref().is_some_and(|collected| collected.bytes > COLLECTED) {
-                    return self.leave(now, host);
+                self.collect_part(full_set, truncated, resources);
+                if self.incomplete.as_ref().is_some_and(|incomplete| incomplete.bytes > MAX_INCOMPLETE_BYTES)
+                {
+                    return self.leave_parent(now, host);
                 }
-                if !last && !planted(Fault::PartForAll) {
-                    return host.send_up(Up::Took);
+                if !last && !is_injected(InjectedFault::AppliesIncompleteDelta) {
+                    return host.send_to_parent(ChildMessage::PartAck);
                 }
-                let Some(Collected { mut resources, .. }) = self.collected.take() else { return };
-                // What does not concern anybody here would make its digest differ for ever.
-                resources.retain(|resource| self.wants.wants(&resource.scope));
-                if whole {
-                    self.store.replace(version, resources);
+                let Some(IncompleteDelta { mut resources, .. }) = self.incomplete.take() else { return };
+                // Resources outside the interest would make the digest differ from the parent's for ever.
+                resources.retain(|resource| self.interest.includes(&resource.scope));
+                if full_set {
+                    self.store.replace_all(version, resources);
                 } else {
-                    self.store.take(version, resources);
+                    self.store.apply_delta(version, resources);
                 }
-                self.moved(now, true, host);
-                self.say_held(host);
+                self.held_changed(now, true, host);
+                self.send_held(host);
             }
         }
     }
 
-    fn collect(&mut self, whole: bool, cut: bool, resources: Vec<Resource>) {
-        // A whole set that is begun while a difference is on its way takes its place.
-        let mut collected = self
-            .collected
-            .take()
-            .filter(|collected| collected.whole == whole)
-            .unwrap_or_else(|| Collected { whole, resources: Vec::new(), bytes: 0, cut: false });
+    fn collect_part(&mut self, full_set: bool, truncated: bool, resources: Vec<Resource>) {
+        // A full set that begins while a delta is incomplete replaces it.
+        let mut incomplete =
+            self.incomplete.take().filter(|incomplete| incomplete.full_set == full_set).unwrap_or_else(
+                || IncompleteDelta { full_set, resources: Vec::new(), bytes: 0, truncated: false },
+            );
         let mut resources = resources.into_iter();
-        if collected.cut
-            && let Some(begun) = collected.resources.pop()
+        if incomplete.truncated
+            && let Some(begun) = incomplete.resources.pop()
             && let Some(first) = resources.next()
         {
             let same =
                 (&begun.scope, &begun.name, begun.version) == (&first.scope, &first.name, first.version);
-            collected.bytes += crate::store::size(&first);
-            collected.resources.push(match (&begun.patch, &first.patch) {
+            incomplete.bytes += crate::store::encoded_size(&first);
+            incomplete.resources.push(match (&begun.patch, &first.patch) {
                 (Some(begun), Some(rest)) if same => {
                     let patch = Some(format!("{begun}{rest}").into());
                     Resource { patch, ..first }
                 }
-                // It has changed since; the rest will not come.
+                // The truncated resource has changed since; its rest will not come.
                 _ => first,
             });
         }
         for resource in resources {
-            collected.bytes += crate::store::size(&resource);
-            collected.resources.push(resource);
+            incomplete.bytes += crate::store::encoded_size(&resource);
+            incomplete.resources.push(resource);
         }
-        collected.cut = cut;
-        self.collected = Some(collected);
+        incomplete.truncated = truncated;
+        self.incomplete = Some(incomplete);
     }
 
-    fn pulsed(&mut self, now: Nanos, holds: Version, digest: u64, age: Nanos, host: &mut impl Host) {
-        let behind = holds < self.store.version;
-        self.parents.pulse(now, (!behind).then_some(age), host);
-        if behind || digest != self.digest() || self.parents.parent().is_none() {
+    fn handle_heartbeat(
+        &mut self,
+        now: Nanos,
+        version: Version,
+        digest: u64,
+        age: Nanos,
+        host: &mut impl Host,
+    ) {
+        let parent_is_behind = version < self.store.version;
+        self.parents.heartbeat(now, (!parent_is_behind).then_some(age), host);
+        if parent_is_behind || digest != self.digest() || self.parents.parent().is_none() {
             return;
         }
         if age != Nanos::MAX {
-            self.known = self.known.max(Some(now.saturating_sub(age)));
+            self.known_current_at = self.known_current_at.max(Some(now.saturating_sub(age)));
         }
-        if holds > self.store.version {
-            // Nothing changed for it: it holds the newer version by holding this.
-            self.store.take(holds, []);
-            self.moved(now, false, host);
-            self.say_held(host);
+        if version > self.store.version {
+            // Nothing changed for this process: with equal digests it already holds the newer version.
+            self.store.apply_delta(version, []);
+            self.held_changed(now, false, host);
+            self.send_held(host);
         }
     }
 
-    fn say_held(&mut self, host: &mut impl Host) {
-        host.send_up(Up::Holds { version: self.store.version, digest: self.digest() });
+    fn send_held(&mut self, host: &mut impl Host) {
+        host.send_to_parent(ChildMessage::Holds { version: self.store.version, digest: self.digest() });
     }
 
-    fn say_kept(&mut self, host: &mut impl Host) {
-        if let (true, Some(version)) = (self.terms.control, self.disk.has) {
-            host.send_up(Up::Kept(version));
+    fn send_persisted(&mut self, host: &mut impl Host) {
+        if let (true, Some(version)) = (self.config.is_control, self.disk.persisted) {
+            host.send_to_parent(ChildMessage::Persisted(version));
         }
     }
 
-    /// This parent won't do: to the next.
-    fn leave(&mut self, now: Nanos, host: &mut impl Host) {
-        self.collected = None;
-        self.parents.end(host);
-        self.parents.lost(now, host);
+    /// Leaves a parent that is full or faulty for the next one.
+    fn leave_parent(&mut self, now: Nanos, host: &mut impl Host) {
+        self.incomplete = None;
+        self.parents.disconnect(host);
+        self.parents.disconnected(now, host);
     }
 
-    /// What is held has changed, or its version alone.
-    fn moved(&mut self, now: Nanos, content: bool, host: &mut impl Host) {
-        self.force.look(now, &self.store, &self.concerns, host);
-        let soon = KEEP[usize::from(!content && !self.terms.control)];
-        let due = self.disk.wrote.map_or(now, |wrote| now.max(wrote + soon));
+    /// Reacts to a new held version; `content` is false if only the version has changed.
+    fn held_changed(&mut self, now: Nanos, content: bool, host: &mut impl Host) {
+        self.apply_state.request_apply(now, &self.store, &self.own_interest, host);
+        let interval = PERSIST_INTERVAL[usize::from(!content && !self.config.is_control)];
+        let due = self.disk.last_write.map_or(now, |last_write| now.max(last_write + interval));
         self.disk.due = Some(self.disk.due.map_or(due, |other| other.min(due)));
-        self.keep(now, host);
-        let holds = self.store.version;
-        for child in self.children.numbers() {
-            if let Some(one) = self.children.get(child)
-                && one.sum.as_ref().is_some_and(|sum| sum.in_force < holds)
+        self.persist_if_due(now, host);
+        let held = self.store.version;
+        for child in self.children.ids() {
+            if let Some(subscriber) = self.children.get_mut(child)
+                && subscriber.summary.as_ref().is_some_and(|summary| summary.in_force < held)
             {
-                one.behind.get_or_insert((holds, now));
+                subscriber.behind.get_or_insert((held, now));
             }
             self.serve(now, child, host);
         }
-        self.changed(now, host);
+        self.summary_changed(now, host);
     }
 
-    fn keep(&mut self, now: Nanos, host: &mut impl Host) {
-        if self.disk.out.is_some() || self.disk.due.is_none_or(|due| now < due) {
+    fn persist_if_due(&mut self, now: Nanos, host: &mut impl Host) {
+        if self.disk.writing.is_some() || self.disk.due.is_none_or(|due| now < due) {
             return;
         }
-        (self.disk.due, self.disk.wrote) = (None, Some(now));
-        self.disk.out = Some(self.store.version);
-        host.keep(&Kept { good: self.force.good(), ..self.store.kept() });
+        (self.disk.due, self.disk.last_write) = (None, Some(now));
+        self.disk.writing = Some(self.store.version);
+        host.persist(&Snapshot { last_good: self.apply_state.last_good(), ..self.store.snapshot() });
     }
 
-    /// Its disk has this version.
-    pub fn kept(&mut self, now: Nanos, version: Version, host: &mut impl Host) {
-        if self.disk.out == Some(version) {
-            (self.disk.has, self.disk.out) = (Some(version), None);
+    /// This version is on the disk.
+    pub fn persisted(&mut self, now: Nanos, version: Version, host: &mut impl Host) {
+        if self.disk.writing == Some(version) {
+            (self.disk.persisted, self.disk.writing) = (Some(version), None);
             if self.parents.parent().is_some() {
-                self.say_kept(host);
+                self.send_persisted(host);
             }
         }
-        self.keep(now, host);
+        self.persist_if_due(now, host);
     }
 
-    /// Of the root, by its publisher: these changes are settled, and this version with them.
+    /// Called by the root's publisher: these changes are settled, and become this version. Ignored if this process is not
+    /// the root.
     pub fn publish(&mut self, now: Nanos, version: Version, resources: Vec<Resource>, host: &mut impl Host) {
-        if !self.root {
+        if !self.is_root {
             return;
         }
-        self.published = true;
+        self.has_published = true;
         if version > self.store.version {
-            self.store.take(version, resources);
-            self.moved(now, true, host);
+            self.store.apply_delta(version, resources);
+            self.held_changed(now, true, host);
         }
     }
 
-    /// This version is in force, but for those that were refused, by scope and name, with the reason: of them what was in
-    /// force before still is.
-    pub fn in_force(
+    /// The process has put this version in force, except for the refused resources, given by scope and name with the reason:
+    /// their previous versions are still in force.
+    pub fn applied(
         &mut self,
         now: Nanos,
         version: Version,
         refused: Vec<(Scope, Name, String)>,
         host: &mut impl Host,
     ) {
-        let (asked, good) = self.force.done(now, version, refused);
-        if !asked {
+        let (requested, last_good_changed) = self.apply_state.finish_apply(now, version, refused);
+        if !requested {
             return;
         }
-        self.force.look(now, &self.store, &self.concerns, host);
-        if good {
-            self.disk.due = Some(self.disk.wrote.map_or(now, |wrote| now.max(wrote + KEEP[0])));
-            self.keep(now, host);
+        self.apply_state.request_apply(now, &self.store, &self.own_interest, host);
+        if last_good_changed {
+            self.disk.due = Some(
+                self.disk.last_write.map_or(now, |last_write| now.max(last_write + PERSIST_INTERVAL[0])),
+            );
+            self.persist_if_due(now, host);
         }
-        self.changed(now, host);
+        self.summary_changed(now, host);
     }
 
-    /// What resources are laid over here has changed, say a file was read again: all are asked for anew.
-    pub fn reread(&mut self, now: Nanos, host: &mut impl Host) {
-        self.force.again();
-        self.force.look(now, &self.store, &self.concerns, host);
-        self.changed(now, host);
+    /// The local configuration under the resources has changed, for instance because a file was read again: all resources are
+    /// applied anew.
+    pub fn reapply(&mut self, now: Nanos, host: &mut impl Host) {
+        self.apply_state.request_reapply();
+        self.apply_state.request_apply(now, &self.store, &self.own_interest, host);
+        self.summary_changed(now, host);
     }
 
-    /// A child calls.
-    pub fn child_up(&mut self, now: Nanos, child: Child, host: &mut impl Host) {
+    /// A child has connected.
+    pub fn child_connected(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
         self.children.add(now, child);
-        // Whoever has not said yet who it is has no place; a crowd of them must not take all there are.
-        if self.children.len() > self.terms.children + SPARE {
-            self.turn_away(now, child, host);
+        // A child that has not subscribed yet takes none of the places for proxies, but the number of such children is
+        // limited too.
+        if self.children.len() > self.config.max_children + SPARE_CHILDREN {
+            self.reject_child(now, child, host);
         }
     }
 
-    fn turn_away(&mut self, now: Nanos, child: Child, host: &mut impl Host) {
-        host.send_down(child, Down::Full);
-        self.drop(now, child, host);
+    fn reject_child(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
+        host.send_to_child(child, ParentMessage::AtCapacity);
+        self.disconnect_child(now, child, host);
     }
 
-    /// A child said this.
-    pub fn child_said(&mut self, now: Nanos, child: Child, message: Up, host: &mut impl Host) {
-        let Some(one) = self.children.get(child) else { return };
-        one.heard(now);
+    /// A message of a child arrived.
+    pub fn child_message(&mut self, now: Nanos, child: ChildId, message: ChildMessage, host: &mut impl Host) {
+        let Some(subscriber) = self.children.get_mut(child) else { return };
+        subscriber.message_received(now);
         match message {
-            Up::Subscribe { who, wants, holds, digest } => {
-                self.drop_earlier_links(now, child, &who, host);
-                if self.children.get(child).is_none() {
+            ChildMessage::Subscribe { attachment, interest, version, digest } => {
+                self.drop_earlier_links(now, child, &attachment, host);
+                if self.children.get_mut(child).is_none() {
                     return;
                 }
-                // A control machine can go nowhere else than to the root, and others wait for a relay: they find a place
-                // where proxies have taken all there are for them.
-                if matches!(wants, Interest::Proxy(..)) && self.children.proxies() >= self.terms.children {
-                    return self.turn_away(now, child, host);
+                // Control machines and relays are accepted even if proxies have taken all their places: a control machine
+                // can connect to no process but the root, and other processes depend on a relay.
+                if matches!(interest, Interest::Proxy(..))
+                    && self.children.proxy_count() >= self.config.max_children
+                {
+                    return self.reject_child(now, child, host);
                 }
-                if let Some(one) = self.children.get(child) {
-                    one.subscribed(now, who, wants, holds, digest);
+                if let Some(subscriber) = self.children.get_mut(child) {
+                    subscriber.subscribe(now, attachment, interest, version, digest);
                 }
             }
-            Up::Holds { version, digest } => one.holds(version, digest),
-            Up::Kept(version) => one.on_disk = Some(version),
-            Up::Took => one.took(),
-            Up::Sum(sum) => self.summed(now, child, sum),
+            ChildMessage::Holds { version, digest } => subscriber.set_held(version, digest),
+            ChildMessage::Persisted(version) => subscriber.persisted = Some(version),
+            ChildMessage::PartAck => subscriber.part_acknowledged(),
+            ChildMessage::Summary(summary) => self.handle_summary(now, child, summary),
         }
         self.serve(now, child, host);
-        self.changed(now, host);
+        self.summary_changed(now, host);
     }
 
-    /// The same process on two links: only the later one lives.
-    fn drop_earlier_links(&mut self, now: Nanos, child: Child, who: &Attachment, host: &mut impl Host) {
-        let subscribed = |(link, other): (&Child, &Subscriber)| Some((*link, other.who.clone()?.0));
-        let others: Vec<(Child, Attachment)> = self.children.iter().filter_map(subscribed).collect();
+    /// If the same process is connected by two links, only the later one is kept.
+    fn drop_earlier_links(
+        &mut self,
+        now: Nanos,
+        child: ChildId,
+        attachment: &Attachment,
+        host: &mut impl Host,
+    ) {
+        let subscribed =
+            |(link, subscriber): (&ChildId, &Subscriber)| Some((*link, subscriber.subscription.clone()?.0));
+        let others: Vec<(ChildId, Attachment)> = self.children.iter().filter_map(subscribed).collect();
         for (link, other) in others {
-            if link == child || other.member.name != who.member.name {
+            if link == child || other.member.name != attachment.member.name {
                 continue;
             }
-            let earlier = if other.is_later_than(who) { child } else { link };
-            self.drop(now, earlier, host);
+            let earlier = if other.is_later_than(attachment) { child } else { link };
+            self.disconnect_child(now, earlier, host);
         }
     }
 
-    fn summed(&mut self, now: Nanos, child: Child, mut sum: Sum) {
-        let holds = self.store.version;
-        let named = self.terms.named;
-        if sum.exceptions.len() > named {
-            let more = (sum.exceptions.len() - named) as u32;
-            sum.unnamed = sum.unnamed.saturating_add(more);
-            sum.exceptions.truncate(named);
+    fn handle_summary(&mut self, now: Nanos, child: ChildId, mut summary: Summary) {
+        let held = self.store.version;
+        let max_exceptions = self.config.max_exceptions;
+        if summary.exceptions.len() > max_exceptions {
+            let more = (summary.exceptions.len() - max_exceptions) as u32;
+            summary.unnamed = summary.unnamed.saturating_add(more);
+            summary.exceptions.truncate(max_exceptions);
         }
-        sum.arrived.truncate(named);
-        let Some(one) = self.children.get(child) else { return };
-        let Some((who, _)) = one.who.clone() else { return };
-        if one.behind.is_none_or(|(version, _)| sum.in_force >= version) {
-            one.behind = (sum.in_force < holds).then_some((holds, now));
+        summary.arrived.truncate(max_exceptions);
+        let Some(subscriber) = self.children.get_mut(child) else { return };
+        let Some((attachment, _)) = subscriber.subscription.clone() else { return };
+        if subscriber.behind.is_none_or(|(version, _)| summary.in_force >= version) {
+            subscriber.behind = (summary.in_force < held).then_some((held, now));
         }
-        let before = one.sum.replace(sum.clone());
-        if before.is_none() {
-            self.moves.arrived(now, &who);
+        let previous = subscriber.summary.replace(summary.clone());
+        if previous.is_none() {
+            self.membership_changes.record_arrival(now, &attachment);
         }
-        let known = before.map(|before| before.arrived).unwrap_or_default();
-        for who in sum.arrived.iter().filter(|who| !known.contains(who)) {
-            self.moves.arrived(now, who);
+        let known = previous.map(|previous| previous.arrived).unwrap_or_default();
+        for attachment in summary.arrived.iter().filter(|attachment| !known.contains(attachment)) {
+            self.membership_changes.record_arrival(now, attachment);
         }
     }
 
-    /// Its link is gone.
-    pub fn child_lost(&mut self, now: Nanos, child: Child, host: &mut impl Host) {
-        let Some(one) = self.children.remove(child) else { return };
-        if let (Some((who, _)), Some(sum)) = (one.who, one.sum) {
-            self.moves.lost(now, who, sum.in_force, self.terms.children + SPARE);
+    /// The link of a child is lost.
+    pub fn child_disconnected(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
+        let Some(subscriber) = self.children.remove(child) else { return };
+        if let (Some((attachment, _)), Some(summary)) = (subscriber.subscription, subscriber.summary) {
+            self.membership_changes.record_lost(
+                now,
+                attachment,
+                summary.in_force,
+                self.config.max_children + SPARE_CHILDREN,
+            );
         }
-        self.changed(now, host);
+        self.summary_changed(now, host);
     }
 
-    fn drop(&mut self, now: Nanos, child: Child, host: &mut impl Host) {
-        host.drop_child(child);
-        self.child_lost(now, child, host);
+    fn disconnect_child(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
+        host.disconnect_child(child);
+        self.child_disconnected(now, child, host);
     }
 
-    fn serve(&mut self, now: Nanos, child: Child, host: &mut impl Host) {
+    fn serve(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
         let age = self.age(now).unwrap_or(Nanos::MAX);
-        let terms = &self.terms;
-        let control = self.children.get(child).is_some_and(|one| matches!(one.who, Some((_, Interest::All))));
-        let (bytes_per_second, part_bytes) = match control {
-            true => (terms.control_bytes_per_second, terms.control_part_bytes),
-            false => (terms.child_bytes_per_second, terms.part_bytes),
+        let config = &self.config;
+        let child_is_control = self
+            .children
+            .get_mut(child)
+            .is_some_and(|subscriber| matches!(subscriber.subscription, Some((_, Interest::All))));
+        let (bytes_per_second, part_bytes) = match child_is_control {
+            true => (config.control_bytes_per_second, config.control_part_bytes),
+            false => (config.child_bytes_per_second, config.part_bytes),
         };
         let bytes_per_second = usize::try_from(bytes_per_second).unwrap_or(usize::MAX);
-        let of = Served { store: &self.store, age, bytes_per_second, part_bytes };
-        if !self.children.serve(now, child, of, host) {
-            self.drop(now, child, host);
+        let context = ServeContext { store: &self.store, age, bytes_per_second, part_bytes };
+        if !self.children.serve(now, child, context, host) {
+            self.disconnect_child(now, child, host);
         }
     }
 
-    /// The sum may have changed: if so it goes up soon. With a thousand children it is not made for each thing they say.
-    fn changed(&mut self, now: Nanos, host: &mut impl Host) {
-        self.sum_due = self.sum_due.min(self.looked + SUM[0]);
-        self.sum_if_due(now, host);
+    /// The summary may have changed: if so, it is sent soon. It is not computed for each event, since there may be a thousand
+    /// children.
+    fn summary_changed(&mut self, now: Nanos, host: &mut impl Host) {
+        self.summary_due = self.summary_due.min(self.summary_computed_at + SUMMARY_INTERVAL[0]);
+        self.send_summary_if_due(now, host);
     }
 
-    fn sum_if_due(&mut self, now: Nanos, host: &mut impl Host) {
-        if now >= self.sum_due && self.parents.parent().is_some() {
-            (self.looked, self.sum_due) = (now, self.summed + SUM[1]);
-            if now >= self.sum_due || self.sum(now) != self.sent {
-                self.send_sum(now, host);
+    fn send_summary_if_due(&mut self, now: Nanos, host: &mut impl Host) {
+        if now >= self.summary_due && self.parents.parent().is_some() {
+            (self.summary_computed_at, self.summary_due) = (now, self.summary_sent_at + SUMMARY_INTERVAL[1]);
+            if now >= self.summary_due || self.summary(now) != self.sent_summary {
+                self.send_summary(now, host);
             }
         }
     }
 
-    fn send_sum(&mut self, now: Nanos, host: &mut impl Host) {
-        (self.summed, self.looked, self.sum_due) = (now, now, now + SUM[1]);
-        self.sent = self.sum(now);
-        host.send_up(Up::Sum(self.sent.clone()));
+    fn send_summary(&mut self, now: Nanos, host: &mut impl Host) {
+        (self.summary_sent_at, self.summary_computed_at, self.summary_due) =
+            (now, now, now + SUMMARY_INTERVAL[1]);
+        self.sent_summary = self.summary(now);
+        host.send_to_parent(ChildMessage::Summary(self.sent_summary.clone()));
     }
 
-    /// Some time has passed.
+    /// Does everything that is due by now.
     pub fn tick(&mut self, now: Nanos, host: &mut impl Host) {
         if self.parents.tick(now, host) {
-            self.collected = None;
+            self.incomplete = None;
         }
-        for child in self.children.at(now) {
+        for child in self.children.due_at(now) {
             self.serve(now, child, host);
         }
-        self.keep(now, host);
-        self.moves.forget_old(now);
-        self.sum_if_due(now, host);
+        self.persist_if_due(now, host);
+        self.membership_changes.remove_expired(now);
+        self.send_summary_if_due(now, host);
     }
 
-    /// When `tick` wants to be called next, at the latest; any event may move it.
+    /// The latest time at which `tick` must be called next. Any other call may change it.
     pub fn due(&self) -> Nanos {
-        let sum = if self.parents.parent().is_some() { self.sum_due } else { Nanos::MAX };
-        let keep = self.disk.due.filter(|_| self.disk.out.is_none()).unwrap_or(Nanos::MAX);
-        self.parents.due().min(self.children.due()).min(sum).min(keep)
+        let summary = if self.parents.parent().is_some() { self.summary_due } else { Nanos::MAX };
+        let persist = self.disk.due.filter(|_| self.disk.writing.is_none()).unwrap_or(Nanos::MAX);
+        self.parents.due().min(self.children.due()).min(summary).min(persist)
     }
 
     fn digest(&self) -> u64 {
-        self.store.digest(&self.wants)
+        self.store.digest(&self.interest)
     }
 
-    pub fn holds(&self) -> Version {
+    /// The version that this process holds.
+    pub fn version(&self) -> Version {
         self.store.version
     }
 
-    /// How long ago the root is known to have held just this; `None` where nothing is known.
+    /// How long ago the root is known to have held exactly what this process holds; `None` if that is not known.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
-        if self.root && self.published { Some(0) } else { self.known.map(|known| now.saturating_sub(known)) }
+        if self.is_root && self.has_published {
+            Some(0)
+        } else {
+            self.known_current_at.map(|known_current_at| now.saturating_sub(known_current_at))
+        }
     }
 
-    /// Whether what it holds may be older than what is promised.
-    pub fn is_old(&self, now: Nanos) -> bool {
-        self.age(now).is_none_or(|age| age > OLD)
+    /// Whether what this process holds may be older than the promised age.
+    pub fn is_stale(&self, now: Nanos) -> bool {
+        self.age(now).is_none_or(|age| age > STALE_AGE)
     }
 
-    /// What is in force at it and below.
-    pub fn sum(&self, now: Nanos) -> Sum {
-        let Force { in_force, behind, .. } = self.force;
-        let late = behind.is_some_and(|since| now >= since + LATE[0]);
-        let me = &self.terms.me;
-        let mut exceptions = self.force.exceptions(me);
+    /// What is in force at this process and below it.
+    pub fn summary(&self, now: Nanos) -> Summary {
+        let ApplyState { in_force, behind_since, .. } = self.apply_state;
+        let late = behind_since.is_some_and(|since| now >= since + LATE_AFTER[0]);
+        let member = &self.config.member;
+        let mut exceptions = self.apply_state.exceptions(member);
         if late {
-            exceptions.insert(0, Exception { who: me.clone(), in_force, why: Why::Late });
-        }
-        let own = Own { me: me.clone(), in_force, late, exceptions };
-        let mut sum = sums::sum(now, self.store.version, own, &self.children, &self.moves, self.terms.named);
-        if self.root {
-            self.name_unheard(&mut sum);
-        }
-        sum
-    }
-
-    /// Guards the answer "in force everywhere" from a publisher that died: it was nobody's child, so nobody lost it.
-    fn name_unheard(&self, sum: &mut Sum) {
-        let linked = |name: &Name| {
-            let named = |who: &Attachment| who.member.name == *name;
-            self.children.iter().any(|(_, one)| one.who.as_ref().is_some_and(|(who, _)| named(who)))
+            exceptions.insert(0, Exception { member: member.clone(), in_force, kind: ExceptionKind::Late });
+        }
+        let own = OwnState { member: member.clone(), in_force, late, exceptions };
+        let mut summary = summary::summarize(
+            now,
+            self.store.version,
+            own,
+            &self.children,
+            &self.membership_changes,
+            self.config.max_exceptions,
+        );
+        if self.is_root {
+            self.add_missing_control_machines(&mut summary);
+        }
+        summary
+    }
+
+    /// Lists the control machines that are not connected as lost. Without it "in force everywhere" could be reported after
+    /// a publisher died: a publisher is nobody's child, so no process notices the loss of its link.
+    fn add_missing_control_machines(&self, summary: &mut Summary) {
+        let is_child = |name: &Name| {
+            let has_name = |attachment: &Attachment| attachment.member.name == *name;
+            self.children.iter().any(|(_, subscriber)| {
+                subscriber.subscription.as_ref().is_some_and(|(attachment, _)| has_name(attachment))
+            })
+        };
+        let is_counted = |name: &Name| {
+            is_child(name) || summary.exceptions.iter().any(|exception| exception.member.name == *name)
         };
-        let here = |name: &Name| linked(name) || sum.exceptions.iter().any(|one| one.who.name == *name);
-        let unheard: Vec<&Name> = self.terms.control_machines.iter().filter(|name| !here(name)).collect();
-        for name in unheard {
-            sum.members = sum.members.saturating_add(1);
-            let who = Member { name: name.clone(), incarnation: 0 };
-            match sum.exceptions.len() < self.terms.named {
+        let missing: Vec<&Name> =
+            self.config.control_machines.iter().filter(|name| !is_counted(name)).collect();
+        for name in missing {
+            summary.members = summary.members.saturating_add(1);
+            let member = Member { name: name.clone(), incarnation: 0 };
+            match summary.exceptions.len() < self.config.max_exceptions {
                 true => {
-                    let why = Why::Lost { attachment: 0 };
-                    sum.exceptions.push(Exception { who, in_force: Version::default(), why });
+                    let kind = ExceptionKind::Lost { attachment: 0 };
+                    summary.exceptions.push(Exception { member, in_force: Version::default(), kind });
                 }
-                false => sum.unnamed = sum.unnamed.saturating_add(1),
+                false => summary.unnamed = summary.unnamed.saturating_add(1),
             }
         }
     }
 
-    /// The parent that it has a link to.
+    /// The name of the parent that this process has a link to, or `None`.
     pub fn parent(&self) -> Option<&str> {
         self.parents.parent()
     }
 
-    pub fn children(&self) -> usize {
+    /// The number of connected children.
+    pub fn child_count(&self) -> usize {
         self.children.len()
     }
 
-    /// What it holds, marks of removed ones included, the widest scope first, then by name.
+    /// The held resources including tombstones, the widest scope first, then by name.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.store.iter()
     }
 
-    /// Which control machines have what on disk: itself, and those that are its children.
-    pub fn confirmed(&self) -> impl Iterator<Item = (&str, Version)> {
-        let own = self.disk.has.map(|version| (self.terms.me.name.as_str(), version));
-        let holds = self.store.version;
-        let children = self.children.iter().filter_map(move |(_, one)| match &one.who {
-            Some((who, Interest::All)) => Some((who.member.name.as_str(), one.on_disk?.min(holds))),
-            _ => None,
-        });
+    /// The version on the disk of each control machine, as far as known: of this process itself and of its children.
+    pub fn persisted_versions(&self) -> impl Iterator<Item = (&str, Version)> {
+        let own = self.disk.persisted.map(|version| (self.config.member.name.as_str(), version));
+        let held = self.store.version;
+        let children =
+            self.children.iter().filter_map(move |(_, subscriber)| match &subscriber.subscription {
+                Some((attachment, Interest::All)) => {
+                    Some((attachment.member.name.as_str(), subscriber.persisted?.min(held)))
+                }
+                _ => None,
+            });
         own.into_iter().chain(children)
     }
 
-    /// What a majority of so many control machines has on disk.
-    pub fn majority(&self, of: usize) -> Version {
-        let mut confirmed: Vec<Version> = self.confirmed().map(|(_, version)| version).collect();
-        confirmed.sort_by(|one, other| other.cmp(one));
-        confirmed.get(of / 2).copied().unwrap_or_default()
+    /// The newest version that a majority of this many control machines has on disk.
+    pub fn majority_version(&self, control_machines: usize) -> Version {
+        let mut versions: Vec<Version> = self.persisted_versions().map(|(_, version)| version).collect();
+        versions.sort_by(|one, other| other.cmp(one));
+        versions.get(control_machines / 2).copied().unwrap_or_default()
     }
 }
--- a/crates/carrier/src/parents.rs
+++ b/crates/carrier/src/parents.rs
@@ -1,206 +1,240 @@
-//! Whom to call: candidates in an order of the process's own, one link at a time.
+//! Chooses the parent of a process: its candidates in an order of its own, with one link at a time.
 
 use crate::hash::hash;
 use crate::node::Host;
 use crate::resource::Name;
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// Without a word from the parent for so long, or without an answer to a call, it is taken for lost.
-const SILENT: Nanos = 2 * SECOND;
-/// A parent whose knowledge is older than this is left for another.
-pub(crate) const OLD: Nanos = 4 * SECOND;
-/// The wait before the next candidate is called is by chance up to this, twice as much each time, up to the other.
-const REDIAL: [Nanos; 2] = [100 * MILLISECOND, 3 * SECOND];
-/// Those who find their parent old leave it within this time, by chance, and not all at once.
-const SPREAD: Nanos = SECOND;
-/// Where all are old another is asked after half of this up to all of it, twice as much each time, up to the other.
-const RARELY: [Nanos; 2] = [10 * SECOND, 60 * SECOND];
-/// On a later candidate: an earlier one is tried again after half of this up to all of it.
-const HOME: Nanos = 60 * SECOND;
+/// A parent that sends nothing for so long, or does not answer a connection request within it, counts as lost.
+const LINK_TIMEOUT: Nanos = 2 * SECOND;
+/// A parent whose knowledge is older than this is left for another one.
+pub(crate) const STALE_AGE: Nanos = 4 * SECOND;
+/// The delay before connecting to the next candidate is random, up to the first of these at the beginning and twice as much
+/// after each failure, up to the second.
+const RECONNECT_BACKOFF: [Nanos; 2] = [100 * MILLISECOND, 3 * SECOND];
+/// Children that find their parent's knowledge stale leave it after a random delay up to this, so that they don't leave
+/// all at once.
+const STALE_SWITCH_JITTER: Nanos = SECOND;
+/// If all candidates are stale, another one is tried after a random delay between half of this and all of it: the first at
+/// the beginning, twice as much each time, up to the second.
+const STALE_SWITCH_BACKOFF: [Nanos; 2] = [10 * SECOND, 60 * SECOND];
+/// A process whose parent is not its first candidate retries an earlier one after a random delay between half of this and
+/// all of it.
+const PREFERRED_RETRY_INTERVAL: Nanos = 60 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Link {
-    /// The next call is at this time.
-    None(Nanos),
-    /// Called, at this time.
-    Called(Nanos),
-    /// Up, and heard from last at this time.
-    Up(Nanos),
+    /// Not connected; the next connection is opened at this time.
+    Idle(Nanos),
+    /// A connection was requested at this time.
+    Connecting(Nanos),
+    /// Connected; the parent's last message arrived at this time.
+    Connected(Nanos),
 }
 
+/// The parent candidates of a process, the link to the current one, and when to switch to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Parents {
+pub(crate) struct ParentSelector {
     candidates: Vec<Name>,
-    at: usize,
+    /// Index of the candidate of the current link.
+    current: usize,
     link: Link,
-    /// Calls in a row that brought nothing.
-    vain: u32,
-    /// An earlier candidate is tried: where it goes straight back to if that one is no better.
-    back: Option<usize>,
-    /// When the parent's knowledge was that of the root, or the link came up.
-    fresh: Nanos,
-    /// When another is asked because all are old, and how long the last wait was at most.
-    old: Option<(Nanos, Nanos)>,
-    /// When an earlier candidate is tried, and how often that was done.
-    home: Nanos,
-    tried: usize,
+    /// Connections in a row that ended without a heartbeat.
+    failures: u32,
+    /// Set while an earlier candidate is tried: the index of the candidate to return to if the earlier one is no better.
+    return_to: Option<usize>,
+    /// The last time for which the parent's knowledge is known to have been current, or when the link came up.
+    fresh_at: Nanos,
+    /// While all candidates are stale: when another one is tried, and the upper bound of the last delay.
+    stale_switch: Option<(Nanos, Nanos)>,
+    /// When an earlier candidate is tried, and how often one was tried so far.
+    preferred_retry_at: Nanos,
+    preferred_retries: usize,
 }
 
-impl Parents {
-    /// Each tier in rendezvous order by the process's own name, and never itself.
-    pub fn new(now: Nanos, me: &str, tiers: &[Vec<Name>], host: &mut impl Host) -> Parents {
+impl ParentSelector {
+    /// Orders the candidates of each tier by rendezvous hashing with the process's own name, and leaves out the process
+    /// itself.
+    pub fn new(now: Nanos, own_name: &str, tiers: &[Vec<Name>], host: &mut impl Host) -> ParentSelector {
         let mut candidates = Vec::new();
         for tier in tiers {
-            let mut tier: Vec<&Name> = tier.iter().filter(|name| *name != me).collect();
-            tier.sort_by_key(|name| (hash([me.as_bytes(), name.as_bytes()]), *name));
+            let mut tier: Vec<&Name> = tier.iter().filter(|name| *name != own_name).collect();
+            tier.sort_by_key(|name| (hash([own_name.as_bytes(), name.as_bytes()]), *name));
             candidates.extend(tier.into_iter().cloned());
         }
-        let first = if candidates.is_empty() { Nanos::MAX } else { now + by_chance(REDIAL[0], host) };
-        let (link, home) = (Link::None(first), Nanos::MAX);
-        Parents { candidates, at: 0, link, vain: 0, back: None, fresh: now, old: None, home, tried: 0 }
+        let first =
+            if candidates.is_empty() { Nanos::MAX } else { now + random_delay(RECONNECT_BACKOFF[0], host) };
+        let (link, preferred_retry_at) = (Link::Idle(first), Nanos::MAX);
+        ParentSelector {
+            candidates,
+            current: 0,
+            link,
+            failures: 0,
+            return_to: None,
+            fresh_at: now,
+            stale_switch: None,
+            preferred_retry_at,
+            preferred_retries: 0,
+        }
     }
 
-    /// These from now on, of a control machine: the root, or none where it is that itself.
-    pub fn set(&mut self, now: Nanos, candidates: Vec<Name>, host: &mut impl Host) {
+    /// Replaces the candidates of a control machine: the root, or none if the control machine is the root itself.
+    pub fn set_candidates(&mut self, now: Nanos, candidates: Vec<Name>, host: &mut impl Host) {
         if self.candidates == candidates {
             return;
         }
-        self.end(host);
-        (self.candidates, self.at, self.vain, self.back, self.home) = (candidates, 0, 0, None, Nanos::MAX);
-        self.call(now, host);
+        self.disconnect(host);
+        (self.candidates, self.current, self.failures, self.return_to, self.preferred_retry_at) =
+            (candidates, 0, 0, None, Nanos::MAX);
+        self.connect(now, host);
     }
 
-    /// The parent, while there is a link to it.
+    /// The parent's name, or `None` while there is no link to one.
     pub fn parent(&self) -> Option<&str> {
         match self.link {
-            Link::Up(_) => self.candidates.get(self.at).map(Name::as_str),
+            Link::Connected(_) => self.candidates.get(self.current).map(Name::as_str),
             _ => None,
         }
     }
 
-    /// Whether the link that was called for is there now.
-    pub fn up(&mut self, now: Nanos) -> bool {
-        let called = matches!(self.link, Link::Called(_));
-        if called {
-            (self.link, self.fresh) = (Link::Up(now), now);
+    /// Records that the requested link is up; `false` if none was requested.
+    pub fn connected(&mut self, now: Nanos) -> bool {
+        let connecting = matches!(self.link, Link::Connecting(_));
+        if connecting {
+            (self.link, self.fresh_at) = (Link::Connected(now), now);
         }
-        called
+        connecting
     }
 
-    pub fn heard(&mut self, now: Nanos) {
-        if let Link::Up(heard) = &mut self.link {
-            *heard = now;
+    /// Records that a message of the parent arrived.
+    pub fn message_received(&mut self, now: Nanos) {
+        if let Link::Connected(last_message) = &mut self.link {
+            *last_message = now;
         }
     }
 
-    /// The parent told how old its knowledge is; `None` where it is behind this process.
-    pub fn pulse(&mut self, now: Nanos, age: Option<Nanos>, host: &mut impl Host) {
-        self.vain = 0;
-        match age.filter(|age| *age <= OLD) {
+    /// Handles a heartbeat with the age of the parent's knowledge; `None` if the parent is behind this process.
+    pub fn heartbeat(&mut self, now: Nanos, age: Option<Nanos>, host: &mut impl Host) {
+        self.failures = 0;
+        match age.filter(|age| *age <= STALE_AGE) {
             Some(age) => {
-                self.fresh = self.fresh.max(now.saturating_sub(age));
-                (self.old, self.back) = (None, None);
-                if self.at > 0 && self.home == Nanos::MAX {
-                    self.home = now + HOME / 2 + by_chance(HOME / 2, host);
+                self.fresh_at = self.fresh_at.max(now.saturating_sub(age));
+                (self.stale_switch, self.return_to) = (None, None);
+                if self.current > 0 && self.preferred_retry_at == Nanos::MAX {
+                    self.preferred_retry_at =
+                        now + PREFERRED_RETRY_INTERVAL / 2 + random_delay(PREFERRED_RETRY_INTERVAL / 2, host);
                 }
             }
-            None if self.back.is_some() => {
-                self.end(host);
-                self.lost(now, host);
+            None if self.return_to.is_some() => {
+                self.disconnect(host);
+                self.disconnected(now, host);
             }
             None => {}
         }
     }
 
-    /// The link is gone, or turned away.
-    pub fn lost(&mut self, now: Nanos, host: &mut impl Host) {
+    /// Handles a link that was lost or refused: selects the next candidate.
+    pub fn disconnected(&mut self, now: Nanos, host: &mut impl Host) {
         if self.candidates.is_empty() {
-            self.link = Link::None(Nanos::MAX);
+            self.link = Link::Idle(Nanos::MAX);
             return;
         }
-        if let Some(back) = self.back.take() {
-            self.at = back;
-            return self.call(now, host);
+        if let Some(previous) = self.return_to.take() {
+            self.current = previous;
+            return self.connect(now, host);
         }
-        self.at = (self.at + 1) % self.candidates.len();
-        let most = (REDIAL[0] << self.vain.min(10)).min(REDIAL[1]);
-        self.vain += 1;
-        self.home = Nanos::MAX;
-        self.link = Link::None(now + by_chance(most, host));
+        self.current = (self.current + 1) % self.candidates.len();
+        let max_delay = (RECONNECT_BACKOFF[0] << self.failures.min(10)).min(RECONNECT_BACKOFF[1]);
+        self.failures += 1;
+        self.preferred_retry_at = Nanos::MAX;
+        self.link = Link::Idle(now + random_delay(max_delay, host));
     }
 
-    /// Ends the link, or the call, if there is one.
-    pub fn end(&mut self, host: &mut impl Host) {
-        if !matches!(self.link, Link::None(_)) {
-            host.hang_up();
+    /// Ends the link or the pending connection, if there is one.
+    pub fn disconnect(&mut self, host: &mut impl Host) {
+        if !matches!(self.link, Link::Idle(_)) {
+            host.disconnect_parent();
         }
-        self.link = Link::None(Nanos::MAX);
+        self.link = Link::Idle(Nanos::MAX);
     }
 
-    /// Longer after calls in vain: where thousands call at once an answer takes its time, and giving up on it too soon only
-    /// makes more calls.
-    fn patience(&self) -> Nanos {
-        SILENT << self.vain.min(2)
+    /// How long the parent may be silent. Longer after failed connections: where thousands of children connect at once an
+    /// answer takes longer, and giving up too early only causes more connections.
+    fn link_timeout(&self) -> Nanos {
+        LINK_TIMEOUT << self.failures.min(2)
     }
 
-    fn call(&mut self, now: Nanos, host: &mut impl Host) {
-        self.link = Link::None(Nanos::MAX);
-        if let Some(name) = self.candidates.get(self.at) {
-            self.link = Link::Called(now);
-            host.dial(name);
+    fn connect(&mut self, now: Nanos, host: &mut impl Host) {
+        self.link = Link::Idle(Nanos::MAX);
+        if let Some(name) = self.candidates.get(self.current) {
+            self.link = Link::Connecting(now);
+            host.connect_parent(name);
         }
     }
 
-    /// Whether the link that was up has been ended by it.
+    /// Does what is due; returns whether it ended the link or the pending connection.
     pub fn tick(&mut self, now: Nanos, host: &mut impl Host) -> bool {
         match self.link {
-            Link::None(next) if now >= next => {
-                self.call(now, host);
+            Link::Idle(next) if now >= next => {
+                self.connect(now, host);
                 false
             }
-            Link::Called(since) | Link::Up(since) if now >= since + self.patience() => {
-                self.end(host);
-                self.lost(now, host);
+            Link::Connecting(since) | Link::Connected(since) if now >= since + self.link_timeout() => {
+                self.disconnect(host);
+                self.disconnected(now, host);
                 true
             }
-            Link::Up(_) if now >= self.fresh + OLD && self.candidates.len() > 1 => {
-                let (next, wait) = *self.old.get_or_insert_with(|| (now + by_chance(SPREAD, host), 0));
+            Link::Connected(_) if now >= self.fresh_at + STALE_AGE && self.candidates.len() > 1 => {
+                let (next, max_delay) = *self
+                    .stale_switch
+                    .get_or_insert_with(|| (now + random_delay(STALE_SWITCH_JITTER, host), 0));
                 if now < next {
                     return false;
                 }
-                // Where this one is no younger it stays there: a crowd must not go round and round.
-                let wait = if wait == 0 { RARELY[0] } else { (2 * wait).min(RARELY[1]) };
-                self.old = Some((now + wait / 2 + by_chance(wait / 2, host), wait));
-                self.end(host);
-                (self.at, self.home) = ((self.at + 1) % self.candidates.len(), Nanos::MAX);
-                self.call(now, host);
+                // If the next candidate is no fresher, the process stays there for the whole delay. Without it a crowd of
+                // children would move from candidate to candidate all the time.
+                let max_delay = if max_delay == 0 {
+                    STALE_SWITCH_BACKOFF[0]
+                } else {
+                    (2 * max_delay).min(STALE_SWITCH_BACKOFF[1])
+                };
+                self.stale_switch =
+                    Some((now + max_delay / 2 + random_delay(max_delay / 2, host), max_delay));
+                self.disconnect(host);
+                (self.current, self.preferred_retry_at) =
+                    ((self.current + 1) % self.candidates.len(), Nanos::MAX);
+                self.connect(now, host);
                 true
             }
-            Link::Up(_) if now >= self.home && self.at > 0 => {
-                self.home = Nanos::MAX;
-                self.end(host);
-                (self.back, self.at) = (Some(self.at), self.tried % self.at);
-                self.tried = self.tried.wrapping_add(1);
-                self.call(now, host);
+            Link::Connected(_) if now >= self.preferred_retry_at && self.current > 0 => {
+                self.preferred_retry_at = Nanos::MAX;
+                self.disconnect(host);
+                (self.return_to, self.current) = (Some(self.current), self.preferred_retries % self.current);
+                self.preferred_retries = self.preferred_retries.wrapping_add(1);
+                self.connect(now, host);
                 true
             }
             _ => false,
         }
     }
 
+    /// When `tick` has something to do next; `Nanos::MAX` if nothing is planned.
     pub fn due(&self) -> Nanos {
         match self.link {
-            Link::None(next) => next,
-            Link::Called(since) => since + self.patience(),
-            Link::Up(heard) => {
-                let old = self.old.map_or(self.fresh + OLD, |(next, _)| next.max(self.fresh + OLD));
-                let old = if self.candidates.len() > 1 { old } else { Nanos::MAX };
-                (heard + self.patience()).min(old).min(self.home)
+            Link::Idle(next) => next,
+            Link::Connecting(since) => since + self.link_timeout(),
+            Link::Connected(last_message) => {
+                let stale_at = self
+                    .stale_switch
+                    .map_or(self.fresh_at + STALE_AGE, |(next, _)| next.max(self.fresh_at + STALE_AGE));
+                let stale_at = if self.candidates.len() > 1 { stale_at } else { Nanos::MAX };
+                (last_message + self.link_timeout()).min(stale_at).min(self.preferred_retry_at)
             }
         }
     }
 }
 
-fn by_chance(most: Nanos, host: &mut impl Host) -> Nanos {
-    (most as f64 * host.chance()) as Nanos
+/// A random duration between 0 and `max`.
+fn random_delay(max: Nanos, host: &mut impl Host) -> Nanos {
+    (max as f64 * host.random()) as Nanos
 }
--- a/crates/carrier/src/publisher.rs
+++ b/crates/carrier/src/publisher.rs
@@ -1,40 +1,43 @@
-//! Whoever holds the lease `carrier` publishes: it takes changes in batches, writes them into the record under its token,
-//! and gives them to its node once they are settled. The record has the changes that not yet a majority of the control
-//! machines is known to have on disk; what came before, a majority has.
+//! The publisher, driven by the holder of the lease `carrier`: it takes proposed changes in batches, writes them into the
+//! record under the token of the lease, and gives them to the tree node of its process once they are settled, that is once
+//! they are in the record. The record keeps only the changes that are not yet known to be on the disks of a majority of the
+//! control machines; a majority has everything older.
 
-use crate::resource::{NAME, Name, Resource, Scope, Version, wrong_name};
+use crate::resource::{MAX_NAME_BYTES, Name, Resource, Scope, Version, invalid_name};
 use crate::{MILLISECOND, Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that wait at once.
-const WAITING: usize = 1_024;
-/// A batch takes at most so many bytes of the record, and all that is not confirmed at most the other.
-const BATCH: usize = 24 * 1024;
-const TAIL: usize = 32 * 1024;
-/// Changes wait so long for room in the record before they are refused.
-const FULL: Nanos = 5 * SECOND;
-/// After a read that failed the next comes after this, twice as much each time, up to the other.
-const READ_AGAIN: [Nanos; 2] = [250 * MILLISECOND, 2 * SECOND];
-/// The longest patch, in bytes.
-const PATCH: usize = 16 * 1024;
+/// The maximum number of changes that wait to be written.
+const MAX_WAITING_CHANGES: usize = 1_024;
+/// The maximum size of one batch and of all unconfirmed changes, in bytes of the record.
+const MAX_BATCH_BYTES: usize = 24 * 1024;
+const MAX_UNCONFIRMED_BYTES: usize = 32 * 1024;
+/// How long changes wait for room in the record before they are refused.
+const ROOM_TIMEOUT: Nanos = 5 * SECOND;
+/// The delay before the record is read again after a failed read: the first at the beginning, twice as much each time, up to
+/// the second.
+const READ_BACKOFF: [Nanos; 2] = [250 * MILLISECOND, 2 * SECOND];
+/// The maximum length of a patch, in bytes.
+const MAX_PATCH_BYTES: usize = 16 * 1024;
 
-/// What a publisher asks of the process that it lives in.
+/// What a [`Publisher`] needs from the process that it runs in.
 pub trait PublisherHost {
-    /// The record; comes back as `read` or `read_failed`.
-    fn read(&mut self);
-    /// The value `carrier`, under the token of the lease, if its version in the record is still this one, 0 where it was
-    /// not there. Comes back as `written`.
-    fn write(&mut self, text: String, version: u64);
-    /// To `Node::publish`.
+    /// Reads the record; the result is reported by `record_read` or `record_read_failed`.
+    fn read_record(&mut self);
+    /// Writes the value `carrier` of the record under the token of the lease, if the version of the value in the record is
+    /// still this one, 0 if there was no value. The result is reported by `record_written`.
+    fn write_record(&mut self, text: String, version: u64);
+    /// Passes settled changes to `TreeNode::publish`.
     fn publish(&mut self, version: Version, resources: Vec<Resource>);
-    /// To whoever offered under this number.
-    fn answer(&mut self, number: u64, outcome: Outcome);
-    /// The lease: this process holds too little, or may publish no more. It is to be dropped.
-    fn give_back(&mut self);
+    /// Answers the proposal with this number.
+    fn answer(&mut self, number: u64, outcome: ChangeOutcome);
+    /// Gives the lease back because this process holds too little or may not publish any longer. The publisher is to be
+    /// dropped.
+    fn release_lease(&mut self);
 }
 
-/// One resource to be written, or removed where there is no patch.
+/// A change of one resource: its new patch, or its removal if there is no patch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     pub scope: Scope,
@@ -43,387 +46,412 @@
     pub patch: Option<String>,
 }
 
-/// What became of an offer.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// In the record, as this version.
+pub enum ChangeOutcome {
+    /// The changes are in the record, as this version.
     Settled(Version),
-    /// Nothing of it was written, for this reason.
+    /// None of the changes was written, for this reason.
     Refused(String),
-    /// It may have been written or not.
+    /// The changes may have been written or not.
     Unknown,
 }
 
-/// What became of a write.
+/// The outcome of a write to the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Written {
-    /// It is in the record, under this version of the record.
-    Done(u64),
-    /// It is not, and will not be: the lease is lost, or somebody else wrote.
+pub enum WriteOutcome {
+    /// It is in the record, under this version of the value.
+    Committed(u64),
+    /// It is not in the record and never will be: the lease is lost, or another process wrote the value.
     Refused,
+    /// It may be in the record or not.
     Unknown,
 }
 
-/// The value `carrier` of the record.
+/// The value `carrier` of the record, as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Tail {
+struct RecordValue {
     version: Version,
-    /// A majority of the control machines has this on disk; what was changed since is here.
+    /// A majority of the control machines has this version on disk; `changes` has everything that changed since.
     base: Version,
     changes: Vec<Resource>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
+enum State {
     Reading,
-    /// Reads again at this time.
-    Paused(Nanos),
+    /// Waits until this time to read the record again.
+    ReadBackoff(Nanos),
     Ready,
     Writing,
-    /// It publishes no more, for this reason.
+    /// Publishes no longer, for this reason.
     Stopped(String),
 }
 
-/// Changes that were offered as one: they become one version.
+/// Changes that were proposed together: they become one version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Offer {
+struct Proposal {
     number: u64,
     changes: Vec<Change>,
     size: usize,
 }
 
+/// Writes proposed changes into the record and publishes them, as long as its process holds the lease `carrier`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
-    doing: Doing,
+    state: State,
     epoch: u64,
-    /// The record's, as it was read or written last, and its version there.
-    tail: Tail,
-    entry: u64,
-    /// The highest number given so far.
-    number: u64,
-    /// Waiting to be written, the oldest first.
-    offers: VecDeque<Offer>,
-    /// On their way into the record, each with its version.
+    /// The value that was last read or written, and its version in the record.
+    value: RecordValue,
+    value_version: u64,
+    /// The highest version number that was assigned so far.
+    last_number: u64,
+    /// Proposals that wait to be written, the oldest first.
+    proposals: VecDeque<Proposal>,
+    /// Numbers of the proposals that are being written, each with its version.
     batch: Vec<(u64, Version)>,
-    /// What the record will have with them.
-    pending: Option<Tail>,
-    /// Whether an earlier write of the same may have got there without a word, and whether the last was refused.
-    unsure: bool,
-    refused: bool,
+    /// The value that is being written.
+    pending: Option<RecordValue>,
+    /// Whether an earlier write of the same value may have succeeded although its outcome was unknown, and whether the last
+    /// write was refused.
+    earlier_write_unknown: bool,
+    last_write_refused: bool,
     confirmed: Version,
-    /// Since when the record has no room for the next offer.
-    full: Option<Nanos>,
-    pause: Nanos,
+    /// Since when the record has no room for the next proposal.
+    full_since: Option<Nanos>,
+    read_backoff: Nanos,
 }
 
 impl Publisher {
-    /// The lease was got.
+    /// Starts once the process has the lease.
     pub fn start(_now: Nanos, host: &mut impl PublisherHost) -> Publisher {
-        host.read();
+        host.read_record();
         Publisher {
-            doing: Doing::Reading,
+            state: State::Reading,
             epoch: 0,
-            tail: Tail::default(),
-            entry: 0,
-            number: 0,
-            offers: VecDeque::new(),
+            value: RecordValue::default(),
+            value_version: 0,
+            last_number: 0,
+            proposals: VecDeque::new(),
             batch: Vec::new(),
             pending: None,
-            unsure: false,
-            refused: false,
+            earlier_write_unknown: false,
+            last_write_refused: false,
             confirmed: Version::default(),
-            full: None,
-            pause: READ_AGAIN[0],
+            full_since: None,
+            read_backoff: READ_BACKOFF[0],
         }
     }
 
-    /// The record was founded as `epoch`, and has this text and version of the value `carrier`. `holds` is what the node
-    /// of this process holds.
-    pub fn read(
+    /// The record was read: it was created as `epoch`, and `entry` is the text and the version of its value `carrier`, if
+    /// there is one. `held` is the version that the tree node of this process holds.
+    pub fn record_read(
         &mut self,
         now: Nanos,
         epoch: u64,
         entry: Option<(&str, u64)>,
-        holds: Version,
+        held: Version,
         host: &mut impl PublisherHost,
     ) {
-        if self.doing != Doing::Reading {
+        if self.state != State::Reading {
             return;
         }
-        self.pause = READ_AGAIN[0];
-        let tail = match entry {
-            None => Ok(Tail { version: holds, base: holds, changes: Vec::new() }),
-            Some((text, _)) => serde_json::from_str::<Tail>(text),
+        self.read_backoff = READ_BACKOFF[0];
+        let value = match entry {
+            None => Ok(RecordValue { version: held, base: held, changes: Vec::new() }),
+            Some((text, _)) => serde_json::from_str::<RecordValue>(text),
         };
-        let tail = match tail {
-            Ok(tail) => tail,
+        let value = match value {
+            Ok(value) => value,
             Err(error) => {
-                return self.stop(&format!("the record's value `carrier` can't be read: {error}"), host);
+                return self.stop(&format!("cannot parse the record's value `carrier`: {error}"), host);
             }
         };
-        let entry = entry.map_or(0, |(_, version)| version);
+        let value_version = entry.map_or(0, |(_, version)| version);
         if let Some(pending) = self.pending.take() {
-            if tail == pending {
+            if value == pending {
                 self.answer_settled(host);
-            } else if entry != self.entry || self.refused {
-                // Somebody else wrote after it, or the lease is lost: a write that comes late is refused.
-                return self.stop("the lease `carrier` was lost, or somebody else wrote", host);
+            } else if value_version != self.value_version || self.last_write_refused {
+                // Another process wrote the value since, or the lease is lost: a delayed write will be refused.
+                return self.stop("the lease `carrier` was lost, or another process wrote the record", host);
             } else {
-                // Whichever of the two writes comes first, the other is refused; both say the same.
-                return self.send(pending, host);
+                // The delayed write and this one have the same content: whichever comes first, the other is refused.
+                return self.send_write(pending, host);
             }
         }
-        self.entry = entry;
-        if tail.base > holds {
-            // A majority holds what this one lacks; the record has it no more.
-            let words = format!("this process holds {holds}, the record only what came after {}", tail.base);
-            return self.stop(&words, host);
+        self.value_version = value_version;
+        if value.base > held {
+            // A majority holds changes that this process lacks and that are no longer in the record.
+            let reason = format!(
+                "this process holds version {held}, but the record only has changes after {}",
+                value.base
+            );
+            return self.stop(&reason, host);
         }
-        if holds.epoch > epoch {
-            return self.stop(&format!("this process holds {holds}, of a later founding than {epoch}"), host);
+        if held.epoch > epoch {
+            return self.stop(
+                &format!(
+                    "this process holds version {held}, of a later epoch than the record's epoch {epoch}"
+                ),
+                host,
+            );
         }
-        if tail.version.number.max(holds.number) > u64::MAX / 2 {
-            // Nobody counts that far: it was written by hand, or a disk lies. Numbers must go on growing.
-            return self.stop(&format!("no numbers are left after {} and {holds}", tail.version), host);
+        if value.version.number.max(held.number) > u64::MAX / 2 {
+            // Counting never gets that far: the value was written by hand, or a disk is corrupt. Numbers must keep growing.
+            return self.stop(
+                &format!("no version numbers are left after {} in the record and {held} here", value.version),
+                host,
+            );
         }
         self.epoch = epoch;
-        self.number = self.number.max(tail.version.number).max(holds.number);
-        self.doing = Doing::Ready;
-        host.publish(tail.version, tail.changes.clone());
-        self.tail = tail;
-        self.write(now, host);
+        self.last_number = self.last_number.max(value.version.number).max(held.number);
+        self.state = State::Ready;
+        host.publish(value.version, value.changes.clone());
+        self.value = value;
+        self.write_next(now, host);
     }
 
     fn answer_settled(&mut self, host: &mut impl PublisherHost) {
-        (self.unsure, self.refused) = (false, false);
+        (self.earlier_write_unknown, self.last_write_refused) = (false, false);
         for (number, version) in self.batch.drain(..) {
-            host.answer(number, Outcome::Settled(version));
+            host.answer(number, ChangeOutcome::Settled(version));
         }
     }
 
     /// The record could not be read.
-    pub fn read_failed(&mut self, now: Nanos, _host: &mut impl PublisherHost) {
-        if self.doing == Doing::Reading {
-            self.doing = Doing::Paused(now + self.pause);
-            self.pause = (2 * self.pause).min(READ_AGAIN[1]);
+    pub fn record_read_failed(&mut self, now: Nanos, _host: &mut impl PublisherHost) {
+        if self.state == State::Reading {
+            self.state = State::ReadBackoff(now + self.read_backoff);
+            self.read_backoff = (2 * self.read_backoff).min(READ_BACKOFF[1]);
         }
     }
 
-    /// Changes that become one version, all or none.
-    pub fn offered(&mut self, now: Nanos, number: u64, changes: Vec<Change>, host: &mut impl PublisherHost) {
-        let waiting: usize = self.offers.iter().map(|offer| offer.changes.len().max(1)).sum();
-        let size = changes.iter().map(size).sum();
-        let refused = match &self.doing {
-            Doing::Stopped(why) => Some(why.clone()),
-            _ if waiting + changes.len() > WAITING => {
-                Some(format!("{WAITING} changes at most may wait to be written"))
+    /// Proposes changes that become one version, all or none. The outcome is reported by `PublisherHost::answer` with this
+    /// number.
+    pub fn propose(&mut self, now: Nanos, number: u64, changes: Vec<Change>, host: &mut impl PublisherHost) {
+        let waiting: usize = self.proposals.iter().map(|proposal| proposal.changes.len().max(1)).sum();
+        let size = changes.iter().map(change_size).sum();
+        let refused = match &self.state {
+            State::Stopped(reason) => Some(reason.clone()),
+            _ if waiting + changes.len() > MAX_WAITING_CHANGES => {
+                Some(format!("at most {MAX_WAITING_CHANGES} changes may wait to be written"))
             }
-            _ if size > BATCH => {
-                Some(format!("the changes take {size} bytes of the record, {BATCH} at most may"))
+            _ if size > MAX_BATCH_BYTES => Some(format!(
+                "the changes take {size} bytes of the record, {MAX_BATCH_BYTES} at most are allowed"
+            )),
+            _ if self.full_since.is_some_and(|since| now >= since + ROOM_TIMEOUT)
+                && size > self.free_bytes() =>
+            {
+                Some(record_full())
             }
-            _ if self.full.is_some_and(|since| now >= since + FULL) && size > self.room() => Some(full()),
-            _ => changes.iter().find_map(|change| wrong(change).err()),
+            _ => changes.iter().find_map(|change| validate(change).err()),
         };
         if let Some(refused) = refused {
-            return host.answer(number, Outcome::Refused(refused));
+            return host.answer(number, ChangeOutcome::Refused(refused));
         }
-        self.offers.push_back(Offer { number, changes, size });
-        self.write(now, host);
+        self.proposals.push_back(Proposal { number, changes, size });
+        self.write_next(now, host);
     }
 
-    /// What a majority of all control machines has on disk.
-    pub fn confirmed(&mut self, now: Nanos, majority: Version, host: &mut impl PublisherHost) {
+    /// A majority of all control machines has this version on disk.
+    pub fn majority_persisted(&mut self, now: Nanos, majority: Version, host: &mut impl PublisherHost) {
         if majority > self.confirmed {
             self.confirmed = majority;
-            self.write(now, host);
+            self.write_next(now, host);
         }
     }
 
-    /// Writes what waits, and what of the tail is not confirmed yet, if nothing is on its way.
-    fn write(&mut self, now: Nanos, host: &mut impl PublisherHost) {
-        if self.doing != Doing::Ready {
+    /// Writes the waiting proposals, and the unconfirmed changes of the value again, if no write is under way.
+    fn write_next(&mut self, now: Nanos, host: &mut impl PublisherHost) {
+        if self.state != State::Ready {
             return;
         }
-        let version = self.tail.version;
-        let kept = self
+        let version = self.value.version;
+        let changes = self
             .unconfirmed()
             .map(|resource| ((resource.scope.clone(), resource.name.clone()), resource.clone()));
-        let mut kept: BTreeMap<_, Resource> = kept.collect();
-        let mut next = Tail { version, base: self.base(), changes: Vec::new() };
-        let room = self.room();
-        let mut batch = 0;
-        while let Some(offer) = self.offers.front() {
-            if batch + offer.size > BATCH {
+        let mut changes: BTreeMap<_, Resource> = changes.collect();
+        let mut next = RecordValue { version, base: self.next_base(), changes: Vec::new() };
+        let free_bytes = self.free_bytes();
+        let mut batch_bytes = 0;
+        while let Some(proposal) = self.proposals.front() {
+            if batch_bytes + proposal.size > MAX_BATCH_BYTES {
                 break;
             }
-            if batch + offer.size > room {
-                self.full.get_or_insert(now);
+            if batch_bytes + proposal.size > free_bytes {
+                self.full_since.get_or_insert(now);
                 break;
             }
-            let Some(offer) = self.offers.pop_front() else { break };
-            (batch, self.full) = (batch + offer.size, None);
-            self.number = self.number.saturating_add(1);
-            next.version = Version { epoch: self.epoch, number: self.number };
-            for Change { scope, name, patch } in offer.changes {
+            let Some(proposal) = self.proposals.pop_front() else { break };
+            (batch_bytes, self.full_since) = (batch_bytes + proposal.size, None);
+            self.last_number = self.last_number.saturating_add(1);
+            next.version = Version { epoch: self.epoch, number: self.last_number };
+            for Change { scope, name, patch } in proposal.changes {
                 let patch = patch.map(Into::into);
                 let key = (scope.clone(), name.clone());
-                kept.insert(key, Resource { scope, name, version: next.version, patch });
+                changes.insert(key, Resource { scope, name, version: next.version, patch });
             }
-            self.batch.push((offer.number, next.version));
+            self.batch.push((proposal.number, next.version));
         }
-        if batch == 0 && self.batch.is_empty() {
+        if batch_bytes == 0 && self.batch.is_empty() {
             if version.epoch == self.epoch {
                 return;
             }
-            // The record was founded anew. What was settled and lost with the old one may be held by some and not by
-            // others: under a new version all come to hold what this process holds.
-            self.number = self.number.saturating_add(1);
-            next.version = Version { epoch: self.epoch, number: self.number };
+            // The record was created anew. Changes that were settled and lost with the old record may be held by some
+            // processes and not by others: a new version makes all of them hold what this process holds.
+            self.last_number = self.last_number.saturating_add(1);
+            next.version = Version { epoch: self.epoch, number: self.last_number };
         }
-        next.changes = kept.into_values().collect();
+        next.changes = changes.into_values().collect();
         next.changes.sort_by_key(|resource| resource.version);
-        self.send(next, host);
+        self.send_write(next, host);
     }
 
-    /// What a majority has, the next time that the record is written.
-    fn base(&self) -> Version {
-        self.tail.base.max(self.confirmed.min(self.tail.version))
+    /// The base of the next value that is written: the newest version that a majority has on disk.
+    fn next_base(&self) -> Version {
+        self.value.base.max(self.confirmed.min(self.value.version))
     }
 
     fn unconfirmed(&self) -> impl Iterator<Item = &Resource> {
-        let base = self.base();
-        self.tail.changes.iter().filter(move |resource| resource.version > base)
+        let base = self.next_base();
+        self.value.changes.iter().filter(move |resource| resource.version > base)
     }
 
-    /// For more changes, in bytes of the record.
-    fn room(&self) -> usize {
-        TAIL.saturating_sub(self.unconfirmed().map(size_of).sum())
+    /// The room for more changes, in bytes of the record.
+    fn free_bytes(&self) -> usize {
+        MAX_UNCONFIRMED_BYTES.saturating_sub(self.unconfirmed().map(resource_size).sum())
     }
 
-    fn send(&mut self, next: Tail, host: &mut impl PublisherHost) {
+    fn send_write(&mut self, next: RecordValue, host: &mut impl PublisherHost) {
         match serde_json::to_string(&next) {
             Ok(text) => {
-                (self.doing, self.pending) = (Doing::Writing, Some(next));
-                host.write(text, self.entry);
+                (self.state, self.pending) = (State::Writing, Some(next));
+                host.write_record(text, self.value_version);
             }
-            Err(error) => self.stop(&format!("the changes can't be written: {error}"), host),
+            Err(error) => self.stop(&format!("cannot encode the changes: {error}"), host),
         }
     }
 
-    /// What became of the write.
-    pub fn written(&mut self, now: Nanos, written: Written, host: &mut impl PublisherHost) {
-        if self.doing != Doing::Writing {
+    /// The write to the record has ended with this outcome.
+    pub fn record_written(&mut self, now: Nanos, outcome: WriteOutcome, host: &mut impl PublisherHost) {
+        if self.state != State::Writing {
             return;
         }
-        match written {
-            Written::Done(entry) => {
+        match outcome {
+            WriteOutcome::Committed(value_version) => {
                 let Some(next) = self.pending.take() else { return };
-                let before = std::mem::replace(&mut self.tail, next).version;
-                (self.entry, self.doing) = (entry, Doing::Ready);
-                let new = self.tail.changes.iter().filter(|resource| resource.version > before).cloned();
-                host.publish(self.tail.version, new.collect());
+                let previous = std::mem::replace(&mut self.value, next).version;
+                (self.value_version, self.state) = (value_version, State::Ready);
+                let new = self.value.changes.iter().filter(|resource| resource.version > previous).cloned();
+                host.publish(self.value.version, new.collect());
                 self.answer_settled(host);
-                self.write(now, host);
+                self.write_next(now, host);
             }
-            // An earlier write of the same may be what this one met.
-            Written::Refused if self.unsure => {
-                self.refused = true;
-                self.read_now(host);
+            // It may have been refused because an earlier write of the same value succeeded.
+            WriteOutcome::Refused if self.earlier_write_unknown => {
+                self.last_write_refused = true;
+                self.read_again(host);
             }
-            Written::Refused => {
-                let words =
-                    "this process publishes no more: the lease `carrier` was lost, or somebody else wrote";
+            WriteOutcome::Refused => {
+                let reason = "this process no longer publishes: the lease `carrier` was lost, or another process wrote the record";
                 for (number, _) in std::mem::take(&mut self.batch) {
-                    host.answer(number, Outcome::Refused(words.into()));
+                    host.answer(number, ChangeOutcome::Refused(reason.into()));
                 }
-                self.stop(words, host);
+                self.stop(reason, host);
             }
-            Written::Unknown => {
-                self.unsure = true;
-                self.read_now(host);
+            WriteOutcome::Unknown => {
+                self.earlier_write_unknown = true;
+                self.read_again(host);
             }
         }
     }
 
-    fn read_now(&mut self, host: &mut impl PublisherHost) {
-        self.doing = Doing::Reading;
-        host.read();
+    fn read_again(&mut self, host: &mut impl PublisherHost) {
+        self.state = State::Reading;
+        host.read_record();
     }
 
-    /// Publishes no more. What may have got into the record nobody knows; the rest did not.
-    fn stop(&mut self, words: &str, host: &mut impl PublisherHost) {
+    /// Stops publishing. The outcome of the proposals that are being written is unknown; those that wait were not written.
+    fn stop(&mut self, reason: &str, host: &mut impl PublisherHost) {
         for (number, _) in std::mem::take(&mut self.batch) {
-            host.answer(number, Outcome::Unknown);
+            host.answer(number, ChangeOutcome::Unknown);
         }
-        for offer in std::mem::take(&mut self.offers) {
-            host.answer(offer.number, Outcome::Refused(words.into()));
+        for proposal in std::mem::take(&mut self.proposals) {
+            host.answer(proposal.number, ChangeOutcome::Refused(reason.into()));
         }
-        self.doing = Doing::Stopped(words.into());
-        host.give_back();
+        self.state = State::Stopped(reason.into());
+        host.release_lease();
     }
 
-    /// Some time has passed.
+    /// Does everything that is due by now.
     pub fn tick(&mut self, now: Nanos, host: &mut impl PublisherHost) {
-        match self.doing {
-            Doing::Paused(until) if now >= until => self.read_now(host),
+        match self.state {
+            State::ReadBackoff(until) if now >= until => self.read_again(host),
             _ => {}
         }
-        if self.full.is_some_and(|since| now >= since + FULL) {
-            for offer in std::mem::take(&mut self.offers) {
-                host.answer(offer.number, Outcome::Refused(full()));
+        if self.full_since.is_some_and(|since| now >= since + ROOM_TIMEOUT) {
+            for proposal in std::mem::take(&mut self.proposals) {
+                host.answer(proposal.number, ChangeOutcome::Refused(record_full()));
             }
         }
     }
 
-    /// When `tick` wants to be called next, at the latest; any event may move it.
+    /// The latest time at which `tick` must be called next. Any other call may change it.
     pub fn due(&self) -> Nanos {
-        let paused = match self.doing {
-            Doing::Paused(until) => until,
+        let read_at = match self.state {
+            State::ReadBackoff(until) => until,
             _ => Nanos::MAX,
         };
-        let full = self.full.filter(|_| !self.offers.is_empty()).map_or(Nanos::MAX, |since| since + FULL);
-        paused.min(full)
+        let room_deadline = self
+            .full_since
+            .filter(|_| !self.proposals.is_empty())
+            .map_or(Nanos::MAX, |since| since + ROOM_TIMEOUT);
+        read_at.min(room_deadline)
     }
 }
 
-fn full() -> String {
+/// The reason for a refusal because the record has no room.
+fn record_full() -> String {
     format!(
-        "the record has no room: {TAIL} bytes of changes wait in it for a majority of the control machines to have them \
-         on disk"
+        "the record is full: it has room for {MAX_UNCONFIRMED_BYTES} bytes of changes that are not yet on the disks of a \
+         majority of the control machines"
     )
 }
 
-/// What is wrong with a change, in words that name it.
-fn wrong(change: &Change) -> Result<(), String> {
+/// Checks the names and the patch of a change; the error says what is wrong with which name or patch.
+fn validate(change: &Change) -> Result<(), String> {
     let Change { scope, name, patch } = change;
-    if let Some(one) = wrong_name(scope, name) {
-        let begin: String = one.chars().take(40).collect();
-        return Err(format!("the name `{begin}` has {} bytes, 1 to {NAME} are allowed", one.len()));
+    if let Some(invalid) = invalid_name(scope, name) {
+        let begin: String = invalid.chars().take(40).collect();
+        return Err(format!(
+            "the name `{begin}` has {} bytes, 1 to {MAX_NAME_BYTES} are allowed",
+            invalid.len()
+        ));
     }
     let Some(patch) = patch else { return Ok(()) };
-    if patch.len() > PATCH {
+    if patch.len() > MAX_PATCH_BYTES {
         return Err(format!(
-            "the patch of `{name}` for {scope} has {} bytes, {PATCH} at most are allowed",
+            "the patch of `{name}` for {scope} has {} bytes, {MAX_PATCH_BYTES} at most are allowed",
             patch.len()
         ));
     }
     match serde_json::from_str::<serde_json::Map<String, serde_json::Value>>(patch) {
         Ok(_) => Ok(()),
-        Err(error) => Err(format!("the patch of `{name}` for {scope} is no JSON object: {error}")),
+        Err(error) => Err(format!("the patch of `{name}` for {scope} is not a JSON object: {error}")),
     }
 }
 
-/// In bytes of the record, at most.
-fn size(change: &Change) -> usize {
+/// The maximum size of a change in the record, in bytes.
+fn change_size(change: &Change) -> usize {
     let resource = Resource {
         scope: change.scope.clone(),
         name: change.name.clone(),
         version: Version { epoch: u64::MAX, number: u64::MAX },
         patch: change.patch.as_deref().map(Into::into),
     };
-    size_of(&resource)
+    resource_size(&resource)
 }
 
-fn size_of(resource: &Resource) -> usize {
+fn resource_size(resource: &Resource) -> usize {
     serde_json::to_string(resource).map_or(usize::MAX / 4, |text| text.len() + 1)
 }
--- a/crates/carrier/src/resource.rs
+++ b/crates/carrier/src/resource.rs
@@ -1,74 +1,78 @@
-//! What is carried: resources, each for a scope, with the version of the change that wrote it last.
+//! Configuration resources. Each belongs to a scope and has the version of the change that last wrote it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
+/// The name of a resource, a process or a location.
 pub type Name = String;
 
-/// The longest name of a resource or in its scope, in bytes.
-pub(crate) const NAME: usize = 200;
+/// The maximum length of a resource's name and of each name in its scope, in bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 200;
 
-/// Of the whole set: which founding of the record, and how many changes since. Never reused, and compared as written.
+/// A version of the complete set of resources: the epoch in which the record was created, and the number of changes since.
+/// Never reused, and ordered by epoch, then number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     pub epoch: u64,
     pub number: u64,
 }
 
-/// Whom a resource concerns. Narrower ones are applied after wider ones.
+/// The processes that a resource applies to. Resources of narrower scopes are applied after those of wider ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     Fleet,
     Region(Name),
     Zone(Name),
     Site(Name),
-    /// One proxy, and its site.
+    /// One proxy, given by its site and its name.
     Proxy(Name, Name),
 }
 
-/// Where a process is.
+/// The location of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     pub region: Name,
     pub zone: Name,
     pub site: Name,
 }
 
-/// Which scopes a process wants.
+/// The scopes that a process subscribes to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Interest {
-    /// A control machine: it serves anybody.
+    /// Every scope: for a control machine, which serves any process.
     All,
-    /// A relay: its place, and every proxy of its site.
-    Site(Place),
-    /// A proxy that serves no children.
-    Proxy(Place, Name),
+    /// The scopes of a location and of every proxy of its site: for a relay.
+    Site(Location),
+    /// The scopes of a location and of one proxy: for a proxy that has no children.
+    Proxy(Location, Name),
 }
 
-/// A part of the configuration as a JSON merge patch (RFC 7396), or the mark that it was removed.
+/// A part of the configuration as a JSON merge patch (RFC 7396), or a tombstone if it was removed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Resource {
     pub scope: Scope,
     pub name: Name,
-    /// Of the change that wrote it last.
+    /// The version of the change that last wrote this resource.
     pub version: Version,
+    /// JSON text of the merge patch; `None` for a tombstone.
     pub patch: Option<Arc<str>>,
 }
 
 impl Interest {
-    pub fn wants(&self, scope: &Scope) -> bool {
-        let place = match self {
+    /// Whether resources of this scope belong to the interest.
+    pub fn includes(&self, scope: &Scope) -> bool {
+        let location = match self {
             Interest::All => return true,
-            Interest::Site(place) | Interest::Proxy(place, _) => place,
+            Interest::Site(location) | Interest::Proxy(location, _) => location,
         };
         match scope {
             Scope::Fleet => true,
-            Scope::Region(region) => *region == place.region,
-            Scope::Zone(zone) => *zone == place.zone,
-            Scope::Site(site) => *site == place.site,
+            Scope::Region(region) => *region == location.region,
+            Scope::Zone(zone) => *zone == location.zone,
+            Scope::Site(site) => *site == location.site,
             Scope::Proxy(site, proxy) => {
-                *site == place.site
+                *site == location.site
                     && match self {
                         Interest::Proxy(_, name) => name == proxy,
                         _ => true,
@@ -78,15 +82,15 @@
     }
 }
 
-/// A name that nothing can bear, if there is one among these.
-pub(crate) fn wrong_name<'a>(scope: &'a Scope, name: &'a Name) -> Option<&'a Name> {
-    let (one, two) = match scope {
+/// The first name among these that is empty or too long, or `None` if all are valid.
+pub(crate) fn invalid_name<'a>(scope: &'a Scope, name: &'a Name) -> Option<&'a Name> {
+    let (first, second) = match scope {
         Scope::Fleet => (None, None),
-        Scope::Region(one) | Scope::Zone(one) | Scope::Site(one) => (Some(one), None),
+        Scope::Region(name) | Scope::Zone(name) | Scope::Site(name) => (Some(name), None),
         Scope::Proxy(site, proxy) => (Some(site), Some(proxy)),
     };
-    let mut names = [Some(name), one, two].into_iter().flatten();
-    names.find(|name| name.is_empty() || name.len() > NAME)
+    let mut names = [Some(name), first, second].into_iter().flatten();
+    names.find(|name| name.is_empty() || name.len() > MAX_NAME_BYTES)
 }
 
 impl fmt::Display for Version {
