--- a/crates/carrier/tests/common/mod.rs
+++ b/crates/carrier/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in one process: nodes, links, disks, a record and its publisher, under a clock and chance of its own; and what
-//! must hold at each step of it.
+//! Simulates a fleet in one process: tree nodes, links, disks, the record and its publisher, with a simulated clock and a
+//! seeded random number generator. Checks the invariants of the protocol at each step.
 #![allow(dead_code)]
 
 use pumicebay_carrier::*;
@@ -9,22 +9,22 @@
 pub const SECOND: Nanos = 1_000 * MS;
 
 pub type Key = (Scope, Name);
-/// What a process has in force.
+/// The resources that a process has in force.
 pub type Applied = BTreeMap<Key, Resource>;
 
 pub fn key(resource: &Resource) -> Key {
     (resource.scope.clone(), resource.name.clone())
 }
 
-/// Puts this in force, but for what is bad: of that it keeps what it had.
+/// Puts these resources in force and refuses those whose patch contains "bad": their previous versions stay in force.
 pub fn apply(applied: &mut Applied, resources: Vec<Resource>) -> Vec<(Scope, Name, String)> {
     let mut refused = Vec::new();
-    let had = std::mem::take(applied);
+    let previous = std::mem::take(applied);
     for resource in resources {
         let key = key(&resource);
         if resource.patch.as_ref().is_some_and(|patch| patch.contains("bad")) {
-            if let Some(had) = had.get(&key) {
-                applied.insert(key.clone(), had.clone());
+            if let Some(previous) = previous.get(&key) {
+                applied.insert(key.clone(), previous.clone());
             }
             refused.push((key.0, key.1, "bad".to_string()));
         } else {
@@ -34,8 +34,8 @@
     refused
 }
 
-/// The last write of each resource up to a version.
-pub fn written(settled: &BTreeMap<Version, Vec<Resource>>, until: Version) -> BTreeMap<Key, &Resource> {
+/// The last write of each resource, up to a version.
+pub fn last_writes(settled: &BTreeMap<Version, Vec<Resource>>, until: Version) -> BTreeMap<Key, &Resource> {
     let mut last: BTreeMap<Key, &Resource> = BTreeMap::new();
     for resource in settled.range(..=until).flat_map(|(_, resources)| resources) {
         if last.get(&key(resource)).is_none_or(|other| other.version < resource.version) {
@@ -45,43 +45,50 @@
     last
 }
 
-/// Whether this process claims more in a sum than what it has in force, and names no exception for that.
-pub fn claims(
-    me: &Member,
-    place: &Place,
+/// Describes a resource that the process reports as in force in its summary, without an exception, although it is not;
+/// `None` if the summary claims no more than what is in force.
+pub fn false_claim(
+    member: &Member,
+    location: &Location,
     applied: &Applied,
-    sum: &Sum,
+    summary: &Summary,
     settled: &BTreeMap<Version, Vec<Resource>>,
 ) -> Option<String> {
-    let mine = || sum.exceptions.iter().filter(|one| one.who == *me);
-    // Of one member four refusals are named at most.
-    if sum.unnamed > 0 || mine().count() >= 4 || mine().any(|one| one.why == Why::Late) {
+    let own_exceptions = || summary.exceptions.iter().filter(|exception| exception.member == *member);
+    // A summary lists at most four refusals for each member.
+    if summary.unnamed > 0
+        || own_exceptions().count() >= 4
+        || own_exceptions().any(|exception| exception.kind == ExceptionKind::Late)
+    {
         return None;
     }
-    let concerns = Interest::Proxy(place.clone(), me.name.clone());
-    let newest = written(settled, Version { epoch: u64::MAX, number: u64::MAX });
-    let (key, write) = written(settled, sum.in_force).into_iter().find(|(key, write)| {
-        let has = applied.get(key).map(|has| has.version);
-        let right = match &write.patch {
-            Some(_) => has.map_or(newest[key].version > write.version, |has| has >= write.version),
-            None => has.is_none_or(|has| has > write.version),
+    let own_interest = Interest::Proxy(location.clone(), member.name.clone());
+    let newest = last_writes(settled, Version { epoch: u64::MAX, number: u64::MAX });
+    let (key, write) = last_writes(settled, summary.in_force).into_iter().find(|(key, write)| {
+        let applied_version = applied.get(key).map(|resource| resource.version);
+        let correct = match &write.patch {
+            Some(_) => {
+                applied_version.map_or(newest[key].version > write.version, |applied| applied >= write.version)
+            },
+            None => applied_version.is_none_or(|applied| applied > write.version),
         };
-        let refused = |one: &Exception| {
-            matches!(&one.why, Why::Refused { scope, resource, .. } if (scope, resource) == (&key.0, &key.1))
+        let refused = |exception: &Exception| {
+            matches!(&exception.kind, ExceptionKind::Refused { scope, resource, .. } if (scope, resource) == (&key.0, &key.1))
         };
-        concerns.wants(&key.0) && !right && !mine().any(refused)
+        own_interest.includes(&key.0) && !correct && !own_exceptions().any(refused)
     })?;
-    let has = applied.get(&key).map(|has| has.version);
+    let applied_version = applied.get(&key).map(|resource| resource.version);
     Some(format!(
-        "{} claims {} with {} {} of {} at {has:?}",
-        me.name, sum.in_force, key.0, key.1, write.version
+        "{} claims {} but has {} {} of {} at {applied_version:?}",
+        member.name, summary.in_force, key.0, key.1, write.version
     ))
 }
 
+/// A seeded random number generator.
 #[derive(Clone, Copy)]
-pub struct Chance(pub u64);
+pub struct Rng(pub u64);
 
-impl Chance {
+impl Rng {
     pub fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -97,502 +104,536 @@
     }
 }
 
+/// One call that a tree node made to its host.
 #[derive(Clone, Debug)]
-pub enum Act {
-    Dial(Name),
-    HangUp,
-    Up(Up),
-    Down(Child, Down),
-    Drop(Child),
-    Put(Version, Vec<Resource>),
-    Keep(Kept),
+pub enum HostCall {
+    ConnectParent(Name),
+    DisconnectParent,
+    SendToParent(ChildMessage),
+    SendToChild(ChildId, ParentMessage),
+    DisconnectChild(ChildId),
+    Apply(Version, Vec<Resource>),
+    Persist(Snapshot),
 }
 
-/// What a node asked for, in order.
-pub struct Acts {
-    pub acts: Vec<Act>,
-    pub chance: Chance,
+/// Records the calls of a tree node, in order.
+pub struct RecordingHost {
+    pub calls: Vec<HostCall>,
+    pub rng: Rng,
 }
 
-impl Host for Acts {
-    fn dial(&mut self, parent: &str) {
-        self.acts.push(Act::Dial(parent.into()));
+impl Host for RecordingHost {
+    fn connect_parent(&mut self, parent: &str) {
+        self.calls.push(HostCall::ConnectParent(parent.into()));
     }
-    fn hang_up(&mut self) {
-        self.acts.push(Act::HangUp);
+    fn disconnect_parent(&mut self) {
+        self.calls.push(HostCall::DisconnectParent);
     }
-    fn send_up(&mut self, message: Up) {
-        self.acts.push(Act::Up(message));
+    fn send_to_parent(&mut self, message: ChildMessage) {
+        self.calls.push(HostCall::SendToParent(message));
     }
-    fn send_down(&mut self, child: Child, message: Down) {
-        self.acts.push(Act::Down(child, message));
+    fn send_to_child(&mut self, child: ChildId, message: ParentMessage) {
+        self.calls.push(HostCall::SendToChild(child, message));
     }
-    fn drop_child(&mut self, child: Child) {
-        self.acts.push(Act::Drop(child));
+    fn disconnect_child(&mut self, child: ChildId) {
+        self.calls.push(HostCall::DisconnectChild(child));
     }
-    fn put_in_force(&mut self, version: Version, resources: Vec<Resource>) {
-        self.acts.push(Act::Put(version, resources));
+    fn apply(&mut self, version: Version, resources: Vec<Resource>) {
+        self.calls.push(HostCall::Apply(version, resources));
     }
-    fn keep(&mut self, kept: &Kept) {
-        self.acts.push(Act::Keep(kept.clone()));
+    fn persist(&mut self, snapshot: &Snapshot) {
+        self.calls.push(HostCall::Persist(snapshot.clone()));
     }
-    fn chance(&mut self) -> f64 {
-        (self.chance.next() >> 11) as f64 / (1u64 << 53) as f64
+    fn random(&mut self) -> f64 {
+        (self.rng.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
-/// What a publisher asked for, in order.
+/// Records the calls of a publisher, in order.
 #[derive(Default)]
-pub struct Asked {
-    pub acts: VecDeque<Ask>,
+pub struct RecordingPublisherHost {
+    pub calls: VecDeque<PublisherCall>,
 }
 
+/// One call that a publisher made to its host.
 #[derive(Clone, Debug)]
-pub enum Ask {
-    Read,
-    Write(String, u64),
+pub enum PublisherCall {
+    ReadRecord,
+    WriteRecord(String, u64),
     Publish(Version, Vec<Resource>),
-    Answer(u64, Outcome),
-    GiveBack,
+    Answer(u64, ChangeOutcome),
+    ReleaseLease,
 }
 
-impl PublisherHost for Asked {
-    fn read(&mut self) {
-        self.acts.push_back(Ask::Read);
+impl PublisherHost for RecordingPublisherHost {
+    fn read_record(&mut self) {
+        self.calls.push_back(PublisherCall::ReadRecord);
     }
-    fn write(&mut self, text: String, version: u64) {
-        self.acts.push_back(Ask::Write(text, version));
+    fn write_record(&mut self, text: String, version: u64) {
+        self.calls.push_back(PublisherCall::WriteRecord(text, version));
     }
     fn publish(&mut self, version: Version, resources: Vec<Resource>) {
-        self.acts.push_back(Ask::Publish(version, resources));
+        self.calls.push_back(PublisherCall::Publish(version, resources));
     }
-    fn answer(&mut self, number: u64, outcome: Outcome) {
-        self.acts.push_back(Ask::Answer(number, outcome));
+    fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
+        self.calls.push_back(PublisherCall::Answer(number, outcome));
     }
-    fn give_back(&mut self) {
-        self.acts.push_back(Ask::GiveBack);
+    fn release_lease(&mut self) {
+        self.calls.push_back(PublisherCall::ReleaseLease);
     }
 }
 
+/// Something that is scheduled to happen. Numbers identify the process by its index, then its incarnation; those of events
+/// of the record are the token of the lease.
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick(usize, u64),
-    Answered(usize, u64, u64, Name),
-    ToParent(Child, Up),
-    ToChild(Child, Down),
-    GoneAtParent(Child),
-    GoneAtChild(Child),
-    InForce(usize, u64, Version, Vec<Resource>),
-    Kept(usize, u64, Kept),
+    ConnectAnswered(usize, u64, u64, Name),
+    ToParent(ChildId, ChildMessage),
+    ToChild(ChildId, ParentMessage),
+    ClosedAtParent(ChildId),
+    ClosedAtChild(ChildId),
+    Applied(usize, u64, Version, Vec<Resource>),
+    Persisted(usize, u64, Snapshot),
     Start(usize),
-    Lease,
-    RootIs(usize, u64),
-    Read(u64),
-    Written(u64, String, u64, bool, bool),
-    Confirm(u64),
-    Offer,
+    GrantLease,
+    RootAnnounced(usize, u64),
+    RecordRead(u64),
+    RecordWritten(u64, String, u64, bool, bool),
+    CheckMajority(u64),
+    Propose,
 }
 
 pub struct Process {
-    pub terms: Terms,
-    pub node: Option<Node>,
-    pub life: u64,
-    pub host: Acts,
-    /// On its disk, and what was there a write before.
-    pub disk: Option<Kept>,
-    pub older: Option<Kept>,
-    /// What it has in force, and what is being put.
+    pub config: TreeNodeConfig,
+    pub node: Option<TreeNode>,
+    pub incarnation: u64,
+    pub host: RecordingHost,
+    /// The snapshot on its disk, and the one that was there before the last write.
+    pub disk: Option<Snapshot>,
+    pub older_disk: Option<Snapshot>,
+    /// What it has in force, and whether it is applying resources now.
     pub applied: Applied,
-    pub putting: bool,
-    /// Its link up, and the number of its last call.
-    pub link: Option<Child>,
-    pub call: u64,
-    /// Links that were lost here, and when; and the latest link of each process that is known here.
-    pub gone: Vec<(Attachment, Nanos)>,
-    pub came: BTreeMap<Name, Attachment>,
-    pub wakes: Nanos,
-    /// How long it takes to put something in force, and to write its disk.
-    pub slow: Nanos,
-    /// It never comes back; nobody reaches it, and it nobody, until then.
-    pub dead: bool,
-    pub island: Nanos,
+    pub applying: bool,
+    /// Its link to a parent, and the number of its last connection.
+    pub link: Option<ChildId>,
+    pub connect_number: u64,
+    /// The links of children that were lost here, and when; and the latest known link of each process.
+    pub lost_links: Vec<(Attachment, Nanos)>,
+    pub latest_links: BTreeMap<Name, Attachment>,
+    pub wake_at: Nanos,
+    /// How long it takes to put resources in force; writing its disk takes a quarter of it.
+    pub apply_delay: Nanos,
+    /// Whether it stays down after its last crash, and until when it is cut off from all other processes.
+    pub never_restarts: bool,
+    pub isolated_until: Nanos,
 }
 
 pub struct Link {
     pub child: (usize, u64),
     pub parent: (usize, u64),
-    /// Messages vanish.
-    pub mute: bool,
-    pub up_at: Nanos,
-    pub down_at: Nanos,
-    pub ends: (bool, bool),
-    /// A part is on its way, and where it leads.
-    pub part: Option<Option<Version>>,
-    pub who: Option<Attachment>,
-    pub sum: Option<Sum>,
+    /// Messages are lost without the ends noticing.
+    pub drops_messages: bool,
+    pub up_delivered_at: Nanos,
+    pub down_delivered_at: Nanos,
+    pub open: (bool, bool),
+    /// The part without an answer: the version that the child holds after it if it is the last part.
+    pub part_in_flight: Option<Option<Version>>,
+    pub attachment: Option<Attachment>,
+    pub summary: Option<Summary>,
     pub sent: VecDeque<(Nanos, usize)>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Nanos,
-    pub chance: Chance,
+    pub rng: Rng,
     pub queue: BTreeMap<(Nanos, u64), Event>,
-    pub order: u64,
+    pub sequence: u64,
     pub processes: Vec<Process>,
-    pub links: BTreeMap<Child, Link>,
-    pub next_link: Child,
-    /// The record: its founding, the value with its version, the token of the lease and who holds it.
+    pub links: BTreeMap<ChildId, Link>,
+    pub next_link: ChildId,
+    /// The record: its epoch, the value `carrier` with its version, the version of the record, the token of the lease, and
+    /// which process holds the lease.
     pub epoch: u64,
     pub entry: Option<(String, u64)>,
-    pub record: u64,
+    pub record_version: u64,
     pub token: u64,
     pub holder: Option<usize>,
     pub publisher: Option<Publisher>,
-    pub asked: Asked,
-    pub offers: u64,
-    pub answers: BTreeMap<u64, Outcome>,
-    /// All that was ever settled, by version.
+    pub publisher_host: RecordingPublisherHost,
+    pub proposals: u64,
+    pub outcomes: BTreeMap<u64, ChangeOutcome>,
+    /// All changes that were ever settled, by version.
     pub settled: BTreeMap<Version, Vec<Resource>>,
     pub lossy: bool,
-    pub longest: Nanos,
+    pub max_delay: Nanos,
     pub deltas: u64,
-    pub fault: Option<String>,
+    pub violation: Option<String>,
     pub name: String,
-    /// Prints what happens.
-    pub shown: bool,
+    /// Whether events are printed; set by the environment variable SHOW.
+    pub verbose: bool,
 }
 
-pub fn terms(name: &str, site: &str, control: bool, relay: bool, tiers: Vec<Vec<Name>>) -> Terms {
-    Terms {
-        me: Member { name: name.into(), incarnation: 1 },
-        place: Place { region: "r".into(), zone: format!("z{site}"), site: site.into() },
-        control,
-        relay,
-        tiers,
-        children: 16,
+pub fn node_config(
+    name: &str,
+    site: &str,
+    is_control: bool,
+    is_relay: bool,
+    parent_tiers: Vec<Vec<Name>>,
+) -> TreeNodeConfig {
+    TreeNodeConfig {
+        member: Member { name: name.into(), incarnation: 1 },
+        location: Location { region: "r".into(), zone: format!("z{site}"), site: site.into() },
+        is_control,
+        is_relay,
+        parent_tiers,
+        max_children: 16,
         child_bytes_per_second: 6_000,
         part_bytes: 1_024,
         control_bytes_per_second: 6_000,
         control_part_bytes: 1_024,
         control_machines: Vec::new(),
-        named: 16,
+        max_exceptions: 16,
     }
 }
 
-impl World {
-    pub fn new(seed: u64, processes: Vec<Terms>) -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn new(seed: u64, processes: Vec<TreeNodeConfig>) -> Simulation {
+        let mut simulation = Simulation {
             now: 0,
-            chance: Chance(seed),
+            rng: Rng(seed),
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             processes: Vec::new(),
             links: BTreeMap::new(),
             next_link: 1,
             epoch: 7,
             entry: None,
-            record: 1,
+            record_version: 1,
             token: 0,
             holder: None,
             publisher: None,
-            asked: Asked::default(),
-            offers: 0,
-            answers: BTreeMap::new(),
+            publisher_host: RecordingPublisherHost::default(),
+            proposals: 0,
+            outcomes: BTreeMap::new(),
             settled: BTreeMap::new(),
             lossy: false,
-            longest: 20 * MS,
+            max_delay: 20 * MS,
             deltas: 0,
-            fault: None,
+            violation: None,
             name: format!("seed {seed}"),
-            shown: std::env::var("SHOW").is_ok(),
+            verbose: std::env::var("SHOW").is_ok(),
         };
-        for (at, terms) in processes.into_iter().enumerate() {
-            let slow = 20 * MS + world.chance.below(400) * MS;
-            world.processes.push(Process {
-                terms,
+        for (index, config) in processes.into_iter().enumerate() {
+            let apply_delay = 20 * MS + simulation.rng.below(400) * MS;
+            simulation.processes.push(Process {
+                config,
                 node: None,
-                life: 0,
-                host: Acts { acts: Vec::new(), chance: Chance(seed ^ (at as u64 + 1) << 32) },
+                incarnation: 0,
+                host: RecordingHost { calls: Vec::new(), rng: Rng(seed ^ (index as u64 + 1) << 32) },
                 disk: None,
-                older: None,
+                older_disk: None,
                 applied: BTreeMap::new(),
-                putting: false,
+                applying: false,
                 link: None,
-                call: 0,
-                gone: Vec::new(),
-                came: BTreeMap::new(),
-                wakes: Nanos::MAX,
-                slow,
-                dead: false,
-                island: 0,
+                connect_number: 0,
+                lost_links: Vec::new(),
+                latest_links: BTreeMap::new(),
+                wake_at: Nanos::MAX,
+                apply_delay,
+                never_restarts: false,
+                isolated_until: 0,
             });
-            world.later(0, Event::Start(at));
+            simulation.schedule(0, Event::Start(index));
         }
-        world.later(100 * MS, Event::Lease);
-        world
+        simulation.schedule(100 * MS, Event::GrantLease);
+        simulation
     }
 
-    pub fn later(&mut self, after: Nanos, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
+    pub fn schedule(&mut self, after: Nanos, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
-    fn wrong(&mut self, what: String) {
-        if self.fault.is_none() {
-            self.fault = Some(format!("{}, at {} ms: {what}", self.name, self.now / MS));
+    fn report_violation(&mut self, what: String) {
+        if self.violation.is_none() {
+            self.violation = Some(format!("{}, at {} ms: {what}", self.name, self.now / MS));
         }
     }
 
-    /// Until this time, or until something is wrong.
+    /// Runs until this time, or until an invariant is violated.
     pub fn run(&mut self, until: Nanos) {
-        while self.fault.is_none() {
-            let Some((&(at, order), _)) = self.queue.first_key_value() else { break };
+        while self.violation.is_none() {
+            let Some((&(at, sequence), _)) = self.queue.first_key_value() else { break };
             if at > until {
                 break;
             }
-            let Some(event) = self.queue.remove(&(at, order)) else { break };
+            let Some(event) = self.queue.remove(&(at, sequence)) else { break };
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn with(&mut self, at: usize, how: impl FnOnce(&mut Node, Nanos, &mut Acts)) {
-        let process = &mut self.processes[at];
+    fn with_node(&mut self, index: usize, call: impl FnOnce(&mut TreeNode, Nanos, &mut RecordingHost)) {
+        let process = &mut self.processes[index];
         let Some(node) = &mut process.node else { return };
-        let before = node.holds();
-        how(node, self.now, &mut process.host);
-        let (after, due) = (node.holds(), node.due());
-        let acts = std::mem::take(&mut process.host.acts);
+        let before = node.version();
+        call(node, self.now, &mut process.host);
+        let (after, due) = (node.version(), node.due());
+        let calls = std::mem::take(&mut process.host.calls);
         if after < before {
-            self.wrong(format!("{} went back from {before} to {after}", self.processes[at].terms.me.name));
+            self.report_violation(format!(
+                "{} went back from {before} to {after}",
+                self.processes[index].config.member.name
+            ));
         }
-        for act in acts {
-            self.act(at, act);
+        for call in calls {
+            self.perform(index, call);
         }
-        self.wake(at, due);
+        self.wake(index, due);
     }
 
-    fn wake(&mut self, at: usize, due: Nanos) {
-        let process = &mut self.processes[at];
-        if due < process.wakes {
-            process.wakes = due.max(self.now + 1);
-            let life = process.life;
-            let after = process.wakes - self.now;
-            self.later(after, Event::Tick(at, life));
+    fn wake(&mut self, index: usize, due: Nanos) {
+        let process = &mut self.processes[index];
+        if due < process.wake_at {
+            process.wake_at = due.max(self.now + 1);
+            let incarnation = process.incarnation;
+            let after = process.wake_at - self.now;
+            self.schedule(after, Event::Tick(index, incarnation));
         }
     }
 
-    fn delay(&mut self) -> Nanos {
-        MS + self.chance.below(self.longest)
+    fn random_delay(&mut self) -> Nanos {
+        MS + self.rng.below(self.max_delay)
     }
 
-    fn act(&mut self, at: usize, act: Act) {
-        let life = self.processes[at].life;
-        match act {
-            Act::Dial(name) => {
-                self.processes[at].call += 1;
-                let call = self.processes[at].call;
-                let after = self.delay();
-                self.later(after, Event::Answered(at, life, call, name));
+    fn perform(&mut self, index: usize, call: HostCall) {
+        let incarnation = self.processes[index].incarnation;
+        match call {
+            HostCall::ConnectParent(name) => {
+                self.processes[index].connect_number += 1;
+                let connect_number = self.processes[index].connect_number;
+                let after = self.random_delay();
+                self.schedule(after, Event::ConnectAnswered(index, incarnation, connect_number, name));
             }
-            Act::HangUp => {
-                self.processes[at].call += 1;
-                if let Some(link) = self.processes[at].link.take() {
-                    self.end(link, true);
+            HostCall::DisconnectParent => {
+                self.processes[index].connect_number += 1;
+                if let Some(link) = self.processes[index].link.take() {
+                    self.close_link(link, true);
                 }
             }
-            Act::Up(message) => self.send_up(at, message),
-            Act::Down(child, message) => self.send_down(child, message),
-            Act::Drop(child) => {
-                self.left(at, child);
-                self.end(child, false);
+            HostCall::SendToParent(message) => self.send_up(index, message),
+            HostCall::SendToChild(child, message) => self.send_down(child, message),
+            HostCall::DisconnectChild(child) => {
+                self.child_left(index, child);
+                self.close_link(child, false);
             }
-            Act::Put(version, resources) => {
-                if std::mem::replace(&mut self.processes[at].putting, true) {
-                    self.wrong("asked to put in force while that is done".into());
+            HostCall::Apply(version, resources) => {
+                if std::mem::replace(&mut self.processes[index].applying, true) {
+                    self.report_violation("asked to apply resources while others are being applied".into());
                 }
-                let slow = self.processes[at].slow;
-                self.later(slow, Event::InForce(at, life, version, resources));
+                let apply_delay = self.processes[index].apply_delay;
+                self.schedule(apply_delay, Event::Applied(index, incarnation, version, resources));
             }
-            Act::Keep(kept) => {
-                let slow = self.processes[at].slow / 4;
-                self.later(slow, Event::Kept(at, life, kept));
+            HostCall::Persist(snapshot) => {
+                let write_delay = self.processes[index].apply_delay / 4;
+                self.schedule(write_delay, Event::Persisted(index, incarnation, snapshot));
             }
         }
     }
 
-    /// One end has ended the link; the other learns it later.
-    fn end(&mut self, link: Child, by_child: bool) {
-        let after = self.delay();
-        let Some(one) = self.links.get_mut(&link) else { return };
+    /// Closes one end of a link; the other end learns of it later.
+    fn close_link(&mut self, link: ChildId, by_child: bool) {
+        let after = self.random_delay();
+        let Some(link_state) = self.links.get_mut(&link) else { return };
         if by_child {
-            one.ends.0 = false;
+            link_state.open.0 = false;
         } else {
-            one.ends.1 = false;
+            link_state.open.1 = false;
         }
-        // What was sent before is there first.
-        let (up, down) = (one.up_at + 1, one.down_at + 1);
-        let (mute, now) = (one.mute, self.now);
-        // Through a link that swallows everything the end is learned late.
-        let after = if mute { after + 15 * SECOND } else { after };
+        // Messages that were sent before arrive first.
+        let (up, down) = (link_state.up_delivered_at + 1, link_state.down_delivered_at + 1);
+        let (drops_messages, now) = (link_state.drops_messages, self.now);
+        // A link that drops messages delays the news of its end too.
+        let after = if drops_messages { after + 15 * SECOND } else { after };
         match by_child {
-            true => self.later(up.saturating_sub(now).max(after), Event::GoneAtParent(link)),
-            false => self.later(down.saturating_sub(now).max(after), Event::GoneAtChild(link)),
+            true => self.schedule(up.saturating_sub(now).max(after), Event::ClosedAtParent(link)),
+            false => self.schedule(down.saturating_sub(now).max(after), Event::ClosedAtChild(link)),
         }
     }
 
-    fn send_up(&mut self, at: usize, message: Up) {
-        if let Up::Sum(sum) = &message {
-            self.check_sum(at, sum);
+    fn send_up(&mut self, index: usize, message: ChildMessage) {
+        if let ChildMessage::Summary(summary) = &message {
+            self.check_summary(index, summary);
         }
-        let after = self.delay();
-        let lost = self.lossy && self.chance.one_in(30);
-        let Some(link) = self.processes[at].link else { return };
-        let Some(one) = self.links.get_mut(&link) else { return };
-        one.up_at = (self.now + after).max(one.up_at + 1);
-        let after = one.up_at - self.now;
-        if !one.mute && !lost {
-            self.later(after, Event::ToParent(link, message));
+        let after = self.random_delay();
+        let lost = self.lossy && self.rng.one_in(30);
+        let Some(link) = self.processes[index].link else { return };
+        let Some(link_state) = self.links.get_mut(&link) else { return };
+        link_state.up_delivered_at = (self.now + after).max(link_state.up_delivered_at + 1);
+        let after = link_state.up_delivered_at - self.now;
+        if !link_state.drops_messages && !lost {
+            self.schedule(after, Event::ToParent(link, message));
         }
     }
 
-    fn send_down(&mut self, link: Child, message: Down) {
-        let after = self.delay();
-        let lost = self.lossy && self.chance.one_in(30);
+    fn send_down(&mut self, link: ChildId, message: ParentMessage) {
+        let after = self.random_delay();
+        let lost = self.lossy && self.rng.one_in(30);
         let now = self.now;
         let bytes = postcard::experimental::serialized_size(&message).unwrap();
-        let Some(one) = self.links.get_mut(&link) else { return };
-        one.sent.push_back((now, bytes));
-        while one.sent.front().is_some_and(|(at, _)| at + SECOND <= now) {
-            one.sent.pop_front();
-        }
-        let all: usize = one.sent.iter().map(|(_, bytes)| bytes).sum();
-        let twice = match &message {
-            Down::Delta { version, last, .. } => one.part.replace(last.then_some(*version)).is_some(),
+        let Some(link_state) = self.links.get_mut(&link) else { return };
+        link_state.sent.push_back((now, bytes));
+        while link_state.sent.front().is_some_and(|(at, _)| at + SECOND <= now) {
+            link_state.sent.pop_front();
+        }
+        let window_bytes: usize = link_state.sent.iter().map(|(_, bytes)| bytes).sum();
+        let second_part = match &message {
+            ParentMessage::Delta { version, last, .. } => {
+                link_state.part_in_flight.replace(last.then_some(*version)).is_some()
+            }
             _ => false,
         };
-        one.down_at = (now + after).max(one.down_at + 1);
-        let (after, mute) = (one.down_at - now, one.mute);
-        if twice {
-            self.wrong("a second part on its way".into());
+        link_state.down_delivered_at = (now + after).max(link_state.down_delivered_at + 1);
+        let (after, drops_messages) = (link_state.down_delivered_at - now, link_state.drops_messages);
+        if second_part {
+            self.report_violation("a part was sent before the last one was answered".into());
         }
-        if all > 6_000 || bytes > 1_024 {
-            self.wrong(format!("{all} bytes in a second, {bytes} in one"));
+        if window_bytes > 6_000 || bytes > 1_024 {
+            self.report_violation(format!("sent {window_bytes} bytes in a second, {bytes} in one message"));
         }
-        self.deltas += u64::from(matches!(message, Down::Delta { .. }));
-        if !mute && !lost {
-            self.later(after, Event::ToChild(link, message));
+        self.deltas += u64::from(matches!(message, ParentMessage::Delta { .. }));
+        if !drops_messages && !lost {
+            self.schedule(after, Event::ToChild(link, message));
         }
     }
 
-    /// A child's link is gone for this parent.
-    fn left(&mut self, at: usize, link: Child) {
+    /// Records that the link of a child ended at this parent.
+    fn child_left(&mut self, index: usize, link: ChildId) {
         let now = self.now;
-        let Some(Link { who: Some(who), sum: Some(_), .. }) = self.links.get(&link) else { return };
-        let who = who.clone();
-        let process = &mut self.processes[at];
-        process.gone.retain(|(gone, _)| !who.is_later_than(gone));
-        if process.came.get(&who.member.name).is_none_or(|came| !came.is_later_than(&who)) {
-            process.gone.push((who, now));
+        let Some(Link { attachment: Some(attachment), summary: Some(_), .. }) = self.links.get(&link) else {
+            return;
+        };
+        let attachment = attachment.clone();
+        let process = &mut self.processes[index];
+        process.lost_links.retain(|(lost, _)| !attachment.is_later_than(lost));
+        if process
+            .latest_links
+            .get(&attachment.member.name)
+            .is_none_or(|latest| !latest.is_later_than(&attachment))
+        {
+            process.lost_links.push((attachment, now));
         }
     }
 
-    /// Whoever has come here by a later link is not lost any more.
-    fn came(&mut self, at: usize, who: &Attachment) {
-        let process = &mut self.processes[at];
-        process.gone.retain(|(gone, _)| !who.is_later_than(gone));
-        let came = process.came.entry(who.member.name.clone()).or_insert_with(|| who.clone());
-        if who.is_later_than(came) {
-            *came = who.clone();
+    /// Records that a member arrived here or below: its earlier links no longer count as lost.
+    fn child_arrived(&mut self, index: usize, attachment: &Attachment) {
+        let process = &mut self.processes[index];
+        process.lost_links.retain(|(lost, _)| !attachment.is_later_than(lost));
+        let latest =
+            process.latest_links.entry(attachment.member.name.clone()).or_insert_with(|| attachment.clone());
+        if attachment.is_later_than(latest) {
+            *latest = attachment.clone();
         }
     }
 
-    pub fn happen(&mut self, event: Event) {
-        if self.shown && !matches!(event, Event::Tick(..) | Event::ToChild(_, Down::Pulse { .. })) {
+    pub fn handle(&mut self, event: Event) {
+        if self.verbose
+            && !matches!(event, Event::Tick(..) | Event::ToChild(_, ParentMessage::Heartbeat { .. }))
+        {
             println!("{:6} {event:?}", self.now / MS);
         }
         match event {
-            Event::Tick(at, life) => {
-                if self.processes[at].life == life && self.processes[at].wakes <= self.now {
-                    self.processes[at].wakes = Nanos::MAX;
-                    self.with(at, |node, now, host| node.tick(now, host));
+            Event::Tick(index, incarnation) => {
+                if self.processes[index].incarnation == incarnation
+                    && self.processes[index].wake_at <= self.now
+                {
+                    self.processes[index].wake_at = Nanos::MAX;
+                    self.with_node(index, |node, now, host| node.tick(now, host));
                 }
             }
-            Event::Answered(at, life, call, name) => self.answered(at, life, call, &name),
+            Event::ConnectAnswered(index, incarnation, connect_number, name) => {
+                self.connect_answered(index, incarnation, connect_number, &name)
+            }
             Event::ToParent(link, message) => self.deliver_up(link, message),
             Event::ToChild(link, message) => {
-                let Some(one) = self.links.get(&link) else { return };
-                let (at, life) = one.child;
-                if one.ends.0 && self.processes[at].life == life {
-                    self.with(at, |node, now, host| node.told(now, message, host));
+                let Some(link_state) = self.links.get(&link) else { return };
+                let (index, incarnation) = link_state.child;
+                if link_state.open.0 && self.processes[index].incarnation == incarnation {
+                    self.with_node(index, |node, now, host| node.parent_message(now, message, host));
                 }
             }
-            Event::GoneAtParent(link) => {
-                let Some(one) = self.links.get_mut(&link) else { return };
-                let (at, life) = one.parent;
-                if std::mem::replace(&mut one.ends.1, false) && self.processes[at].life == life {
-                    self.left(at, link);
-                    self.with(at, |node, now, host| node.child_lost(now, link, host));
+            Event::ClosedAtParent(link) => {
+                let Some(link_state) = self.links.get_mut(&link) else { return };
+                let (index, incarnation) = link_state.parent;
+                if std::mem::replace(&mut link_state.open.1, false)
+                    && self.processes[index].incarnation == incarnation
+                {
+                    self.child_left(index, link);
+                    self.with_node(index, |node, now, host| node.child_disconnected(now, link, host));
                 }
             }
-            Event::GoneAtChild(link) => {
-                let Some(one) = self.links.get_mut(&link) else { return };
-                let (at, life) = one.child;
-                if std::mem::replace(&mut one.ends.0, false)
-                    && self.processes[at].life == life
-                    && self.processes[at].link == Some(link)
+            Event::ClosedAtChild(link) => {
+                let Some(link_state) = self.links.get_mut(&link) else { return };
+                let (index, incarnation) = link_state.child;
+                if std::mem::replace(&mut link_state.open.0, false)
+                    && self.processes[index].incarnation == incarnation
+                    && self.processes[index].link == Some(link)
                 {
-                    self.processes[at].link = None;
-                    self.with(at, |node, now, host| node.parent_lost(now, host));
+                    self.processes[index].link = None;
+                    self.with_node(index, |node, now, host| node.parent_disconnected(now, host));
                 }
             }
-            Event::InForce(at, life, version, resources) => self.in_force(at, life, version, resources),
-            Event::Kept(at, life, kept) => {
-                let process = &mut self.processes[at];
-                if process.life == life && process.node.is_some() {
-                    let version = kept.version;
-                    process.older = process.disk.replace(kept);
-                    self.with(at, |node, now, host| node.kept(now, version, host));
-                    self.later(MS, Event::Confirm(self.token));
+            Event::Applied(index, incarnation, version, resources) => {
+                self.applied(index, incarnation, version, resources)
+            }
+            Event::Persisted(index, incarnation, snapshot) => {
+                let process = &mut self.processes[index];
+                if process.incarnation == incarnation && process.node.is_some() {
+                    let version = snapshot.version;
+                    process.older_disk = process.disk.replace(snapshot);
+                    self.with_node(index, |node, now, host| node.persisted(now, version, host));
+                    self.schedule(MS, Event::CheckMajority(self.token));
                 }
             }
-            Event::Start(at) => self.start(at),
-            Event::Lease => self.lease(),
-            Event::RootIs(at, token) => {
+            Event::Start(index) => self.start(index),
+            Event::GrantLease => self.grant_lease(),
+            Event::RootAnnounced(index, token) => {
                 if token == self.token {
-                    let name = self.holder.map(|holder| self.processes[holder].terms.me.name.clone());
-                    self.with(at, |node, now, host| node.root_is(now, name.as_deref(), host));
-                    if self.holder == Some(at) && self.publisher.is_none() {
-                        self.publisher = Some(Publisher::start(self.now, &mut self.asked));
-                        self.asked();
+                    let name = self.holder.map(|holder| self.processes[holder].config.member.name.clone());
+                    self.with_node(index, |node, now, host| node.set_root(now, name.as_deref(), host));
+                    if self.holder == Some(index) && self.publisher.is_none() {
+                        self.publisher = Some(Publisher::start(self.now, &mut self.publisher_host));
+                        self.perform_publisher_calls();
                     }
                 }
             }
-            _ => self.publishing(event),
+            _ => self.handle_publisher_event(event),
         }
     }
 
-    /// Cut off from all others for a while, without a word to anybody.
-    pub fn isolate(&mut self, at: usize, time: Nanos) {
-        self.processes[at].island = self.now + time;
-        for link in self.links.values_mut().filter(|link| link.child.0 == at || link.parent.0 == at) {
-            link.mute = true;
+    /// Cuts a process off from all others for a while; no process notices it at once.
+    pub fn isolate(&mut self, index: usize, duration: Nanos) {
+        self.processes[index].isolated_until = self.now + duration;
+        for link in self.links.values_mut().filter(|link| link.child.0 == index || link.parent.0 == index) {
+            link.drops_messages = true;
         }
     }
 
-    fn answered(&mut self, at: usize, life: u64, call: u64, name: &str) {
-        let process = &self.processes[at];
-        if process.life != life || process.call != call {
+    fn connect_answered(&mut self, index: usize, incarnation: u64, connect_number: u64, name: &str) {
+        let process = &self.processes[index];
+        if process.incarnation != incarnation || process.connect_number != connect_number {
             return;
         }
         let parent =
-            self.processes.iter().position(|other| other.terms.me.name == name && other.node.is_some());
+            self.processes.iter().position(|other| other.config.member.name == name && other.node.is_some());
         let Some(parent) = parent else {
-            return self.with(at, |node, now, host| node.parent_lost(now, host));
+            return self.with_node(index, |node, now, host| node.parent_disconnected(now, host));
         };
-        self.links.retain(|_, link| link.ends != (false, false));
-        if self.processes[at].island > self.now || self.processes[parent].island > self.now {
+        self.links.retain(|_, link| link.open != (false, false));
+        if self.processes[index].isolated_until > self.now || self.processes[parent].isolated_until > self.now
+        {
             return;
         }
         let link = self.next_link;
@@ -600,325 +641,355 @@
         self.links.insert(
             link,
             Link {
-                child: (at, life),
-                parent: (parent, self.processes[parent].life),
-                mute: false,
-                up_at: self.now,
-                down_at: self.now,
-                ends: (true, true),
-                part: None,
-                who: None,
-                sum: None,
+                child: (index, incarnation),
+                parent: (parent, self.processes[parent].incarnation),
+                drops_messages: false,
+                up_delivered_at: self.now,
+                down_delivered_at: self.now,
+                open: (true, true),
+                part_in_flight: None,
+                attachment: None,
+                summary: None,
                 sent: VecDeque::new(),
             },
         );
-        self.processes[at].link = Some(link);
-        self.with(parent, |node, now, host| node.child_up(now, link, host));
-        self.with(at, |node, now, host| node.parent_up(now, host));
+        self.processes[index].link = Some(link);
+        self.with_node(parent, |node, now, host| node.child_connected(now, link, host));
+        self.with_node(index, |node, now, host| node.parent_connected(now, host));
     }
 
-    fn deliver_up(&mut self, link: Child, message: Up) {
-        let Some(one) = self.links.get_mut(&link) else { return };
-        let (at, life) = one.parent;
-        if !one.ends.1 || self.processes[at].life != life {
+    fn deliver_up(&mut self, link: ChildId, message: ChildMessage) {
+        let Some(link_state) = self.links.get_mut(&link) else { return };
+        let (index, incarnation) = link_state.parent;
+        if !link_state.open.1 || self.processes[index].incarnation != incarnation {
             return;
         }
-        let mut came = Vec::new();
+        let mut arrived = Vec::new();
         match &message {
-            Up::Subscribe { who, .. } => {
-                one.who = Some(who.clone());
-                came.push(who.clone());
+            ChildMessage::Subscribe { attachment, .. } => {
+                link_state.attachment = Some(attachment.clone());
+                arrived.push(attachment.clone());
+            }
+            ChildMessage::PartAck if link_state.part_in_flight == Some(None) => {
+                link_state.part_in_flight = None
             }
-            Up::Took if one.part == Some(None) => one.part = None,
-            Up::Holds { version, .. }
-                if one.part.is_some_and(|part| part.is_some_and(|until| *version >= until)) =>
+            ChildMessage::Holds { version, .. }
+                if link_state
+                    .part_in_flight
+                    .is_some_and(|part| part.is_some_and(|until| *version >= until)) =>
             {
-                one.part = None;
+                link_state.part_in_flight = None;
             }
-            Up::Sum(sum) => {
-                one.sum = Some(sum.clone());
-                came.extend(sum.arrived.clone());
+            ChildMessage::Summary(summary) => {
+                link_state.summary = Some(summary.clone());
+                arrived.extend(summary.arrived.clone());
             }
             _ => {}
         }
-        came.iter().for_each(|who| self.came(at, who));
-        self.with(at, |node, now, host| node.child_said(now, link, message, host));
+        arrived.iter().for_each(|attachment| self.child_arrived(index, attachment));
+        self.with_node(index, |node, now, host| node.child_message(now, link, message, host));
     }
 
-    fn in_force(&mut self, at: usize, life: u64, version: Version, resources: Vec<Resource>) {
-        let process = &mut self.processes[at];
-        if process.life != life || process.node.is_none() {
+    fn applied(&mut self, index: usize, incarnation: u64, version: Version, resources: Vec<Resource>) {
+        let process = &mut self.processes[index];
+        if process.incarnation != incarnation || process.node.is_none() {
             return;
         }
-        process.putting = false;
+        process.applying = false;
         let mut applied = process.applied.clone();
         let refused = apply(&mut applied, resources);
-        // Of what is held and there was a good one, one stays in force.
+        // Of a held resource that had a good version in force, some version must stay in force.
         let lost = process.node.as_ref().and_then(|node| {
-            let there = |key: &Key| {
+            let is_held = |key: &Key| {
                 let same = |held: &&Resource| {
                     (&held.scope, &held.name) == (&key.0, &key.1) && held.version <= version
                 };
                 node.resources().find(same).is_some_and(|held| held.patch.is_some())
             };
-            process.applied.keys().find(|key| !applied.contains_key(*key) && there(key))
+            process.applied.keys().find(|key| !applied.contains_key(*key) && is_held(key))
         });
         let lost = lost.cloned();
         process.applied = applied;
         if let Some((scope, name)) = lost {
-            self.wrong(format!("the last good {name} for {scope} was given up"));
+            self.report_violation(format!("no version of {name} for {scope} is in force any more"));
         }
-        self.with(at, |node, now, host| node.in_force(now, version, refused, host));
+        self.with_node(index, |node, now, host| node.applied(now, version, refused, host));
     }
 
-    pub fn start(&mut self, at: usize) {
-        let process = &mut self.processes[at];
-        if process.dead || process.node.is_some() {
+    pub fn start(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        if process.never_restarts || process.node.is_some() {
             return;
         }
-        process.life += 1;
-        process.terms.me.incarnation = process.life;
-        (process.putting, process.wakes, process.link) = (false, Nanos::MAX, None);
-        (process.applied, process.gone, process.came) = Default::default();
-        let node = Node::start(self.now, process.terms.clone(), process.disk.clone(), &mut process.host);
+        process.incarnation += 1;
+        process.config.member.incarnation = process.incarnation;
+        (process.applying, process.wake_at, process.link) = (false, Nanos::MAX, None);
+        (process.applied, process.lost_links, process.latest_links) = Default::default();
+        let node = TreeNode::start(self.now, process.config.clone(), process.disk.clone(), &mut process.host);
         process.node = Some(node);
         let token = self.token;
-        self.with(at, |_, _, _| ());
-        if self.processes[at].terms.control && self.holder.is_some() {
-            self.happen(Event::RootIs(at, token));
+        self.with_node(index, |_, _, _| ());
+        if self.processes[index].config.is_control && self.holder.is_some() {
+            self.handle(Event::RootAnnounced(index, token));
         }
     }
 
-    /// Without a word; its links break.
-    pub fn crash(&mut self, at: usize) {
-        self.processes[at].node = None;
-        self.processes[at].link = None;
-        let life = self.processes[at].life;
-        let links: Vec<Child> = self.links.keys().copied().collect();
+    /// Stops a process without notice; its links break.
+    pub fn crash(&mut self, index: usize) {
+        self.processes[index].node = None;
+        self.processes[index].link = None;
+        let incarnation = self.processes[index].incarnation;
+        let links: Vec<ChildId> = self.links.keys().copied().collect();
         for link in links {
-            if self.links[&link].child == (at, life) && self.links[&link].ends.0 {
-                self.end(link, true);
+            if self.links[&link].child == (index, incarnation) && self.links[&link].open.0 {
+                self.close_link(link, true);
             }
-            if self.links[&link].parent == (at, life) && self.links[&link].ends.1 {
-                self.end(link, false);
+            if self.links[&link].parent == (index, incarnation) && self.links[&link].open.1 {
+                self.close_link(link, false);
             }
         }
-        if self.holder == Some(at) {
-            // The lease runs out.
-            self.later(6 * SECOND, Event::Lease);
+        if self.holder == Some(index) {
+            // The lease expires.
+            self.schedule(6 * SECOND, Event::GrantLease);
             (self.holder, self.publisher) = (None, None);
             self.token += 1;
         }
     }
 
-    /// Breaks a link; both ends learn it.
-    pub fn cut(&mut self, link: Child) {
-        self.end(link, true);
-        self.end(link, false);
-        if let Some(one) = self.links.get_mut(&link) {
-            one.ends = (true, true);
+    /// Breaks a link; both ends learn of it later.
+    pub fn break_link(&mut self, link: ChildId) {
+        self.close_link(link, true);
+        self.close_link(link, false);
+        if let Some(link_state) = self.links.get_mut(&link) {
+            link_state.open = (true, true);
         }
     }
 
-    /// The lease goes to one of the control machines that live.
-    fn lease(&mut self) {
-        let living: Vec<usize> = (0..self.processes.len())
-            .filter(|at| self.processes[*at].terms.control && self.processes[*at].node.is_some())
+    /// Grants the lease to one of the running control machines.
+    fn grant_lease(&mut self) {
+        let running: Vec<usize> = (0..self.processes.len())
+            .filter(|index| self.processes[*index].config.is_control && self.processes[*index].node.is_some())
             .collect();
-        if living.is_empty() {
-            return self.later(SECOND, Event::Lease);
+        if running.is_empty() {
+            return self.schedule(SECOND, Event::GrantLease);
         }
         self.token += 1;
         self.publisher = None;
-        self.asked.acts.clear();
-        self.holder = Some(living[self.chance.below(living.len() as u64) as usize]);
-        for at in living {
-            let after = self.delay();
-            self.later(after, Event::RootIs(at, self.token));
+        self.publisher_host.calls.clear();
+        self.holder = Some(running[self.rng.below(running.len() as u64) as usize]);
+        for index in running {
+            let after = self.random_delay();
+            self.schedule(after, Event::RootAnnounced(index, self.token));
         }
     }
 
-    pub fn offer(&mut self, changes: Vec<Change>) {
-        self.offers += 1;
-        let number = self.offers;
+    pub fn propose(&mut self, changes: Vec<Change>) {
+        self.proposals += 1;
+        let number = self.proposals;
         let now = self.now;
         if let Some(publisher) = &mut self.publisher {
-            publisher.offered(now, number, changes, &mut self.asked);
-            self.asked();
+            publisher.propose(now, number, changes, &mut self.publisher_host);
+            self.perform_publisher_calls();
         }
     }
 
-    fn asked(&mut self) {
-        while let Some(ask) = self.asked.acts.pop_front() {
-            let after = self.delay();
-            match ask {
-                Ask::Read => self.later(after, Event::Read(self.token)),
-                Ask::Write(text, version) => {
-                    let unknown = self.lossy && self.chance.one_in(4);
-                    let lost = unknown && self.chance.one_in(2);
-                    self.later(after, Event::Written(self.token, text, version, unknown, lost));
+    fn perform_publisher_calls(&mut self) {
+        while let Some(call) = self.publisher_host.calls.pop_front() {
+            let after = self.random_delay();
+            match call {
+                PublisherCall::ReadRecord => self.schedule(after, Event::RecordRead(self.token)),
+                PublisherCall::WriteRecord(text, version) => {
+                    let unknown = self.lossy && self.rng.one_in(4);
+                    let lost = unknown && self.rng.one_in(2);
+                    self.schedule(after, Event::RecordWritten(self.token, text, version, unknown, lost));
                 }
-                Ask::Publish(version, resources) => {
+                PublisherCall::Publish(version, resources) => {
                     self.settled.entry(version).or_insert_with(|| resources.clone());
                     if let Some(holder) = self.holder {
-                        self.with(holder, |node, now, host| node.publish(now, version, resources, host));
+                        self.with_node(holder, |node, now, host| node.publish(now, version, resources, host));
                     }
-                    self.later(MS, Event::Confirm(self.token));
+                    self.schedule(MS, Event::CheckMajority(self.token));
                 }
-                Ask::Answer(number, outcome) => {
-                    self.answers.insert(number, outcome);
+                PublisherCall::Answer(number, outcome) => {
+                    self.outcomes.insert(number, outcome);
                 }
-                Ask::GiveBack => {
-                    self.later(after, Event::Lease);
+                PublisherCall::ReleaseLease => {
+                    self.schedule(after, Event::GrantLease);
                     return;
                 }
             }
         }
     }
 
-    fn publishing(&mut self, event: Event) {
+    fn handle_publisher_event(&mut self, event: Event) {
         let token = match &event {
-            Event::Read(token) | Event::Written(token, ..) | Event::Confirm(token) => *token,
+            Event::RecordRead(token) | Event::RecordWritten(token, ..) | Event::CheckMajority(token) => {
+                *token
+            }
             _ => return,
         };
         if token != self.token {
             return;
         }
         let Some(holder) = self.holder else { return };
-        let controls = self.processes.iter().filter(|process| process.terms.control).count();
+        let controls = self.processes.iter().filter(|process| process.config.is_control).count();
         let Some(node) = &self.processes[holder].node else { return };
-        let (holds, majority) = (node.holds(), node.majority(controls));
+        let (held, majority) = (node.version(), node.majority_version(controls));
         let now = self.now;
         let Some(mut publisher) = self.publisher.take() else { return };
         match event {
-            Event::Read(_) => {
+            Event::RecordRead(_) => {
                 let entry = self.entry.clone();
                 let entry = entry.as_ref().map(|(text, version)| (text.as_str(), *version));
-                publisher.read(now, self.epoch, entry, holds, &mut self.asked);
+                publisher.record_read(now, self.epoch, entry, held, &mut self.publisher_host);
             }
-            Event::Written(_, text, version, unknown, lost) => {
-                let fits = self.entry.as_ref().map_or(0, |(_, version)| *version) == version;
-                if fits && !lost {
-                    self.record += 1;
-                    self.entry = Some((text, self.record));
+            Event::RecordWritten(_, text, version, unknown, lost) => {
+                let version_matches = self.entry.as_ref().map_or(0, |(_, version)| *version) == version;
+                if version_matches && !lost {
+                    self.record_version += 1;
+                    self.entry = Some((text, self.record_version));
                 }
-                let written = match (unknown, fits) {
-                    (true, _) => Written::Unknown,
-                    (false, true) => Written::Done(self.record),
-                    (false, false) => Written::Refused,
+                let outcome = match (unknown, version_matches) {
+                    (true, _) => WriteOutcome::Unknown,
+                    (false, true) => WriteOutcome::Committed(self.record_version),
+                    (false, false) => WriteOutcome::Refused,
                 };
-                publisher.written(now, written, &mut self.asked);
+                publisher.record_written(now, outcome, &mut self.publisher_host);
             }
-            _ => publisher.confirmed(now, majority, &mut self.asked),
+            _ => publisher.majority_persisted(now, majority, &mut self.publisher_host),
         }
         self.publisher = Some(publisher);
-        self.asked();
-    }
-
-    /// A sum claims no more than what is in force at whom it counts, but for the exceptions, and names who was lost.
-    pub fn check_sum(&mut self, at: usize, sum: &Sum) {
-        let process = &self.processes[at];
-        let me = &process.terms.me;
-        let late = |who: &Member| {
-            sum.unnamed > 0
-                || sum
-                    .exceptions
-                    .iter()
-                    .any(|one| one.who == *who && matches!(one.why, Why::Late | Why::Lost { .. }))
+        self.perform_publisher_calls();
+    }
+
+    /// Checks that a summary claims no more than what is in force at the members that it counts, except for its exceptions,
+    /// and that it lists the members that were lost.
+    pub fn check_summary(&mut self, index: usize, summary: &Summary) {
+        let process = &self.processes[index];
+        let member = &process.config.member;
+        let is_listed = |listed: &Member| {
+            summary.unnamed > 0
+                || summary.exceptions.iter().any(|exception| {
+                    exception.member == *listed
+                        && matches!(exception.kind, ExceptionKind::Late | ExceptionKind::Lost { .. })
+                })
         };
-        let mut faults = Vec::new();
-        faults.extend(claims(me, &process.terms.place, &process.applied, sum, &self.settled));
+        let mut violations = Vec::new();
+        violations.extend(false_claim(
+            member,
+            &process.config.location,
+            &process.applied,
+            summary,
+            &self.settled,
+        ));
         for link in self.links.values() {
-            if link.parent == (at, process.life)
-                && link.ends.1
-                && let (Some(who), Some(below)) = (&link.who, &link.sum)
-                && sum.in_force > below.in_force
-                && !late(&who.member)
+            if link.parent == (index, process.incarnation)
+                && link.open.1
+                && let (Some(attachment), Some(below)) = (&link.attachment, &link.summary)
+                && summary.in_force > below.in_force
+                && !is_listed(&attachment.member)
             {
-                faults.push(format!(
-                    "{} claims {}, {} said {}",
-                    me.name, sum.in_force, who.member.name, below.in_force
+                violations.push(format!(
+                    "{} claims {}, but its child {} reported {}",
+                    member.name, summary.in_force, attachment.member.name, below.in_force
                 ));
             }
         }
-        for (who, since) in &process.gone {
-            let counted = |link: &Link| {
-                link.parent == (at, process.life)
-                    && link.ends.1
-                    && link.who.as_ref().is_some_and(|other| other.member.name == who.member.name)
+        for (attachment, since) in &process.lost_links {
+            let is_connected = |link: &Link| {
+                link.parent == (index, process.incarnation)
+                    && link.open.1
+                    && link
+                        .attachment
+                        .as_ref()
+                        .is_some_and(|other| other.member.name == attachment.member.name)
             };
-            if self.now < since + 59 * SECOND && !late(&who.member) && !self.links.values().any(counted) {
-                faults.push(format!("{} forgot {who:?} of {since} in {sum:?}", me.name));
+            if self.now < since + 59 * SECOND
+                && !is_listed(&attachment.member)
+                && !self.links.values().any(is_connected)
+            {
+                violations.push(format!(
+                    "{} forgot {attachment:?}, lost at {since} ns, in {summary:?}",
+                    member.name
+                ));
             }
         }
-        faults.into_iter().for_each(|fault| self.wrong(fault));
+        violations.into_iter().for_each(|violation| self.report_violation(violation));
     }
 
-    /// What was answered is what became of it.
-    pub fn check_answers(&mut self) {
+    /// Checks that the answer to each proposal agrees with what was settled.
+    pub fn check_outcomes(&mut self) {
         let all = || self.settled.values().flatten();
-        let mut faults = Vec::new();
-        for (number, outcome) in &self.answers {
+        let mut violations = Vec::new();
+        for (number, outcome) in &self.outcomes {
             let patch = format!(r#"{{"x":{number}}}"#);
-            let there = all().any(|one| one.patch.as_deref() == Some(patch.as_str()));
+            let is_settled = all().any(|resource| resource.patch.as_deref() == Some(patch.as_str()));
             match outcome {
-                Outcome::Settled(version) if self.settled.range(version..).next().is_none() => {
-                    faults.push(format!("offer {number} is not settled as {version}"));
+                ChangeOutcome::Settled(version) if self.settled.range(version..).next().is_none() => {
+                    violations.push(format!("proposal {number} is not settled as {version}"));
                 }
-                Outcome::Refused(words) if there => {
-                    faults.push(format!("offer {number} was refused, {words}: it is there"))
+                ChangeOutcome::Refused(reason) if is_settled => {
+                    violations.push(format!("proposal {number} was refused, but it is settled: {reason}"))
                 }
                 _ => {}
             }
         }
-        faults.into_iter().for_each(|fault| self.wrong(fault));
+        violations.into_iter().for_each(|violation| self.report_violation(violation));
     }
 
-    /// Whether everybody holds and has in force what is settled last; else who does not.
-    pub fn settled_everywhere(&self) -> Result<(), String> {
-        let Some(holder) = self.holder else { return Err("no root".into()) };
+    /// Checks that all running processes hold the last settled version and have it in force, and that the root's summary says
+    /// so. The error names what is missing where.
+    pub fn check_converged(&self) -> Result<(), String> {
+        let Some(holder) = self.holder else { return Err("there is no root".into()) };
         let (Some(root), Some((version, _))) = (&self.processes[holder].node, self.settled.last_key_value())
         else {
-            return Err("no root".into());
+            return Err("there is no root".into());
         };
-        let newest = written(&self.settled, *version);
-        let sum = root.sum(self.now);
-        let living = self.processes.iter().filter(|process| process.node.is_some());
-        for process in living.clone() {
+        let newest = last_writes(&self.settled, *version);
+        let summary = root.summary(self.now);
+        let running = self.processes.iter().filter(|process| process.node.is_some());
+        for process in running.clone() {
             let Some(node) = &process.node else { continue };
-            let name = &process.terms.me.name;
-            if node.holds() != *version {
-                return Err(format!("{name} holds {}, not {version}", node.holds()));
+            let name = &process.config.member.name;
+            if node.version() != *version {
+                return Err(format!("{name} holds {}, not {version}", node.version()));
             }
-            let concerns = Interest::Proxy(process.terms.place.clone(), name.clone());
-            let held: BTreeMap<Key, &Resource> =
-                node.resources().map(|one| ((one.scope.clone(), one.name.clone()), one)).collect();
+            let own_interest = Interest::Proxy(process.config.location.clone(), name.clone());
+            let held: BTreeMap<Key, &Resource> = node
+                .resources()
+                .map(|resource| ((resource.scope.clone(), resource.name.clone()), resource))
+                .collect();
             for (key, write) in
-                newest.iter().filter(|(key, write)| concerns.wants(&key.0) && write.patch.is_some())
+                newest.iter().filter(|(key, write)| own_interest.includes(&key.0) && write.patch.is_some())
             {
                 if held.get(key).is_none_or(|held| held != write) {
                     return Err(format!("{name} lacks {}", key.1));
                 }
                 let bad = write.patch.as_ref().is_some_and(|patch| patch.contains("bad"));
-                if !bad && process.applied.get(key).is_none_or(|has| has != *write) {
-                    return Err(format!("{name} has not in force {}", key.1));
+                if !bad && process.applied.get(key).is_none_or(|applied| applied != *write) {
+                    return Err(format!("{name} does not have in force {}", key.1));
                 }
             }
-            let more = held.values().find(|held| {
+            let unexpected = held.values().find(|held| {
                 held.patch.is_some()
                     && newest.get(&(held.scope.clone(), held.name.clone())).is_none_or(|write| write != *held)
             });
-            if let Some(more) = more {
-                return Err(format!("{name} still has {}", more.name));
+            if let Some(unexpected) = unexpected {
+                return Err(format!("{name} still has {}", unexpected.name));
             }
         }
-        if sum.in_force != *version {
-            return Err(format!("the sum says {}", sum.in_force));
-        }
-        let lost = sum.exceptions.iter().filter(|one| matches!(one.why, Why::Lost { .. })).count();
-        let late = sum.exceptions.iter().filter(|one| one.why == Why::Late).count();
-        if sum.members as usize - lost != living.count() || late > 0 {
-            return Err(format!("the sum counts {sum:?}"));
+        if summary.in_force != *version {
+            return Err(format!("the root's summary has {} in force", summary.in_force));
+        }
+        let lost = summary
+            .exceptions
+            .iter()
+            .filter(|exception| matches!(exception.kind, ExceptionKind::Lost { .. }))
+            .count();
+        let late =
+            summary.exceptions.iter().filter(|exception| exception.kind == ExceptionKind::Late).count();
+        if summary.members as usize - lost != running.count() || late > 0 {
+            return Err(format!("the root's summary has the wrong members: {summary:?}"));
         }
         Ok(())
     }
--- a/crates/carrier/tests/publisher.rs
+++ b/crates/carrier/tests/publisher.rs
@@ -1,8 +1,8 @@
-//! What a publisher asks for, call by call.
+//! Traces the calls that a publisher makes to its host, one by one.
 
 mod common;
 
-use common::{Ask, Asked, SECOND};
+use common::{PublisherCall, RecordingPublisherHost, SECOND};
 use expect_test::{Expect, expect};
 use pumicebay_carrier::*;
 
@@ -14,50 +14,52 @@
     Version { epoch, number }
 }
 
-fn check(host: &mut Asked, expected: Expect) {
-    let line = |ask: Ask| match ask {
-        Ask::Read => "read".into(),
-        Ask::Write(text, version) => {
+fn check(host: &mut RecordingPublisherHost, expected: Expect) {
+    let line = |call: PublisherCall| match call {
+        PublisherCall::ReadRecord => "read".into(),
+        PublisherCall::WriteRecord(text, version) => {
             let text = text.replace("{\"epoch\":7,\"number\":", "{").replace('"', "");
             format!("write over {version}: {}", text.chars().take(160).collect::<String>())
         }
-        Ask::Publish(version, resources) => format!("publish {version}: {} resources", resources.len()),
-        Ask::Answer(number, outcome) => format!("answer {number}: {outcome:?}"),
-        Ask::GiveBack => "give back".into(),
+        PublisherCall::Publish(version, resources) => {
+            format!("publish {version}: {} resources", resources.len())
+        }
+        PublisherCall::Answer(number, outcome) => format!("answer {number}: {outcome:?}"),
+        PublisherCall::ReleaseLease => "release lease".into(),
     };
-    expected.assert_eq(&host.acts.drain(..).map(|ask| line(ask) + "\n").collect::<String>());
+    expected.assert_eq(&host.calls.drain(..).map(|call| line(call) + "\n").collect::<String>());
 }
 
-fn written(host: &Asked) -> String {
-    let text = host.acts.iter().rev().find_map(|ask| match ask {
-        Ask::Write(text, _) => Some(text.clone()),
+fn last_written(host: &RecordingPublisherHost) -> String {
+    let text = host.calls.iter().rev().find_map(|call| match call {
+        PublisherCall::WriteRecord(text, _) => Some(text.clone()),
         _ => None,
     });
     text.unwrap()
 }
 
-/// Of an empty record that was founded as 7, at its version 1.
-fn ready(host: &mut Asked) -> Publisher {
+/// A publisher that has written version 1 of epoch 7 into an empty record.
+fn ready(host: &mut RecordingPublisherHost) -> Publisher {
     let mut publisher = Publisher::start(0, host);
-    publisher.read(0, 7, None, Version::default(), host);
-    publisher.written(0, Written::Done(10), host);
-    host.acts.clear();
+    publisher.record_read(0, 7, None, Version::default(), host);
+    publisher.record_written(0, WriteOutcome::Committed(10), host);
+    host.calls.clear();
     publisher
 }
 
 #[test]
-fn changes_are_settled_in_batches_and_leave_once_confirmed() {
-    let mut host = Asked::default();
+fn changes_are_settled_in_batches_and_leave_the_record_once_confirmed() {
+    let mut host = RecordingPublisherHost::default();
     let mut publisher = Publisher::start(0, &mut host);
-    publisher.read(0, 7, None, Version::default(), &mut host);
-    publisher.offered(0, 1, vec![change("a", "{}")], &mut host);
-    publisher.written(0, Written::Done(10), &mut host);
-    publisher.offered(0, 2, vec![change("b", "{}")], &mut host);
-    publisher.offered(0, 3, vec![change("a", "{\"x\":1}"), change("c", "{}")], &mut host);
-    publisher.written(0, Written::Done(11), &mut host);
-    publisher.confirmed(0, version(7, 2), &mut host);
-    publisher.written(0, Written::Done(12), &mut host);
-    publisher.offered(0, 4, vec![change("d", "{}")], &mut host);
+    publisher.record_read(0, 7, None, Version::default(), &mut host);
+    publisher.propose(0, 1, vec![change("a", "{}")], &mut host);
+    publisher.record_written(0, WriteOutcome::Committed(10), &mut host);
+    publisher.propose(0, 2, vec![change("b", "{}")], &mut host);
+    publisher.propose(0, 3, vec![change("a", "{\"x\":1}"), change("c", "{}")], &mut host);
+    publisher.record_written(0, WriteOutcome::Committed(11), &mut host);
+    publisher.majority_persisted(0, version(7, 2), &mut host);
+    publisher.record_written(0, WriteOutcome::Committed(12), &mut host);
+    publisher.propose(0, 4, vec![change("d", "{}")], &mut host);
     check(
         &mut host,
         expect![[r#"
@@ -78,22 +80,21 @@
 }
 
 #[test]
-fn an_unknown_write_is_read_before_anything_else() {
-    let mut host = Asked::default();
+fn after_a_write_of_unknown_outcome_the_record_is_read_first() {
+    let mut host = RecordingPublisherHost::default();
     let mut publisher = ready(&mut host);
-    let nothing =
-        "{\"version\":{\"epoch\":7,\"number\":1},\"base\":{\"epoch\":0,\"number\":0},\"changes\":[]}";
-    publisher.offered(0, 1, vec![change("a", "{}")], &mut host);
-    let text = written(&host);
-    publisher.written(0, Written::Unknown, &mut host);
-    publisher.offered(0, 2, vec![change("b", "{}")], &mut host);
-    publisher.read_failed(0, &mut host);
+    let empty = "{\"version\":{\"epoch\":7,\"number\":1},\"base\":{\"epoch\":0,\"number\":0},\"changes\":[]}";
+    publisher.propose(0, 1, vec![change("a", "{}")], &mut host);
+    let text = last_written(&host);
+    publisher.record_written(0, WriteOutcome::Unknown, &mut host);
+    publisher.propose(0, 2, vec![change("b", "{}")], &mut host);
+    publisher.record_read_failed(0, &mut host);
     assert_eq!(publisher.due(), SECOND / 4);
     publisher.tick(publisher.due(), &mut host);
-    // It is not there: the same again. Then it is.
-    publisher.read(0, 7, Some((nothing, 10)), version(7, 1), &mut host);
-    publisher.written(0, Written::Refused, &mut host);
-    publisher.read(0, 7, Some((&text, 11)), version(7, 1), &mut host);
+    // The record does not have the value: the same write is sent again. Then the record has it.
+    publisher.record_read(0, 7, Some((empty, 10)), version(7, 1), &mut host);
+    publisher.record_written(0, WriteOutcome::Refused, &mut host);
+    publisher.record_read(0, 7, Some((&text, 11)), version(7, 1), &mut host);
     check(
         &mut host,
         expect![[r#"
@@ -107,12 +108,12 @@
         write over 11: {version:{3},base:{epoch:0,number:0},changes:[{scope:Fleet,name:a,version:{2},patch:{}},{scope:Fleet,name:b,version:{3},patch:{}}]}
     "#]],
     );
-    // The next is written by nobody, and the lease is lost.
-    publisher.written(0, Written::Unknown, &mut host);
-    publisher.read(0, 7, Some((&text, 11)), version(7, 2), &mut host);
-    publisher.written(0, Written::Refused, &mut host);
-    publisher.read(0, 7, Some((&text, 11)), version(7, 2), &mut host);
-    publisher.offered(0, 3, vec![change("c", "{}")], &mut host);
+    // The next write does not reach the record, and the lease is lost.
+    publisher.record_written(0, WriteOutcome::Unknown, &mut host);
+    publisher.record_read(0, 7, Some((&text, 11)), version(7, 2), &mut host);
+    publisher.record_written(0, WriteOutcome::Refused, &mut host);
+    publisher.record_read(0, 7, Some((&text, 11)), version(7, 2), &mut host);
+    publisher.propose(0, 3, vec![change("c", "{}")], &mut host);
     check(
         &mut host,
         expect![[r#"
@@ -120,29 +121,29 @@
         write over 11: {version:{3},base:{epoch:0,number:0},changes:[{scope:Fleet,name:a,version:{2},patch:{}},{scope:Fleet,name:b,version:{3},patch:{}}]}
         read
         answer 2: Unknown
-        give back
-        answer 3: Refused("the lease `carrier` was lost, or somebody else wrote")
+        release lease
+        answer 3: Refused("the lease `carrier` was lost, or another process wrote the record")
     "#]],
     );
 }
 
 #[test]
-fn whoever_may_not_publish_gives_the_lease_back() {
-    let mut host = Asked::default();
+fn a_publisher_that_may_not_publish_releases_the_lease() {
+    let mut host = RecordingPublisherHost::default();
     let mut publisher = ready(&mut host);
-    publisher.offered(0, 1, vec![change("a", "{}")], &mut host);
-    publisher.offered(0, 2, vec![change("b", "{}")], &mut host);
-    publisher.written(0, Written::Refused, &mut host);
+    publisher.propose(0, 1, vec![change("a", "{}")], &mut host);
+    publisher.propose(0, 2, vec![change("b", "{}")], &mut host);
+    publisher.record_written(0, WriteOutcome::Refused, &mut host);
     check(
         &mut host,
         expect![[r#"
         write over 10: {version:{2},base:{epoch:0,number:0},changes:[{scope:Fleet,name:a,version:{2},patch:{}}]}
-        answer 1: Refused("this process publishes no more: the lease `carrier` was lost, or somebody else wrote")
-        answer 2: Refused("this process publishes no more: the lease `carrier` was lost, or somebody else wrote")
-        give back
+        answer 1: Refused("this process no longer publishes: the lease `carrier` was lost, or another process wrote the record")
+        answer 2: Refused("this process no longer publishes: the lease `carrier` was lost, or another process wrote the record")
+        release lease
     "#]],
     );
-    for (text, holds) in [
+    for (text, held) in [
         (
             "{\"version\":{\"epoch\":7,\"number\":9},\"base\":{\"epoch\":7,\"number\":5},\"changes\":[]}",
             version(7, 4),
@@ -158,35 +159,35 @@
         ),
     ] {
         let mut publisher = Publisher::start(0, &mut host);
-        publisher.offered(0, 3, vec![change("a", "{}")], &mut host);
-        publisher.read(0, 7, Some((text, 10)), holds, &mut host);
+        publisher.propose(0, 3, vec![change("a", "{}")], &mut host);
+        publisher.record_read(0, 7, Some((text, 10)), held, &mut host);
     }
     check(
         &mut host,
         expect![[r#"
             read
-            answer 3: Refused("this process holds 7.4, the record only what came after 7.5")
-            give back
+            answer 3: Refused("this process holds version 7.4, but the record only has changes after 7.5")
+            release lease
             read
-            answer 3: Refused("the record's value `carrier` can't be read: expected ident at line 1 column 2")
-            give back
+            answer 3: Refused("cannot parse the record's value `carrier`: expected ident at line 1 column 2")
+            release lease
             read
-            answer 3: Refused("this process holds 8.1, of a later founding than 7")
-            give back
+            answer 3: Refused("this process holds version 8.1, of a later epoch than the record's epoch 7")
+            release lease
             read
-            answer 3: Refused("no numbers are left after 7.18446744073709551615 and 7.9")
-            give back
+            answer 3: Refused("no version numbers are left after 7.18446744073709551615 in the record and 7.9 here")
+            release lease
         "#]],
     );
 }
 
 #[test]
-fn a_record_founded_anew_gets_a_version_above_all_others() {
-    let mut host = Asked::default();
+fn a_new_record_gets_a_version_above_all_others() {
+    let mut host = RecordingPublisherHost::default();
     let mut publisher = Publisher::start(0, &mut host);
     let text = "{\"version\":{\"epoch\":6,\"number\":9},\"base\":{\"epoch\":6,\"number\":8},\"changes\":\
                 [{\"scope\":\"Fleet\",\"name\":\"a\",\"version\":{\"epoch\":6,\"number\":9},\"patch\":\"{}\"}]}";
-    publisher.read(0, 7, Some((text, 10)), version(6, 11), &mut host);
+    publisher.record_read(0, 7, Some((text, 10)), version(6, 11), &mut host);
     check(
         &mut host,
         expect![[r#"
@@ -198,36 +199,36 @@
 }
 
 #[test]
-fn what_is_too_much_or_wrong_is_refused_in_words() {
-    let mut host = Asked::default();
+fn invalid_or_too_many_changes_are_refused_with_a_reason() {
+    let mut host = RecordingPublisherHost::default();
     let mut publisher = ready(&mut host);
     let long = format!("{{\"x\":\"{}\"}}", "y".repeat(12_000));
     let too_long = format!("{{\"x\":\"{}\"}}", "y".repeat(16_400));
-    publisher.offered(0, 1, vec![change(&"n".repeat(201), "{}")], &mut host);
-    publisher.offered(0, 2, vec![change("a", "[1]")], &mut host);
-    publisher.offered(0, 3, vec![change("a", &too_long)], &mut host);
-    publisher.offered(0, 4, vec![change("a", &long), change("b", &long), change("c", &long)], &mut host);
-    publisher.offered(0, 5, vec![change("a", "{}"); 1_025], &mut host);
+    publisher.propose(0, 1, vec![change(&"n".repeat(201), "{}")], &mut host);
+    publisher.propose(0, 2, vec![change("a", "[1]")], &mut host);
+    publisher.propose(0, 3, vec![change("a", &too_long)], &mut host);
+    publisher.propose(0, 4, vec![change("a", &long), change("b", &long), change("c", &long)], &mut host);
+    publisher.propose(0, 5, vec![change("a", "{}"); 1_025], &mut host);
     check(
         &mut host,
         expect![[r#"
         answer 1: Refused("the name `nnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnnn` has 201 bytes, 1 to 200 are allowed")
-        answer 2: Refused("the patch of `a` for fleet is no JSON object: invalid type: sequence, expected a map at line 1 column 0")
+        answer 2: Refused("the patch of `a` for fleet is not a JSON object: invalid type: sequence, expected a map at line 1 column 0")
         answer 3: Refused("the patch of `a` for fleet has 16408 bytes, 16384 at most are allowed")
-        answer 4: Refused("the changes take 36369 bytes of the record, 24576 at most may")
-        answer 5: Refused("1024 changes at most may wait to be written")
+        answer 4: Refused("the changes take 36369 bytes of the record, 24576 at most are allowed")
+        answer 5: Refused("at most 1024 changes may wait to be written")
     "#]],
     );
-    // Two fill the record; the third waits for a majority to have them, five seconds.
+    // Two changes fill the record; the third waits five seconds for a majority to have them on disk.
     for (number, name) in [(6, "a"), (7, "b"), (8, "c")] {
-        publisher.offered(SECOND, number, vec![change(name, &long)], &mut host);
-        publisher.written(SECOND, Written::Done(10 + number), &mut host);
+        publisher.propose(SECOND, number, vec![change(name, &long)], &mut host);
+        publisher.record_written(SECOND, WriteOutcome::Committed(10 + number), &mut host);
     }
     assert_eq!(publisher.due(), 6 * SECOND);
     publisher.tick(6 * SECOND, &mut host);
-    publisher.offered(7 * SECOND, 9, vec![change("d", &long)], &mut host);
-    publisher.confirmed(8 * SECOND, version(7, 2), &mut host);
-    publisher.offered(8 * SECOND, 10, vec![change("d", &long)], &mut host);
+    publisher.propose(7 * SECOND, 9, vec![change("d", &long)], &mut host);
+    publisher.majority_persisted(8 * SECOND, version(7, 2), &mut host);
+    publisher.propose(8 * SECOND, 10, vec![change("d", &long)], &mut host);
     check(
         &mut host,
         expect![[r#"
@@ -237,8 +238,8 @@
             write over 16: {version:{3},base:{epoch:0,number:0},changes:[{scope:Fleet,name:a,version:{2},patch:{\x\:\yyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyy
             publish 7.3: 1 resources
             answer 7: Settled(Version { epoch: 7, number: 3 })
-            answer 8: Refused("the record has no room: 32768 bytes of changes wait in it for a majority of the control machines to have them on disk")
-            answer 9: Refused("the record has no room: 32768 bytes of changes wait in it for a majority of the control machines to have them on disk")
+            answer 8: Refused("the record is full: it has room for 32768 bytes of changes that are not yet on the disks of a majority of the control machines")
+            answer 9: Refused("the record is full: it has room for 32768 bytes of changes that are not yet on the disks of a majority of the control machines")
             write over 17: {version:{4},base:{2},changes:[{scope:Fleet,name:b,version:{3},patch:{\x\:\yyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyyy
         "#]],
     );
--- a/crates/carrier/tests/traces.rs
+++ b/crates/carrier/tests/traces.rs
@@ -1,8 +1,8 @@
-//! What a node does, call by call, on its main paths.
+//! Traces the calls that a tree node makes to its host, one by one, on its main paths.
 
 mod common;
 
-use common::{Act, Acts, Chance, MS, SECOND, terms};
+use common::{HostCall, MS, RecordingHost, Rng, SECOND, node_config};
 use expect_test::{Expect, expect};
 use pumicebay_carrier::*;
 
@@ -14,130 +14,144 @@
     Resource { scope, name: name.into(), version: version(number), patch: Some(patch.into()) }
 }
 
-fn acts() -> Acts {
-    Acts { acts: Vec::new(), chance: Chance(1) }
+fn recording_host() -> RecordingHost {
+    RecordingHost { calls: Vec::new(), rng: Rng(1) }
 }
 
-/// What was asked for since the last look, a line each, digests left out.
-fn trace(host: &mut Acts) -> String {
-    let line = |act: Act| match act {
-        Act::Dial(name) => format!("dial {name}"),
-        Act::HangUp => "hang up".into(),
-        Act::Up(Up::Subscribe { who, holds, .. }) => {
-            format!("up: {} subscribes with {holds}", who.member.name)
+/// The calls since the last trace, one a line, without digests.
+fn trace(host: &mut RecordingHost) -> String {
+    let line = |call: HostCall| match call {
+        HostCall::ConnectParent(name) => format!("connect to {name}"),
+        HostCall::DisconnectParent => "disconnect from parent".into(),
+        HostCall::SendToParent(ChildMessage::Subscribe { attachment, version, .. }) => {
+            format!("up: {} subscribes with {version}", attachment.member.name)
         }
-        Act::Up(Up::Holds { version, .. }) => format!("up: holds {version}"),
-        Act::Up(Up::Took) => "up: took".into(),
-        Act::Up(Up::Kept(version)) => format!("up: {version} is on disk"),
-        Act::Up(Up::Sum(sum)) => format!("up: {}", summed(&sum)),
-        Act::Down(child, Down::Pulse { holds, age, .. }) => {
+        HostCall::SendToParent(ChildMessage::Holds { version, .. }) => format!("up: holds {version}"),
+        HostCall::SendToParent(ChildMessage::PartAck) => "up: part acknowledged".into(),
+        HostCall::SendToParent(ChildMessage::Persisted(version)) => format!("up: {version} is on disk"),
+        HostCall::SendToParent(ChildMessage::Summary(summary)) => {
+            format!("up: {}", describe_summary(&summary))
+        }
+        HostCall::SendToChild(child, ParentMessage::Heartbeat { version, age, .. }) => {
             let age = if age == Nanos::MAX { "unknown".into() } else { format!("{} ms", age / MS) };
-            format!("to {child}: pulse {holds}, age {age}")
+            format!("to {child}: heartbeat {version}, age {age}")
         }
-        Act::Down(child, Down::Delta { after, version, whole, last, cut, resources }) => {
-            let flags = [(whole, " whole"), (last, " last"), (cut, " cut")];
+        HostCall::SendToChild(
+            child,
+            ParentMessage::Delta { after, version, full_set, last, truncated, resources },
+        ) => {
+            let flags = [(full_set, " full set"), (last, " last"), (truncated, " truncated")];
             let flags: String = flags.iter().filter(|(set, _)| *set).map(|(_, flag)| *flag).collect();
             let names: Vec<String> =
                 resources.iter().map(|one| format!("{} {}", one.scope, one.name)).collect();
             format!("to {child}: {after} to {version}{flags}: {}", names.join(", "))
         }
-        Act::Down(child, Down::Full) => format!("to {child}: full"),
-        Act::Drop(child) => format!("drop {child}"),
-        Act::Put(version, resources) => {
+        HostCall::SendToChild(child, ParentMessage::AtCapacity) => format!("to {child}: at capacity"),
+        HostCall::DisconnectChild(child) => format!("disconnect {child}"),
+        HostCall::Apply(version, resources) => {
             let names: Vec<String> =
                 resources.iter().map(|one| format!("{}@{}", one.name, one.version)).collect();
-            format!("put {version} in force: {}", names.join(", "))
+            format!("apply {version}: {}", names.join(", "))
         }
-        Act::Keep(kept) => format!("keep {}", kept.version),
+        HostCall::Persist(snapshot) => format!("persist {}", snapshot.version),
     };
-    host.acts.drain(..).map(|act| line(act) + "\n").collect()
+    host.calls.drain(..).map(|call| line(call) + "\n").collect()
 }
 
-fn summed(sum: &Sum) -> String {
-    let exceptions: Vec<String> =
-        sum.exceptions.iter().map(|one| format!("{} {:?}", one.who.name, one.why)).collect();
+fn describe_summary(summary: &Summary) -> String {
+    let exceptions: Vec<String> = summary
+        .exceptions
+        .iter()
+        .map(|exception| format!("{} {:?}", exception.member.name, exception.kind))
+        .collect();
     format!(
         "{} at {}{}{}",
-        sum.in_force,
-        sum.members,
+        summary.in_force,
+        summary.members,
         if exceptions.is_empty() { "" } else { ", but " },
         exceptions.join(", ")
     )
 }
 
-fn check(host: &mut Acts, expected: Expect) {
+fn check(host: &mut RecordingHost, expected: Expect) {
     expected.assert_eq(&trace(host));
 }
 
-/// By its first link.
-fn subscribe(name: &str, holds: Version) -> Up {
-    subscribe_again(name, 1, holds)
+/// A subscription by the first link of a proxy.
+fn subscribe(name: &str, version: Version) -> ChildMessage {
+    subscribe_by_link(name, 1, version)
 }
 
 fn link(name: &str, number: u64) -> Attachment {
     Attachment { member: Member { name: name.into(), incarnation: 1 }, number }
 }
 
-fn subscribe_again(name: &str, number: u64, holds: Version) -> Up {
-    let who = link(name, number);
-    let place = terms(name, "s0", false, false, vec![]).place;
-    Up::Subscribe { who, wants: Interest::Proxy(place, name.into()), holds, digest: 0 }
+fn subscribe_by_link(name: &str, number: u64, version: Version) -> ChildMessage {
+    let attachment = link(name, number);
+    let location = node_config(name, "s0", false, false, vec![]).location;
+    ChildMessage::Subscribe {
+        attachment,
+        interest: Interest::Proxy(location, name.into()),
+        version,
+        digest: 0,
+    }
 }
 
-fn sum(number: u64) -> Up {
-    Up::Sum(Sum { in_force: version(number), members: 1, ..Sum::default() })
+fn summary_message(number: u64) -> ChildMessage {
+    ChildMessage::Summary(Summary { in_force: version(number), members: 1, ..Summary::default() })
 }
 
-/// The root at version 1 of one resource for the fleet.
-fn root(host: &mut Acts) -> Node {
-    let mut node = Node::start(0, terms("c0", "s0", true, false, vec![]), None, host);
-    node.root_is(0, Some("c0"), host);
+/// A root that holds version 1: one resource for the fleet.
+fn root(host: &mut RecordingHost) -> TreeNode {
+    let mut node = TreeNode::start(0, node_config("c0", "s0", true, false, vec![]), None, host);
+    node.set_root(0, Some("c0"), host);
     node.publish(0, version(1), vec![resource(Scope::Fleet, "a", 1, "{}")], host);
-    node.in_force(0, version(1), vec![], host);
-    node.kept(0, version(1), host);
+    node.applied(0, version(1), vec![], host);
+    node.persisted(0, version(1), host);
     trace(host);
     node
 }
 
-fn leaf(host: &mut Acts, candidates: &[&str]) -> Node {
+/// A proxy with one tier of parent candidates.
+fn proxy(host: &mut RecordingHost, candidates: &[&str]) -> TreeNode {
     let tier = candidates.iter().map(|name| name.to_string()).collect();
-    Node::start(0, terms("p0", "s0", false, false, vec![tier]), None, host)
+    TreeNode::start(0, node_config("p0", "s0", false, false, vec![tier]), None, host)
 }
 
 #[test]
-fn a_child_is_sent_what_it_misses_part_by_part() {
-    let mut host = acts();
+fn a_child_receives_a_delta_part_by_part() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
     node.publish(0, version(2), vec![resource(Scope::Fleet, "b", 2, &"x".repeat(1_500))], &mut host);
-    node.child_up(SECOND, 7, &mut host);
-    node.child_said(SECOND, 7, subscribe("p0", Version::default()), &mut host);
+    node.child_connected(SECOND, 7, &mut host);
+    node.child_message(SECOND, 7, subscribe("p0", Version::default()), &mut host);
     node.tick(SECOND + MS, &mut host);
-    node.child_said(SECOND + MS, 7, Up::Took, &mut host);
-    node.child_said(SECOND + MS, 7, Up::Holds { version: version(2), digest: 1 }, &mut host);
+    node.child_message(SECOND + MS, 7, ChildMessage::PartAck, &mut host);
+    node.child_message(SECOND + MS, 7, ChildMessage::Holds { version: version(2), digest: 1 }, &mut host);
     check(
         &mut host,
         expect![[r#"
-        put 1.2 in force: a@1.1, b@1.2
-        to 7: 0.0 to 1.2 whole cut: fleet a, fleet b
-        to 7: pulse 1.2, age 0 ms
-        keep 1.2
-        to 7: 0.0 to 1.2 whole last: fleet b
-        to 7: pulse 1.2, age 0 ms
+        apply 1.2: a@1.1, b@1.2
+        to 7: 0.0 to 1.2 full set truncated: fleet a, fleet b
+        to 7: heartbeat 1.2, age 0 ms
+        persist 1.2
+        to 7: 0.0 to 1.2 full set last: fleet b
+        to 7: heartbeat 1.2, age 0 ms
     "#]],
     );
 }
 
 #[test]
-fn what_does_not_concern_a_child_comes_by_an_early_pulse() {
-    let mut host = acts();
+fn a_version_without_changes_for_a_child_comes_by_an_early_heartbeat() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
-    node.child_up(0, 7, &mut host);
-    node.child_said(0, 7, subscribe("p0", version(1)), &mut host);
-    let digest = host.acts.iter().find_map(|act| match act {
-        Act::Down(_, Down::Pulse { digest, .. }) => Some(*digest),
+    node.child_connected(0, 7, &mut host);
+    node.child_message(0, 7, subscribe("p0", version(1)), &mut host);
+    let digest = host.calls.iter().find_map(|call| match call {
+        HostCall::SendToChild(_, ParentMessage::Heartbeat { digest, .. }) => Some(*digest),
         _ => None,
     });
-    node.child_said(0, 7, Up::Holds { version: version(1), digest: digest.unwrap() }, &mut host);
+    node.child_message(0, 7, ChildMessage::Holds { version: version(1), digest: digest.unwrap() }, &mut host);
     trace(&mut host);
     node.publish(50 * MS, version(2), vec![resource(Scope::Site("s9".into()), "b", 2, "{}")], &mut host);
     assert_eq!(node.due(), 250 * MS);
@@ -145,83 +159,84 @@
     check(
         &mut host,
         expect![[r#"
-        to 7: pulse 1.2, age 0 ms
-        keep 1.2
+        to 7: heartbeat 1.2, age 0 ms
+        persist 1.2
     "#]],
     );
 }
 
 #[test]
-fn a_leaf_takes_and_puts_in_force_and_says_so() {
-    let mut host = acts();
-    let mut node = leaf(&mut host, &["c0"]);
+fn a_proxy_applies_deltas_and_reports_refusals() {
+    let mut host = recording_host();
+    let mut node = proxy(&mut host, &["c0"]);
     node.tick(node.due(), &mut host);
-    node.parent_up(SECOND, &mut host);
-    let delta = |after, number, resources| Down::Delta {
+    node.parent_connected(SECOND, &mut host);
+    let delta = |after, number, resources| ParentMessage::Delta {
         after: version(after),
         version: version(number),
-        whole: after == 0,
+        full_set: after == 0,
         last: true,
-        cut: false,
+        truncated: false,
         resources,
     };
-    node.told(SECOND, delta(0, 1, vec![resource(Scope::Fleet, "a", 1, "{}")]), &mut host);
-    node.told(SECOND, delta(1, 2, vec![resource(Scope::Fleet, "a", 2, "{\"bad\":1}")]), &mut host);
-    node.in_force(2 * SECOND, version(1), vec![], &mut host);
-    node.in_force(2 * SECOND, version(2), vec![(Scope::Fleet, "a".into(), "no".into())], &mut host);
+    node.parent_message(SECOND, delta(0, 1, vec![resource(Scope::Fleet, "a", 1, "{}")]), &mut host);
+    node.parent_message(SECOND, delta(1, 2, vec![resource(Scope::Fleet, "a", 2, "{\"bad\":1}")]), &mut host);
+    node.applied(2 * SECOND, version(1), vec![], &mut host);
+    node.applied(2 * SECOND, version(2), vec![(Scope::Fleet, "a".into(), "no".into())], &mut host);
     node.tick(2 * SECOND + 250 * MS, &mut host);
-    node.told(3 * SECOND, delta(0, 1, vec![resource(Scope::Fleet, "a", 1, "{}")]), &mut host);
-    node.told(3 * SECOND, delta(2, 3, vec![resource(Scope::Fleet, "b", 3, "{}")]), &mut host);
+    node.parent_message(3 * SECOND, delta(0, 1, vec![resource(Scope::Fleet, "a", 1, "{}")]), &mut host);
+    node.parent_message(3 * SECOND, delta(2, 3, vec![resource(Scope::Fleet, "b", 3, "{}")]), &mut host);
     check(
         &mut host,
         expect![[r#"
-        dial c0
+        connect to c0
         up: p0 subscribes with 0.0
         up: 0.0 at 1
-        put 1.1 in force: a@1.1
-        keep 1.1
+        apply 1.1: a@1.1
+        persist 1.1
         up: holds 1.1
         up: holds 1.2
-        put 1.2 in force: a@1.2
+        apply 1.2: a@1.2
         up: 1.1 at 1
         up: 1.2 at 1, but p0 Refused { scope: Fleet, resource: "a", version: Version { epoch: 1, number: 2 }, reason: "no" }
         up: holds 1.2
-        put 1.3 in force: a@1.1, b@1.3
+        apply 1.3: a@1.1, b@1.3
         up: holds 1.3
     "#]],
     );
 }
 
 #[test]
-fn the_last_good_one_outlives_a_restart() {
-    let mut host = acts();
-    let good = vec![resource(Scope::Fleet, "a", 1, "{}")];
+fn the_last_good_version_survives_a_restart() {
+    let mut host = recording_host();
+    let last_good = vec![resource(Scope::Fleet, "a", 1, "{}")];
     let resources = vec![resource(Scope::Fleet, "a", 2, "{\"bad\":1}")];
-    let kept = Kept { version: version(2), resources, good, ..Kept::default() };
-    let mut node = Node::start(0, terms("p0", "s0", false, false, vec![]), Some(kept), &mut host);
-    node.in_force(0, version(2), vec![(Scope::Fleet, "a".into(), "no".into())], &mut host);
-    node.in_force(0, version(2), vec![], &mut host);
+    let snapshot = Snapshot { version: version(2), resources, last_good, ..Snapshot::default() };
+    let mut node =
+        TreeNode::start(0, node_config("p0", "s0", false, false, vec![]), Some(snapshot), &mut host);
+    node.applied(0, version(2), vec![(Scope::Fleet, "a".into(), "no".into())], &mut host);
+    node.applied(0, version(2), vec![], &mut host);
     check(
         &mut host,
         expect![[r#"
-        put 1.2 in force: a@1.2
-        put 1.2 in force: a@1.1
+        apply 1.2: a@1.2
+        apply 1.2: a@1.1
     "#]],
     );
-    let why =
+    let refusal =
         "Refused { scope: Fleet, resource: \"a\", version: Version { epoch: 1, number: 2 }, reason: \"no\" }";
-    assert_eq!(summed(&node.sum(0)), format!("1.2 at 1, but p0 {why}"));
+    assert_eq!(describe_summary(&node.summary(0)), format!("1.2 at 1, but p0 {refusal}"));
 }
 
 #[test]
-fn a_silent_parent_is_left_and_the_next_called() {
-    let mut host = acts();
-    let mut node = leaf(&mut host, &["c0", "c1", "c2"]);
+fn a_silent_or_full_parent_is_replaced_by_the_next_candidate() {
+    let mut host = recording_host();
+    let mut node = proxy(&mut host, &["c0", "c1", "c2"]);
     for _ in 0..2 {
         while node.parent().is_none() {
             let due = node.due();
             node.tick(due, &mut host);
-            node.parent_up(due, &mut host);
+            node.parent_connected(due, &mut host);
         }
         while node.parent().is_some() {
             node.tick(node.due(), &mut host);
@@ -229,55 +244,55 @@
     }
     let due = node.due();
     node.tick(due, &mut host);
-    node.parent_up(due, &mut host);
-    node.told(due, Down::Full, &mut host);
+    node.parent_connected(due, &mut host);
+    node.parent_message(due, ParentMessage::AtCapacity, &mut host);
     node.tick(node.due(), &mut host);
     check(
         &mut host,
         expect![[r#"
-            dial c0
+            connect to c0
             up: p0 subscribes with 0.0
             up: 0.0 at 1
             up: 0.0 at 1
-            hang up
-            dial c2
+            disconnect from parent
+            connect to c2
             up: p0 subscribes with 0.0
             up: 0.0 at 1
             up: 0.0 at 1
             up: 0.0 at 1
             up: 0.0 at 1
-            hang up
-            dial c1
+            disconnect from parent
+            connect to c1
             up: p0 subscribes with 0.0
             up: 0.0 at 1
-            hang up
-            dial c0
+            disconnect from parent
+            connect to c0
         "#]],
     );
 }
 
 #[test]
-fn whoever_lags_is_late_and_whoever_goes_is_lost_for_a_minute() {
-    let mut host = acts();
+fn a_lagging_member_is_late_and_a_disconnected_one_is_lost_for_a_minute() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
     for (child, name) in [(1, "p1"), (2, "p2")] {
-        node.child_up(0, child, &mut host);
-        node.child_said(0, child, subscribe(name, version(0)), &mut host);
-        node.child_said(0, child, sum(if child == 1 { 1 } else { 0 }), &mut host);
-        // Its digest differs, so it is sent the whole set, once.
+        node.child_connected(0, child, &mut host);
+        node.child_message(0, child, subscribe(name, version(0)), &mut host);
+        node.child_message(0, child, summary_message(if child == 1 { 1 } else { 0 }), &mut host);
+        // Its digest differs, so it is sent the full set, but only once.
         for _ in 0..3 {
-            node.child_said(0, child, Up::Holds { version: version(1), digest: 0 }, &mut host);
+            node.child_message(0, child, ChildMessage::Holds { version: version(1), digest: 0 }, &mut host);
         }
     }
-    let mut said = String::new();
-    for (at, what) in [(2, ""), (3, ""), (4, "p2 goes"), (63, ""), (65, "")] {
-        if !what.is_empty() {
-            node.child_lost(at * SECOND, 2, &mut host);
+    let mut descriptions = String::new();
+    for (seconds, event) in [(2, ""), (3, ""), (4, "p2 disconnects"), (63, ""), (65, "")] {
+        if !event.is_empty() {
+            node.child_disconnected(seconds * SECOND, 2, &mut host);
         }
-        if at > 4 {
-            node.child_said(at * SECOND, 1, sum(1), &mut host);
+        if seconds > 4 {
+            node.child_message(seconds * SECOND, 1, summary_message(1), &mut host);
         }
-        said += &format!("{at} s: {}\n", summed(&node.sum(at * SECOND)));
+        descriptions += &format!("{seconds} s: {}\n", describe_summary(&node.summary(seconds * SECOND)));
     }
     expect![[r#"
         2 s: 1.0 at 3
@@ -286,134 +301,145 @@
         63 s: 1.1 at 3, but p2 Lost { attachment: 1 }
         65 s: 1.1 at 2
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&descriptions);
 }
 
-/// A relay that lost a child, and under whom it had arrived before, may come after that child: what the relay then says
-/// of both is older than the child's own link.
+/// Guards against listing a connected child as lost: a relay that lost a child, and to which the child had come before, may
+/// connect here after that child. What the relay then reports of the child is older than the child's own link.
 #[test]
-fn whoever_is_a_child_here_is_not_lost_by_another() {
-    let mut host = acts();
+fn a_connected_child_is_not_listed_as_lost_by_its_former_parent() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
-    let relay = Sum { arrived: vec![link("p1", 1)], ..sum_of_relay(Some(("p1", 1))) };
-    for (child, name, number, said) in [(1, "p1", 2, sum(1)), (2, "r1", 1, Up::Sum(relay))] {
-        node.child_up(0, child, &mut host);
-        node.child_said(0, child, subscribe_again(name, number, version(1)), &mut host);
-        node.child_said(0, child, said, &mut host);
+    let relay = Summary { arrived: vec![link("p1", 1)], ..relay_summary(Some(("p1", 1))) };
+    for (child, name, number, message) in
+        [(1, "p1", 2, summary_message(1)), (2, "r1", 1, ChildMessage::Summary(relay))]
+    {
+        node.child_connected(0, child, &mut host);
+        node.child_message(0, child, subscribe_by_link(name, number, version(1)), &mut host);
+        node.child_message(0, child, message, &mut host);
     }
-    let mut said = format!("{}\n", summed(&node.sum(SECOND)));
-    // Once its link is gone it is lost, and counts once.
-    node.child_lost(SECOND, 1, &mut host);
-    said += &summed(&node.sum(SECOND));
+    let mut descriptions = format!("{}\n", describe_summary(&node.summary(SECOND)));
+    // Once its link is lost, the child is listed as lost and counted once.
+    node.child_disconnected(SECOND, 1, &mut host);
+    descriptions += &describe_summary(&node.summary(SECOND));
     expect![[r#"
         1.1 at 3
         1.1 at 3, but p1 Lost { attachment: 2 }"#]]
-    .assert_eq(&said);
+    .assert_eq(&descriptions);
 }
 
-/// What a relay with one child says, which it has lost or has.
-fn sum_of_relay(lost: Option<(&str, u64)>) -> Sum {
+/// The summary of a relay with one child, which is connected or lost.
+fn relay_summary(lost: Option<(&str, u64)>) -> Summary {
     let exception = |(name, number): (&str, u64)| Exception {
-        who: link(name, number).member,
+        member: link(name, number).member,
         in_force: version(0),
-        why: Why::Lost { attachment: number },
+        kind: ExceptionKind::Lost { attachment: number },
     };
     let exceptions = lost.into_iter().map(exception).collect();
-    Sum { in_force: version(1), members: 2, exceptions, ..Sum::default() }
+    Summary { in_force: version(1), members: 2, exceptions, ..Summary::default() }
 }
 
-/// A member moves from one relay to another and back while each of the two tells what it saw before: in whatever order
-/// that comes, nobody who lives is named as lost.
+/// Guards against listing a running member as lost while it moves from one relay to another and back: each relay reports
+/// what it saw, and the reports may arrive in any order.
 #[test]
-fn news_of_a_member_that_moves_may_cross() {
-    let came = |number: u64| Sum { arrived: vec![link("p1", number)], ..sum_of_relay(None) };
-    let lost = |number: u64| sum_of_relay(Some(("p1", number)));
-    let gone = Sum { members: 1, ..sum_of_relay(None) };
-    // By which relay, and what it says; p1 lives at the relay of its last link.
-    let stories = [
-        vec![(1, came(1)), (2, came(2)), (1, lost(1))],
-        vec![(1, came(1)), (1, lost(1)), (2, came(2))],
-        vec![(1, came(1)), (2, came(2)), (1, came(3)), (2, lost(2))],
-        vec![(1, came(1)), (1, came(3)), (2, came(2)), (2, lost(2))],
-        vec![(1, came(3)), (2, lost(2)), (2, gone)],
+fn reports_about_a_moving_member_may_arrive_in_any_order() {
+    let arrived_by = |number: u64| Summary { arrived: vec![link("p1", number)], ..relay_summary(None) };
+    let lost = |number: u64| relay_summary(Some(("p1", number)));
+    let left = Summary { members: 1, ..relay_summary(None) };
+    // Which relay reports which summary; p1 is connected to the relay of its last link.
+    let sequences = [
+        vec![(1, arrived_by(1)), (2, arrived_by(2)), (1, lost(1))],
+        vec![(1, arrived_by(1)), (1, lost(1)), (2, arrived_by(2))],
+        vec![(1, arrived_by(1)), (2, arrived_by(2)), (1, arrived_by(3)), (2, lost(2))],
+        vec![(1, arrived_by(1)), (1, arrived_by(3)), (2, arrived_by(2)), (2, lost(2))],
+        vec![(1, arrived_by(3)), (2, lost(2)), (2, left)],
     ];
-    for story in stories {
-        let mut host = acts();
+    for sequence in sequences {
+        let mut host = recording_host();
         let mut node = root(&mut host);
         for (child, name) in [(1, "r1"), (2, "r2")] {
-            node.child_up(0, child, &mut host);
-            node.child_said(0, child, subscribe(name, version(1)), &mut host);
+            node.child_connected(0, child, &mut host);
+            node.child_message(0, child, subscribe(name, version(1)), &mut host);
         }
-        for (child, said) in &story {
-            node.child_said(SECOND, *child, Up::Sum(said.clone()), &mut host);
+        for (child, summary) in &sequence {
+            node.child_message(SECOND, *child, ChildMessage::Summary(summary.clone()), &mut host);
         }
-        let exceptions = node.sum(2 * SECOND).exceptions;
-        assert_eq!(exceptions, [], "{story:#?}");
+        let exceptions = node.summary(2 * SECOND).exceptions;
+        assert_eq!(exceptions, [], "{sequence:#?}");
     }
 }
 
-/// A child goes to a relay: its arrival there is told before the end of its own link is seen here.
+/// Guards against listing a child that moved to a relay as lost: the relay may report its arrival before the loss of the
+/// child's own link is noticed here.
 #[test]
-fn the_end_of_a_link_may_be_seen_after_the_next_one_came_up() {
-    let mut host = acts();
+fn the_loss_of_a_link_may_be_noticed_after_the_next_link_is_up() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
-    let relay = Sum { arrived: vec![link("p1", 2)], ..sum_of_relay(None) };
-    for (child, name, said) in [(1, "p1", sum(1)), (2, "r1", Up::Sum(relay))] {
-        node.child_up(0, child, &mut host);
-        node.child_said(0, child, subscribe(name, version(1)), &mut host);
-        node.child_said(0, child, said, &mut host);
+    let relay = Summary { arrived: vec![link("p1", 2)], ..relay_summary(None) };
+    for (child, name, message) in [(1, "p1", summary_message(1)), (2, "r1", ChildMessage::Summary(relay))] {
+        node.child_connected(0, child, &mut host);
+        node.child_message(0, child, subscribe(name, version(1)), &mut host);
+        node.child_message(0, child, message, &mut host);
     }
-    node.child_lost(SECOND, 1, &mut host);
-    assert_eq!(summed(&node.sum(SECOND)), "1.1 at 3");
-    // Lost there too, it is lost.
-    node.child_said(SECOND, 2, Up::Sum(sum_of_relay(Some(("p1", 2)))), &mut host);
-    assert_eq!(summed(&node.sum(SECOND)), "1.1 at 3, but p1 Lost { attachment: 2 }");
+    node.child_disconnected(SECOND, 1, &mut host);
+    assert_eq!(describe_summary(&node.summary(SECOND)), "1.1 at 3");
+    // Once the relay has lost it too, it is listed as lost.
+    node.child_message(SECOND, 2, ChildMessage::Summary(relay_summary(Some(("p1", 2)))), &mut host);
+    assert_eq!(describe_summary(&node.summary(SECOND)), "1.1 at 3, but p1 Lost { attachment: 2 }");
 }
 
-/// A publisher that dies was nobody's child: the next one names it all the same, until it is there.
+/// Guards against forgetting a publisher that died: it was nobody's child, so no process notices the loss of its link. The
+/// next publisher lists it as lost until it connects.
 #[test]
-fn a_control_machine_that_nobody_hears_is_named() {
-    let mut host = acts();
-    let mut at = terms("c0", "s0", true, false, vec![]);
-    at.control_machines = vec!["c1".into()];
-    let mut node = Node::start(0, at, None, &mut host);
-    node.root_is(0, Some("c0"), &mut host);
-    let mut said = format!("{}\n", summed(&node.sum(SECOND)));
-    node.child_up(SECOND, 1, &mut host);
-    node.child_said(SECOND, 1, subscribe("c1", version(0)), &mut host);
-    said += &summed(&node.sum(SECOND));
+fn a_control_machine_without_a_link_is_listed_as_lost() {
+    let mut host = recording_host();
+    let mut config = node_config("c0", "s0", true, false, vec![]);
+    config.control_machines = vec!["c1".into()];
+    let mut node = TreeNode::start(0, config, None, &mut host);
+    node.set_root(0, Some("c0"), &mut host);
+    let mut descriptions = format!("{}\n", describe_summary(&node.summary(SECOND)));
+    node.child_connected(SECOND, 1, &mut host);
+    node.child_message(SECOND, 1, subscribe("c1", version(0)), &mut host);
+    descriptions += &describe_summary(&node.summary(SECOND));
     expect![[r#"
         0.0 at 2, but c1 Lost { attachment: 0 }
         0.0 at 1"#]]
-    .assert_eq(&said);
+    .assert_eq(&descriptions);
 }
 
 #[test]
-fn the_absurd_is_not_believed() {
-    let mut host = acts();
+fn implausible_messages_are_limited() {
+    let mut host = recording_host();
     let mut node = root(&mut host);
-    node.child_up(0, 1, &mut host);
+    node.child_connected(0, 1, &mut host);
     let future = Version { epoch: 9, number: u64::MAX };
-    node.child_said(0, 1, subscribe("p1", future), &mut host);
-    let claim = Sum { in_force: future, members: u32::MAX, unnamed: u32::MAX, ..Sum::default() };
-    node.child_said(0, 1, Up::Sum(claim), &mut host);
-    node.child_said(0, 1, Up::Took, &mut host);
-    let said = node.sum(0);
-    assert_eq!((said.in_force, said.members), (version(1), u32::MAX));
-    // Who sends parts without an end is left.
-    let mut node = leaf(&mut host, &["c0"]);
+    node.child_message(0, 1, subscribe("p1", future), &mut host);
+    let claim = Summary { in_force: future, members: u32::MAX, unnamed: u32::MAX, ..Summary::default() };
+    node.child_message(0, 1, ChildMessage::Summary(claim), &mut host);
+    node.child_message(0, 1, ChildMessage::PartAck, &mut host);
+    let summary = node.summary(0);
+    assert_eq!((summary.in_force, summary.members), (version(1), u32::MAX));
+    // A parent that sends parts without an end is left.
+    let mut node = proxy(&mut host, &["c0"]);
     node.tick(node.due(), &mut host);
-    node.parent_up(0, &mut host);
+    node.parent_connected(0, &mut host);
     let mut parts = 0;
     while node.parent().is_some() {
         let part = resource(Scope::Fleet, &format!("n{parts}"), 1, &"x".repeat(60_000));
         let (after, version) = (Version::default(), version(1));
-        node.told(
+        node.parent_message(
             0,
-            Down::Delta { after, version, whole: true, last: false, cut: false, resources: vec![part] },
+            ParentMessage::Delta {
+                after,
+                version,
+                full_set: true,
+                last: false,
+                truncated: false,
+                resources: vec![part],
+            },
             &mut host,
         );
         parts += 1;
     }
-    assert_eq!((parts, node.holds()), (70, Version::default()));
+    assert_eq!((parts, node.version()), (70, Version::default()));
 }
--- a/crates/carrier/tests/whole.rs
+++ b/crates/carrier/tests/whole.rs
@@ -1,11 +1,11 @@
-//! A bounded world explored whole: a root, a relay and a leaf, a few versions, and in every order what may happen to them
-//! within a budget: messages and ends of links come when they come, but in order on each link; processes start again with their
-//! disk or without; links break; messages are lost; time passes to whatever is due next. From each end a fair run must
-//! bring all to the last version. States are told apart by 64-bit hashes.
+//! Explores all states of a small fleet exhaustively: a root, a relay and a proxy, a few versions, and every order of the
+//! events that a budget allows. Messages and ends of links arrive at any time, but in order on each link; processes restart
+//! with or without their disk; links break; messages are lost; time advances to whatever is due next. From each final state
+//! a run without further faults must bring all processes to the last version. States are distinguished by 64-bit hashes.
 
 mod common;
 
-use common::{Act, Acts, Applied, Chance, SECOND, claims, terms, written};
+use common::{Applied, HostCall, RecordingHost, Rng, SECOND, false_claim, last_writes, node_config};
 use pumicebay_carrier::*;
 use rustc_hash::{FxHashSet, FxHasher};
 use std::cell::Cell;
@@ -14,62 +14,62 @@
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// How long a fair run may take until all agree.
-const FAIR: Nanos = 30 * SECOND;
+/// The maximum duration of a run without faults until all processes agree.
+const FAIR_RUN_LIMIT: Nanos = 30 * SECOND;
 
-/// How often each thing may happen.
+/// How often each kind of event may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     versions: u64,
-    /// Restarts of the relay or the leaf, with their disk or an empty one.
+    /// Restarts of the relay or the proxy, with their disk or an empty one.
     restarts: u8,
-    cuts: u8,
-    losses: u8,
-    /// Steps of time, to what is due next, while messages may be on their way.
-    steps: u8,
+    broken_links: u8,
+    lost_messages: u8,
+    /// How often time advances to whatever is due next although messages may still be under way.
+    time_steps: u8,
 }
 
 #[derive(Clone, Hash)]
 struct Link {
     child: usize,
     parent: usize,
-    /// On their way; `None` is the end.
-    up: VecDeque<Option<Up>>,
-    down: VecDeque<Option<Down>>,
-    ends: [bool; 2],
-    part: Option<Option<Version>>,
-    sum: Option<(Member, Sum)>,
+    /// Messages under way in each direction; `None` is the end of the link.
+    up: VecDeque<Option<ChildMessage>>,
+    down: VecDeque<Option<ParentMessage>>,
+    open: [bool; 2],
+    part_in_flight: Option<Option<Version>>,
+    summary: Option<(Member, Summary)>,
 }
 
 #[derive(Clone, Hash)]
 struct Process {
-    node: Node,
-    disk: Option<Kept>,
+    node: TreeNode,
+    disk: Option<Snapshot>,
     applied: Applied,
-    putting: Option<(Version, Vec<Resource>)>,
-    calls: Option<usize>,
-    link: Option<Child>,
-    life: u64,
+    applying: Option<(Version, Vec<Resource>)>,
+    connecting_to: Option<usize>,
+    link: Option<ChildId>,
+    incarnation: u64,
 }
 
-/// Shared between states until it changes, with its hash once that was asked for.
+/// A part of a state that is shared between states until it changes, with its hash once that was computed.
 #[derive(Clone)]
-struct Part<T>(Rc<(T, Cell<Option<u64>>)>);
+struct SharedPart<T>(Rc<(T, Cell<Option<u64>>)>);
 
-impl<T> Part<T> {
-    fn new(what: T) -> Part<T> {
-        Part(Rc::new((what, Cell::new(None))))
+impl<T> SharedPart<T> {
+    fn new(value: T) -> SharedPart<T> {
+        SharedPart(Rc::new((value, Cell::new(None))))
     }
 }
 
-impl<T> Deref for Part<T> {
+impl<T> Deref for SharedPart<T> {
     type Target = T;
     fn deref(&self) -> &T {
         &self.0.0
     }
 }
 
-impl<T: Clone> DerefMut for Part<T> {
+impl<T: Clone> DerefMut for SharedPart<T> {
     fn deref_mut(&mut self) -> &mut T {
         let part = Rc::make_mut(&mut self.0);
         part.1.set(None);
@@ -77,7 +77,7 @@
     }
 }
 
-impl<T: Hash> Hash for Part<T> {
+impl<T: Hash> Hash for SharedPart<T> {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         let hash = self.0.1.get().unwrap_or_else(|| digest(&self.0.0));
         self.0.1.set(Some(hash));
@@ -88,39 +88,39 @@
 #[derive(Clone, Hash)]
 struct State {
     now: Nanos,
-    processes: Vec<Part<Process>>,
-    links: BTreeMap<Child, Part<Link>>,
-    next: Child,
+    processes: Vec<SharedPart<Process>>,
+    links: BTreeMap<ChildId, SharedPart<Link>>,
+    next_link: ChildId,
     published: u64,
     budget: Budget,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Choice {
-    Up(Child),
-    Down(Child),
-    Answer(usize),
-    Force(usize),
+    DeliverUp(ChildId),
+    DeliverDown(ChildId),
+    AnswerConnect(usize),
+    FinishApply(usize),
     Publish,
     Restart(usize, bool),
-    Cut(Child),
-    LoseUp(Child),
-    LoseDown(Child),
-    Time,
+    BreakLink(ChildId),
+    LoseUp(ChildId),
+    LoseDown(ChildId),
+    AdvanceTime,
 }
 
 const NAMES: [&str; 3] = ["c0", "r0", "p0"];
 
-fn which(at: usize, life: u64) -> Terms {
+fn config_of(index: usize, incarnation: u64) -> TreeNodeConfig {
     let control = vec!["c0".to_string()];
     let tiers = [vec![], vec![control.clone()], vec![vec!["r0".to_string()], control]];
-    let mut terms = terms(NAMES[at], "s0", at == 0, at == 1, tiers[at].clone());
-    terms.me.incarnation = life;
-    (terms.child_bytes_per_second, terms.control_bytes_per_second) = (1_000_000, 1_000_000);
-    terms
+    let mut config = node_config(NAMES[index], "s0", index == 0, index == 1, tiers[index].clone());
+    config.member.incarnation = incarnation;
+    (config.child_bytes_per_second, config.control_bytes_per_second) = (1_000_000, 1_000_000);
+    config
 }
 
-/// What each version changes: one is refused, one takes two parts and removes something.
+/// The changes of each version. Version 2 takes two parts and removes a resource; all after it are refused.
 fn change(number: u64) -> Vec<Resource> {
     let version = Version { epoch: 1, number };
     let resource = |name: &str, patch: Option<String>| Resource {
@@ -137,401 +137,438 @@
 }
 
 thread_local! {
-    /// All changes up to a version, by that.
+    /// All changes up to each version, indexed by its number.
     static SETTLED: [BTreeMap<Version, Vec<Resource>>; 4] = std::array::from_fn(|until| {
         (1..=until as u64).map(|number| (Version { epoch: 1, number }, change(number))).collect()
     });
 }
 
-fn settled<R>(until: u64, how: impl FnOnce(&BTreeMap<Version, Vec<Resource>>) -> R) -> R {
-    SETTLED.with(|settled| how(&settled[until as usize]))
+fn settled<R>(until: u64, call: impl FnOnce(&BTreeMap<Version, Vec<Resource>>) -> R) -> R {
+    SETTLED.with(|settled| call(&settled[until as usize]))
 }
 
-fn acts() -> Acts {
-    Acts { acts: Vec::new(), chance: Chance(5) }
+fn recording_host() -> RecordingHost {
+    RecordingHost { calls: Vec::new(), rng: Rng(5) }
 }
 
 impl State {
     fn new(budget: Budget) -> State {
-        let mut state =
-            State { now: 0, processes: Vec::new(), links: BTreeMap::new(), next: 1, published: 0, budget };
-        for at in 0..3 {
-            let mut host = acts();
-            let node = Node::start(0, which(at, 1), None, &mut host);
+        let mut state = State {
+            now: 0,
+            processes: Vec::new(),
+            links: BTreeMap::new(),
+            next_link: 1,
+            published: 0,
+            budget,
+        };
+        for index in 0..3 {
+            let mut host = recording_host();
+            let node = TreeNode::start(0, config_of(index, 1), None, &mut host);
             let process = Process {
                 node,
                 disk: None,
                 applied: Applied::new(),
-                putting: None,
-                calls: None,
+                applying: None,
+                connecting_to: None,
                 link: None,
-                life: 1,
+                incarnation: 1,
             };
-            state.processes.push(Part::new(process));
+            state.processes.push(SharedPart::new(process));
         }
-        state.with(0, |node, now, host| {
-            node.root_is(now, Some("c0"), host);
+        state.with_node(0, |node, now, host| {
+            node.set_root(now, Some("c0"), host);
             node.publish(now, Version { epoch: 1, number: 0 }, vec![], host);
         });
-        // They have found each other.
-        state.fair();
+        // Runs until all processes are connected.
+        state.run_fair();
         state
     }
 
-    fn with(&mut self, at: usize, how: impl FnOnce(&mut Node, Nanos, &mut Acts)) {
-        let mut host = acts();
-        let before = self.processes[at].node.holds();
-        how(&mut self.processes[at].node, self.now, &mut host);
-        assert!(self.processes[at].node.holds() >= before, "{} went back from {before}", NAMES[at]);
-        self.act(at, host.acts);
+    fn with_node(&mut self, index: usize, call: impl FnOnce(&mut TreeNode, Nanos, &mut RecordingHost)) {
+        let mut host = recording_host();
+        let before = self.processes[index].node.version();
+        call(&mut self.processes[index].node, self.now, &mut host);
+        assert!(self.processes[index].node.version() >= before, "{} went back from {before}", NAMES[index]);
+        self.perform(index, host.calls);
     }
 
-    fn act(&mut self, at: usize, acts: Vec<Act>) {
-        for act in acts {
-            let link = self.processes[at].link;
-            match act {
-                Act::Dial(name) => self.processes[at].calls = NAMES.iter().position(|other| *other == name),
-                Act::HangUp => {
-                    self.processes[at].calls = None;
-                    if let Some(link) = self.processes[at].link.take() {
-                        self.end(link, 0);
+    fn perform(&mut self, index: usize, calls: Vec<HostCall>) {
+        for call in calls {
+            let link = self.processes[index].link;
+            match call {
+                HostCall::ConnectParent(name) => {
+                    self.processes[index].connecting_to = NAMES.iter().position(|other| *other == name)
+                }
+                HostCall::DisconnectParent => {
+                    self.processes[index].connecting_to = None;
+                    if let Some(link) = self.processes[index].link.take() {
+                        self.close_link(link, 0);
                     }
                 }
-                Act::Up(message) => {
-                    if let Up::Sum(sum) = &message {
-                        self.check(at, sum);
+                HostCall::SendToParent(message) => {
+                    if let ChildMessage::Summary(summary) = &message {
+                        self.check_summary(index, summary);
                     }
                     if let Some(link) = link.and_then(|link| self.links.get_mut(&link)) {
                         link.up.push_back(Some(message));
                     }
                 }
-                Act::Down(child, message) => {
+                HostCall::SendToChild(child, message) => {
                     let Some(link) = self.links.get_mut(&child) else { continue };
-                    if let Down::Delta { version, last, .. } = &message {
-                        let before = link.part.replace(last.then_some(*version));
-                        assert_eq!(before, None, "a second part on its way");
+                    if let ParentMessage::Delta { version, last, .. } = &message {
+                        let previous = link.part_in_flight.replace(last.then_some(*version));
+                        assert_eq!(previous, None, "a part was sent before the last one was answered");
                     }
                     link.down.push_back(Some(message));
                 }
-                Act::Drop(child) => self.end(child, 1),
-                Act::Put(version, resources) => {
-                    let before = self.processes[at].putting.replace((version, resources));
-                    assert_eq!(before, None, "asked to put in force while that is done");
+                HostCall::DisconnectChild(child) => self.close_link(child, 1),
+                HostCall::Apply(version, resources) => {
+                    let previous = self.processes[index].applying.replace((version, resources));
+                    assert_eq!(previous, None, "asked to apply resources while others are being applied");
                 }
-                Act::Keep(kept) => {
-                    let version = kept.version;
-                    self.processes[at].disk = Some(kept);
-                    self.with(at, |node, now, host| node.kept(now, version, host));
+                HostCall::Persist(snapshot) => {
+                    let version = snapshot.version;
+                    self.processes[index].disk = Some(snapshot);
+                    self.with_node(index, |node, now, host| node.persisted(now, version, host));
                 }
             }
         }
     }
 
-    fn end(&mut self, link: Child, side: usize) {
-        let Some(one) = self.links.get_mut(&link) else { return };
-        one.ends[side] = false;
+    fn close_link(&mut self, link: ChildId, side: usize) {
+        let Some(link_state) = self.links.get_mut(&link) else { return };
+        link_state.open[side] = false;
         if side == 0 {
-            one.up.push_back(None)
+            link_state.up.push_back(None)
         } else {
-            one.down.push_back(None)
+            link_state.down.push_back(None)
         }
-        if one.ends == [false, false] {
+        if link_state.open == [false, false] {
             self.links.remove(&link);
         }
     }
 
-    fn check(&self, at: usize, sum: &Sum) {
-        let process = &self.processes[at];
-        let place = which(at, 1).place;
-        let me = Member { name: NAMES[at].into(), incarnation: process.life };
-        if let Some(wrong) =
-            settled(self.published, |settled| claims(&me, &place, &process.applied, sum, settled))
-        {
-            panic!("{wrong}");
+    fn check_summary(&self, index: usize, summary: &Summary) {
+        let process = &self.processes[index];
+        let location = config_of(index, 1).location;
+        let member = Member { name: NAMES[index].into(), incarnation: process.incarnation };
+        if let Some(violation) = settled(self.published, |settled| {
+            false_claim(&member, &location, &process.applied, summary, settled)
+        }) {
+            panic!("{violation}");
         }
-        for link in self.links.values().filter(|link| link.parent == at && link.ends[1]) {
-            let Some((who, below)) = &link.sum else { continue };
-            let late = |one: &Exception| one.who == *who && matches!(one.why, Why::Late | Why::Lost { .. });
-            let right = sum.in_force <= below.in_force || sum.unnamed > 0 || sum.exceptions.iter().any(late);
-            assert!(right, "{} claims {}, {} said {}", NAMES[at], sum.in_force, who.name, below.in_force);
+        for link in self.links.values().filter(|link| link.parent == index && link.open[1]) {
+            let Some((child, below)) = &link.summary else { continue };
+            let is_listed = |exception: &Exception| {
+                exception.member == *child
+                    && matches!(exception.kind, ExceptionKind::Late | ExceptionKind::Lost { .. })
+            };
+            let correct = summary.in_force <= below.in_force
+                || summary.unnamed > 0
+                || summary.exceptions.iter().any(is_listed);
+            assert!(
+                correct,
+                "{} claims {}, but its child {} reported {}",
+                NAMES[index], summary.in_force, child.name, below.in_force
+            );
         }
     }
 
-    /// What the links and hosts may do; and with a budget, what more may happen.
-    fn choices(&self, all: bool) -> Vec<Choice> {
+    /// The events that can happen next: of the links and hosts, and with faults also those that the budget allows.
+    fn choices(&self, with_faults: bool) -> Vec<Choice> {
         let mut choices = Vec::new();
-        let b = self.budget;
-        for (&at, link) in &self.links {
+        let budget = self.budget;
+        for (&id, link) in &self.links {
             if !link.up.is_empty() {
-                choices.push(Choice::Up(at));
+                choices.push(Choice::DeliverUp(id));
             }
             if !link.down.is_empty() {
-                choices.push(Choice::Down(at));
+                choices.push(Choice::DeliverDown(id));
             }
-            if all && b.cuts > 0 && link.ends == [true, true] {
-                choices.push(Choice::Cut(at));
+            if with_faults && budget.broken_links > 0 && link.open == [true, true] {
+                choices.push(Choice::BreakLink(id));
             }
-            if all && b.losses > 0 && matches!(link.up.front(), Some(Some(_))) {
-                choices.push(Choice::LoseUp(at));
+            if with_faults && budget.lost_messages > 0 && matches!(link.up.front(), Some(Some(_))) {
+                choices.push(Choice::LoseUp(id));
             }
-            if all && b.losses > 0 && matches!(link.down.front(), Some(Some(_))) {
-                choices.push(Choice::LoseDown(at));
+            if with_faults && budget.lost_messages > 0 && matches!(link.down.front(), Some(Some(_))) {
+                choices.push(Choice::LoseDown(id));
             }
         }
-        for (at, process) in self.processes.iter().enumerate() {
-            if process.calls.is_some() {
-                choices.push(Choice::Answer(at));
+        for (index, process) in self.processes.iter().enumerate() {
+            if process.connecting_to.is_some() {
+                choices.push(Choice::AnswerConnect(index));
             }
-            if process.putting.is_some() {
-                choices.push(Choice::Force(at));
+            if process.applying.is_some() {
+                choices.push(Choice::FinishApply(index));
             }
-            if all && b.restarts > 0 && at > 0 {
-                choices.push(Choice::Restart(at, true));
-                choices.push(Choice::Restart(at, false));
+            if with_faults && budget.restarts > 0 && index > 0 {
+                choices.push(Choice::Restart(index, true));
+                choices.push(Choice::Restart(index, false));
             }
         }
-        if all && self.published < b.versions {
+        if with_faults && self.published < budget.versions {
             choices.push(Choice::Publish);
         }
-        if all && b.steps > 0 {
-            choices.push(Choice::Time);
+        if with_faults && budget.time_steps > 0 {
+            choices.push(Choice::AdvanceTime);
         }
         choices
     }
 
-    fn choose(&mut self, choice: Choice) {
+    fn apply_choice(&mut self, choice: Choice) {
         match choice {
-            Choice::Up(link) => {
-                let Some(one) = self.links.get_mut(&link) else { return };
-                let Some(message) = one.up.pop_front() else { return };
-                let parent = one.parent;
-                if !one.ends[1] {
+            Choice::DeliverUp(link) => {
+                let Some(link_state) = self.links.get_mut(&link) else { return };
+                let Some(message) = link_state.up.pop_front() else { return };
+                let parent = link_state.parent;
+                if !link_state.open[1] {
                     return;
                 }
                 match &message {
                     None => {
-                        one.ends[1] = false;
+                        link_state.open[1] = false;
                         self.links.remove(&link);
-                        return self.with(parent, |node, now, host| node.child_lost(now, link, host));
+                        return self
+                            .with_node(parent, |node, now, host| node.child_disconnected(now, link, host));
                     }
-                    Some(Up::Took) => one.part = one.part.filter(|part| part.is_some()),
-                    Some(Up::Holds { version, .. }) => {
-                        one.part = one.part.filter(|part| part.is_none_or(|until| *version < until));
+                    Some(ChildMessage::PartAck) => {
+                        link_state.part_in_flight = link_state.part_in_flight.filter(|part| part.is_some())
                     }
-                    Some(Up::Sum(sum)) => {
-                        let who = Member {
-                            name: NAMES[one.child].into(),
-                            incarnation: self.processes[one.child].life,
+                    Some(ChildMessage::Holds { version, .. }) => {
+                        link_state.part_in_flight = link_state
+                            .part_in_flight
+                            .filter(|part| part.is_none_or(|until| *version < until));
+                    }
+                    Some(ChildMessage::Summary(summary)) => {
+                        let child = Member {
+                            name: NAMES[link_state.child].into(),
+                            incarnation: self.processes[link_state.child].incarnation,
                         };
-                        one.sum = Some((one.sum.take().map_or(who, |(who, _)| who), sum.clone()));
+                        link_state.summary = Some((
+                            link_state.summary.take().map_or(child, |(child, _)| child),
+                            summary.clone(),
+                        ));
                     }
                     _ => {}
                 }
                 if let Some(message) = message {
-                    self.with(parent, |node, now, host| node.child_said(now, link, message, host));
+                    self.with_node(parent, |node, now, host| node.child_message(now, link, message, host));
                 }
             }
-            Choice::Down(link) => {
-                let Some(one) = self.links.get_mut(&link) else { return };
-                let Some(message) = one.down.pop_front() else { return };
-                let child = one.child;
-                if !one.ends[0] || self.processes[child].link != Some(link) {
+            Choice::DeliverDown(link) => {
+                let Some(link_state) = self.links.get_mut(&link) else { return };
+                let Some(message) = link_state.down.pop_front() else { return };
+                let child = link_state.child;
+                if !link_state.open[0] || self.processes[child].link != Some(link) {
                     return;
                 }
                 match message {
-                    Some(message) => self.with(child, |node, now, host| node.told(now, message, host)),
+                    Some(message) => {
+                        self.with_node(child, |node, now, host| node.parent_message(now, message, host))
+                    }
                     None => {
-                        one.ends[0] = false;
-                        if !one.ends[1] {
+                        link_state.open[0] = false;
+                        if !link_state.open[1] {
                             self.links.remove(&link);
                         }
                         self.processes[child].link = None;
-                        self.with(child, |node, now, host| node.parent_lost(now, host));
+                        self.with_node(child, |node, now, host| node.parent_disconnected(now, host));
                     }
                 }
             }
-            Choice::Answer(at) => {
-                let Some(parent) = self.processes[at].calls.take() else { return };
-                let link = self.next;
-                self.next += 1;
+            Choice::AnswerConnect(index) => {
+                let Some(parent) = self.processes[index].connecting_to.take() else { return };
+                let link = self.next_link;
+                self.next_link += 1;
                 let new = Link {
-                    child: at,
+                    child: index,
                     parent,
                     up: VecDeque::new(),
                     down: VecDeque::new(),
-                    ends: [true, true],
-                    part: None,
-                    sum: None,
+                    open: [true, true],
+                    part_in_flight: None,
+                    summary: None,
                 };
-                self.links.insert(link, Part::new(new));
-                self.processes[at].link = Some(link);
-                self.with(parent, |node, now, host| node.child_up(now, link, host));
-                self.with(at, |node, now, host| node.parent_up(now, host));
+                self.links.insert(link, SharedPart::new(new));
+                self.processes[index].link = Some(link);
+                self.with_node(parent, |node, now, host| node.child_connected(now, link, host));
+                self.with_node(index, |node, now, host| node.parent_connected(now, host));
             }
-            Choice::Force(at) => {
-                let Some((version, resources)) = self.processes[at].putting.take() else { return };
-                let refused = common::apply(&mut self.processes[at].applied, resources);
-                self.with(at, |node, now, host| node.in_force(now, version, refused, host));
+            Choice::FinishApply(index) => {
+                let Some((version, resources)) = self.processes[index].applying.take() else { return };
+                let refused = common::apply(&mut self.processes[index].applied, resources);
+                self.with_node(index, |node, now, host| node.applied(now, version, refused, host));
             }
             Choice::Publish => {
                 self.published += 1;
                 let version = Version { epoch: 1, number: self.published };
                 let changes = settled(self.published, |settled| settled[&version].clone());
-                self.with(0, |node, now, host| node.publish(now, version, changes, host));
+                self.with_node(0, |node, now, host| node.publish(now, version, changes, host));
             }
-            Choice::Restart(at, disk) => {
+            Choice::Restart(index, keep_disk) => {
                 self.budget.restarts -= 1;
-                let links: Vec<Child> = self.links.keys().copied().collect();
+                let links: Vec<ChildId> = self.links.keys().copied().collect();
                 for link in links {
-                    let one = &self.links[&link];
-                    let (child, parent) = (one.child, one.parent);
-                    if child == at {
-                        self.end(link, 0);
-                    } else if parent == at {
-                        self.end(link, 1);
+                    let link_state = &self.links[&link];
+                    let (child, parent) = (link_state.child, link_state.parent);
+                    if child == index {
+                        self.close_link(link, 0);
+                    } else if parent == index {
+                        self.close_link(link, 1);
                     }
                 }
-                let life = self.processes[at].life + 1;
-                let kept = self.processes[at].disk.clone().filter(|_| disk);
-                let mut host = acts();
-                let node = Node::start(self.now, which(at, life), kept.clone(), &mut host);
+                let incarnation = self.processes[index].incarnation + 1;
+                let snapshot = self.processes[index].disk.clone().filter(|_| keep_disk);
+                let mut host = recording_host();
+                let node =
+                    TreeNode::start(self.now, config_of(index, incarnation), snapshot.clone(), &mut host);
                 let new = Process {
                     node,
-                    disk: kept,
+                    disk: snapshot,
                     applied: Applied::new(),
-                    putting: None,
-                    calls: None,
+                    applying: None,
+                    connecting_to: None,
                     link: None,
-                    life,
+                    incarnation,
                 };
-                self.processes[at] = Part::new(new);
-                self.act(at, host.acts);
+                self.processes[index] = SharedPart::new(new);
+                self.perform(index, host.calls);
             }
-            Choice::Cut(link) => {
-                self.budget.cuts -= 1;
-                let Some(one) = self.links.get_mut(&link) else { return };
-                (one.up, one.down) = (VecDeque::from([None]), VecDeque::from([None]));
+            Choice::BreakLink(link) => {
+                self.budget.broken_links -= 1;
+                let Some(link_state) = self.links.get_mut(&link) else { return };
+                (link_state.up, link_state.down) = (VecDeque::from([None]), VecDeque::from([None]));
             }
             Choice::LoseUp(link) | Choice::LoseDown(link) => {
-                self.budget.losses -= 1;
-                let Some(one) = self.links.get_mut(&link) else { return };
+                self.budget.lost_messages -= 1;
+                let Some(link_state) = self.links.get_mut(&link) else { return };
                 if matches!(choice, Choice::LoseUp(_)) {
-                    one.up.pop_front();
+                    link_state.up.pop_front();
                 } else {
-                    one.down.pop_front();
+                    link_state.down.pop_front();
                 }
             }
-            Choice::Time => {
-                self.budget.steps = self.budget.steps.saturating_sub(1);
-                self.pass();
+            Choice::AdvanceTime => {
+                self.budget.time_steps = self.budget.time_steps.saturating_sub(1);
+                self.advance_time();
             }
         }
     }
 
-    /// To what is due next, all of it.
-    fn pass(&mut self) {
+    /// Advances time to whatever is due next and runs everything that is due then.
+    fn advance_time(&mut self) {
         let due = self.processes.iter().map(|process| process.node.due()).min().unwrap_or(0);
         self.now = self.now.max(due);
-        for at in 0..self.processes.len() {
-            if self.processes[at].node.due() <= self.now {
-                self.with(at, |node, now, host| node.tick(now, host));
+        for index in 0..self.processes.len() {
+            if self.processes[index].node.due() <= self.now {
+                self.with_node(index, |node, now, host| node.tick(now, host));
             }
         }
     }
 
-    fn agreed(&self) -> bool {
+    fn converged(&self) -> bool {
         let version = Version { epoch: 1, number: self.published };
-        let newest = |settled: &_| written(settled, version).into_values().cloned().collect();
+        let newest = |settled: &_| last_writes(settled, version).into_values().cloned().collect();
         let newest: Vec<Resource> = settled(self.published, newest);
-        let there = |process: &Part<Process>| {
-            let mut held = process.node.resources().filter(|one| one.patch.is_some());
-            process.node.holds() == version
-                && held.all(|one| newest.contains(one))
+        let has_newest = |process: &SharedPart<Process>| {
+            let mut held = process.node.resources().filter(|resource| resource.patch.is_some());
+            process.node.version() == version
+                && held.all(|resource| newest.contains(resource))
                 && newest
                     .iter()
-                    .filter(|one| one.patch.is_some())
-                    .all(|one| process.node.resources().any(|held| held == one))
+                    .filter(|resource| resource.patch.is_some())
+                    .all(|resource| process.node.resources().any(|held| held == resource))
         };
-        let sum = self.processes[0].node.sum(self.now);
-        let lost = sum.exceptions.iter().filter(|one| matches!(one.why, Why::Lost { .. })).count();
-        sum.in_force == version && sum.members as usize - lost == 3 && self.processes.iter().all(there)
+        let summary = self.processes[0].node.summary(self.now);
+        let lost = summary
+            .exceptions
+            .iter()
+            .filter(|exception| matches!(exception.kind, ExceptionKind::Lost { .. }))
+            .count();
+        summary.in_force == version
+            && summary.members as usize - lost == 3
+            && self.processes.iter().all(has_newest)
     }
 
-    /// Nothing more goes wrong, and everything gets there.
-    fn fair(&mut self) {
-        let until = self.now + FAIR;
+    /// Runs without further faults until all processes have converged; panics if that takes too long.
+    fn run_fair(&mut self) {
+        let until = self.now + FAIR_RUN_LIMIT;
         while self.now < until {
             while let Some(choice) = self.choices(false).first() {
-                self.choose(*choice);
+                self.apply_choice(*choice);
             }
-            if self.agreed() {
+            if self.converged() {
                 return;
             }
-            self.pass();
+            self.advance_time();
         }
-        let all: Vec<String> =
-            self.processes.iter().map(|process| format!("{}", process.node.holds())).collect();
-        panic!("not agreed: {all:?}, {:?}", self.processes[0].node.sum(self.now));
+        let versions: Vec<String> =
+            self.processes.iter().map(|process| format!("{}", process.node.version())).collect();
+        panic!("not converged: {versions:?}, {:?}", self.processes[0].node.summary(self.now));
     }
 }
 
-fn digest(what: &impl Hash) -> u64 {
+fn digest(value: &impl Hash) -> u64 {
     let mut hasher = FxHasher::default();
-    what.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// All states, and how many of them are ends.
+/// The number of reachable states, and how many of them are final.
 fn explore(budget: Budget) -> (usize, usize) {
-    let mut seen = FxHashSet::default();
-    let mut ends = 0;
-    let mut open = vec![State::new(budget)];
-    while let Some(state) = open.pop() {
-        if !seen.insert(digest(&state)) {
+    let mut visited = FxHashSet::default();
+    let mut final_states = 0;
+    let mut unexplored = vec![State::new(budget)];
+    while let Some(state) = unexplored.pop() {
+        if !visited.insert(digest(&state)) {
             continue;
         }
         let choices = state.choices(true);
         if choices.is_empty() {
-            ends += 1;
-            state.clone().fair();
+            final_states += 1;
+            state.clone().run_fair();
         }
         for choice in choices {
             let mut next = state.clone();
-            next.choose(choice);
-            open.push(next);
+            next.apply_choice(choice);
+            unexplored.push(next);
         }
     }
-    (seen.len(), ends)
+    (visited.len(), final_states)
 }
 
 #[test]
-fn all_orders_of_a_bounded_world() {
-    let none = Budget { versions: 2, restarts: 0, cuts: 0, losses: 0, steps: 0 };
+fn all_orders_of_events_in_a_small_fleet_converge() {
+    let no_faults = Budget { versions: 2, restarts: 0, broken_links: 0, lost_messages: 0, time_steps: 0 };
     let mut budgets = vec![
-        none,
-        Budget { restarts: 1, ..none },
-        Budget { cuts: 1, ..none },
-        Budget { losses: 1, ..none },
-        Budget { versions: 3, ..none },
-        Budget { versions: 1, restarts: 1, steps: 1, ..none },
-        Budget { versions: 1, cuts: 1, steps: 1, ..none },
-        Budget { versions: 1, losses: 1, steps: 1, ..none },
-        Budget { versions: 1, restarts: 1, losses: 1, ..none },
+        no_faults,
+        Budget { restarts: 1, ..no_faults },
+        Budget { broken_links: 1, ..no_faults },
+        Budget { lost_messages: 1, ..no_faults },
+        Budget { versions: 3, ..no_faults },
+        Budget { versions: 1, restarts: 1, time_steps: 1, ..no_faults },
+        Budget { versions: 1, broken_links: 1, time_steps: 1, ..no_faults },
+        Budget { versions: 1, lost_messages: 1, time_steps: 1, ..no_faults },
+        Budget { versions: 1, restarts: 1, lost_messages: 1, ..no_faults },
     ];
-    // Minutes more, with DEEP in the environment.
+    // The environment variable DEEP adds larger budgets, which take minutes.
     if std::env::var("DEEP").is_ok() {
         budgets = vec![
-            Budget { steps: 1, ..none },
-            Budget { restarts: 1, losses: 1, ..none },
-            Budget { restarts: 1, cuts: 1, ..none },
-            Budget { losses: 1, steps: 1, ..none },
-            Budget { versions: 1, restarts: 1, cuts: 1, losses: 1, ..none },
-            Budget { versions: 1, losses: 1, steps: 2, ..none },
+            Budget { time_steps: 1, ..no_faults },
+            Budget { restarts: 1, lost_messages: 1, ..no_faults },
+            Budget { restarts: 1, broken_links: 1, ..no_faults },
+            Budget { lost_messages: 1, time_steps: 1, ..no_faults },
+            Budget { versions: 1, restarts: 1, broken_links: 1, lost_messages: 1, ..no_faults },
+            Budget { versions: 1, lost_messages: 1, time_steps: 2, ..no_faults },
         ];
     }
     for budget in budgets {
         let begin = std::time::Instant::now();
-        let (states, ends) = explore(budget);
-        println!("{budget:?}: {states} states, {ends} ends, {} ms", begin.elapsed().as_millis());
+        let (states, final_states) = explore(budget);
+        println!(
+            "{budget:?}: {states} states, {final_states} final states, {} ms",
+            begin.elapsed().as_millis()
+        );
     }
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,7 +1,7 @@
 //! Who there is and where: control machines first, then proxies; names, places and ways.
 
 use super::plan::Plan;
-use pumicebay_carrier::{Member, Nanos, Place, Scope, Terms};
+use pumicebay_carrier::{Location, Member, Nanos, Scope, TreeNodeConfig};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
@@ -18,7 +18,7 @@
 pub struct Site {
     pub name: String,
     pub role: Role,
-    pub place: Place,
+    pub place: Location,
     pub region: usize,
     pub zone: usize,
     /// Control machines have sites of their own.
@@ -34,7 +34,7 @@
 }
 
 pub fn everyone(plan: &Plan) -> Vec<Site> {
-    let place = |region: usize, zone: &str, site: &str| Place {
+    let place = |region: usize, zone: &str, site: &str| Location {
         region: format!("region-{region:02}"),
         zone: zone.into(),
         site: site.into(),
@@ -72,7 +72,7 @@
     format!("proxy-{:03}-{:02}", at % plan.sites, at / plan.sites)
 }
 
-pub fn terms(plan: &Plan, sites: &[Site], at: usize, incarnation: u64) -> Terms {
+pub fn terms(plan: &Plan, sites: &[Site], at: usize, incarnation: u64) -> TreeNodeConfig {
     let who = &sites[at];
     let control: Vec<String> = sites[..plan.control].iter().map(|site| site.name.clone()).collect();
     let relays: Vec<String> =
@@ -83,19 +83,19 @@
         Role::Proxy if relays.is_empty() => vec![control],
         Role::Proxy => vec![relays, control],
     };
-    Terms {
-        me: Member { name: who.name.clone(), incarnation },
-        place: who.place.clone(),
-        control: who.role == Role::Control,
-        relay: who.role == Role::Relay,
-        tiers,
-        children: plan.children,
+    TreeNodeConfig {
+        member: Member { name: who.name.clone(), incarnation },
+        location: who.place.clone(),
+        is_control: who.role == Role::Control,
+        is_relay: who.role == Role::Relay,
+        parent_tiers: tiers,
+        max_children: plan.children,
         child_bytes_per_second: plan.child_bytes_per_second,
         control_bytes_per_second: 1_000_000,
         control_part_bytes: 48 * 1024,
         control_machines: Vec::new(),
         part_bytes: plan.part_bytes,
-        named: plan.named,
+        max_exceptions: plan.named,
     }
 }
 
--- a/crates/lab/src/scale/outcome.rs
+++ b/crates/lab/src/scale/outcome.rs
@@ -4,7 +4,7 @@
 use super::report::{Cost, Found, LIMIT, Traffic, times};
 use super::truth::AIM;
 use super::virt::World;
-use pumicebay_carrier::{Nanos, Node, Scope};
+use pumicebay_carrier::{Nanos, Scope, TreeNode};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -83,7 +83,7 @@
     fn sum_at_end(&self) -> (u32, u32) {
         let root = self.root().and_then(|at| Some((at, self.procs[at].node.as_ref()?)));
         root.map_or((0, 0), |(at, node)| {
-            let sum = node.sum(self.procs[at].clock.local(self.end));
+            let sum = node.summary(self.procs[at].clock.local(self.end));
             (sum.members, sum.exceptions.len() as u32 + sum.unnamed)
         })
     }
@@ -99,7 +99,7 @@
     fn traffic(&self) -> BTreeMap<String, Traffic> {
         let mut all: BTreeMap<String, Traffic> = BTreeMap::new();
         let procs = (0..self.procs.len()).map(|who| {
-            let children = self.procs[who].node.as_ref().map_or(0, Node::children);
+            let children = self.procs[who].node.as_ref().map_or(0, TreeNode::child_count);
             (self.lasting_role(who), self.sites[who].name.clone(), &self.procs[who].meter, children)
         });
         let voters = (0..self.voter_meters.len())
@@ -166,7 +166,7 @@
 }
 
 /// In bytes, about: resources stand in a map by name and in one by version, those that concern the process in one more.
-fn state(node: &Node) -> usize {
+fn state(node: &TreeNode) -> usize {
     let resources = node.resources().map(|resource| {
         let scope = match &resource.scope {
             Scope::Fleet => 0,
@@ -176,7 +176,7 @@
         let keys = scope + resource.name.len();
         resource.patch.as_ref().map_or(0, |patch| patch.len()) + 4 * keys + 3 * ENTRY
     });
-    size_of::<Node>() + resources.sum::<usize>() + node.children() * CHILD
+    size_of::<TreeNode>() + resources.sum::<usize>() + node.child_count() * CHILD
 }
 
 fn resident() -> u64 {
--- a/crates/lab/src/scale/truth.rs
+++ b/crates/lab/src/scale/truth.rs
@@ -1,6 +1,6 @@
 //! What is in force where, as it truly is, and whether what is said of it holds.
 
-use pumicebay_carrier::{Nanos, Scope, Sum, Version};
+use pumicebay_carrier::{Nanos, Scope, Summary, Version};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -222,15 +222,21 @@
     }
 
     /// What the root says of the whole: does it hold? `all`: processes that are to be counted.
-    pub fn claimed(&mut self, now: Nanos, sum: &Sum, all: usize, concerns: &dyn Fn(usize, &Scope) -> bool) {
+    pub fn claimed(
+        &mut self,
+        now: Nanos,
+        sum: &Summary,
+        all: usize,
+        concerns: &dyn Fn(usize, &Scope) -> bool,
+    ) {
         let excepted: BTreeSet<usize> = sum
             .exceptions
             .iter()
-            .filter_map(|exception| self.names.get(&exception.who.name).copied())
+            .filter_map(|exception| self.names.get(&exception.member.name).copied())
             .collect();
         for exception in &sum.exceptions {
-            if let (pumicebay_carrier::Why::Refused { .. }, Some(&who)) =
-                (&exception.why, self.names.get(&exception.who.name))
+            if let (pumicebay_carrier::ExceptionKind::Refused { .. }, Some(&who)) =
+                (&exception.kind, self.names.get(&exception.member.name))
             {
                 self.refusal_named.entry(who).or_insert(now);
             }
--- a/crates/lab/src/scale/virt/changes.rs
+++ b/crates/lab/src/scale/virt/changes.rs
@@ -2,7 +2,7 @@
 
 use super::super::fleet::{self};
 use super::{Event, OFFER_AGAIN, Offered, POLL, World};
-use pumicebay_carrier::{Change, Nanos, Outcome};
+use pumicebay_carrier::{Change, ChangeOutcome, Nanos};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
@@ -63,13 +63,13 @@
         let changes: Vec<Change> = self.offered[number].changes.iter().map(change).collect();
         self.controls[root].offers.insert(number as u64);
         self.publisher(root, |publisher, now, host| {
-            publisher.offered(now, number as u64, changes, host);
+            publisher.propose(now, number as u64, changes, host);
         });
     }
 
-    pub(super) fn outcome_of(&mut self, number: usize, outcome: Outcome) {
+    pub(super) fn outcome_of(&mut self, number: usize, outcome: ChangeOutcome) {
         match outcome {
-            Outcome::Settled(version) => {
+            ChangeOutcome::Settled(version) => {
                 let Offered { ref changes, first, measured } = self.offered[number];
                 for key in changes.iter().map(|(key, _)| *key).collect::<Vec<_>>() {
                     let scope = &self.truth.keys[key].scope;
@@ -79,11 +79,11 @@
                     self.truth.settled(self.now, key, first, version, &whom, measured);
                 }
             }
-            Outcome::Refused(_) => {
+            ChangeOutcome::Refused(_) => {
                 self.answered_full += 1;
                 self.at(self.now + OFFER_AGAIN, Event::Offer(number));
             }
-            Outcome::Unknown => {
+            ChangeOutcome::Unknown => {
                 self.offers_again += 1;
                 self.at(self.now + OFFER_AGAIN, Event::Offer(number));
             }
@@ -95,7 +95,7 @@
         let Some(root) = self.root() else { return };
         let one = &self.procs[root];
         let Some(node) = &one.node else { return };
-        let sum = node.sum(one.clock.local(self.now));
+        let sum = node.summary(one.clock.local(self.now));
         let all = self.procs.len();
         let sites = &self.sites;
         self.truth.claimed(self.now, &sum, all, &|who, scope| fleet::concerns(&sites[who], scope));
--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -4,7 +4,7 @@
 use super::super::truth::Applied;
 use super::hosts::{Act, Acts};
 use super::{Event, LEAST, LOOK, LinkId, SAMPLED, World, size};
-use pumicebay_carrier::{Child, Down, Nanos, Node, Resource, Version};
+use pumicebay_carrier::{ChildId, Nanos, ParentMessage, Resource, TreeNode, Version};
 use rand::RngExt;
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -64,7 +64,9 @@
                 let (parent, open) = (self.links[id as usize].parent, self.links[id as usize].parent_open);
                 if open {
                     self.received(parent, size(&message));
-                    self.node(parent, |node, now, host| node.child_said(now, Child::from(id), message, host));
+                    self.node(parent, |node, now, host| {
+                        node.child_message(now, ChildId::from(id), message, host)
+                    });
                     self.confirm(parent);
                 }
             }
@@ -72,13 +74,13 @@
                 let (child, open) = (self.links[id as usize].child, self.links[id as usize].child_open);
                 if open {
                     self.received(child, size(&message));
-                    self.node(child, |node, now, host| node.told(now, message, host));
+                    self.node(child, |node, now, host| node.parent_message(now, message, host));
                 }
             }
             Event::InForce(who, life, version, applied, refused) => {
                 if self.procs[who].life == life && self.procs[who].node.is_some() {
                     self.truth.in_force(self.now, who, applied);
-                    self.node(who, |node, now, host| node.in_force(now, version, refused, host));
+                    self.node(who, |node, now, host| node.applied(now, version, refused, host));
                 }
             }
             Event::Kept(who, life, kept) => {
@@ -87,7 +89,7 @@
                     if self.procs[who].keeps {
                         self.procs[who].disk = Some(kept);
                     }
-                    self.node(who, |node, now, host| node.kept(now, version, host));
+                    self.node(who, |node, now, host| node.persisted(now, version, host));
                     self.confirm(who);
                 }
             }
@@ -168,7 +170,7 @@
     }
 
     /// Something happens to a process's node; what it asks for is carried out.
-    pub(super) fn node(&mut self, who: usize, what: impl FnOnce(&mut Node, Nanos, &mut Acts)) {
+    pub(super) fn node(&mut self, who: usize, what: impl FnOnce(&mut TreeNode, Nanos, &mut Acts)) {
         self.calls += 1;
         let timed = self.calls.is_multiple_of(SAMPLED) && self.now >= self.begin;
         let one = &mut self.procs[who];
@@ -179,7 +181,7 @@
         what(node, now, &mut host);
         let took = started.map(|started| started.elapsed());
         let acts = host.acts;
-        let holds = node.holds();
+        let holds = node.version();
         if holds < one.holds {
             self.truth.wrong.went_back += 1;
             let words = format!("{} holds {holds} after {}", self.sites[who].name, one.holds);
@@ -231,7 +233,7 @@
             }
             Act::Down(child, message) => {
                 let id = child as LinkId;
-                let amid = self.procs[who].dies_amid && matches!(message, Down::Delta { .. });
+                let amid = self.procs[who].dies_amid && matches!(message, ParentMessage::Delta { .. });
                 self.send(id, false, size(&message), Event::Down(id, message));
                 if amid {
                     self.procs[who].dies_amid = false;
--- a/crates/lab/src/scale/virt/faults.rs
+++ b/crates/lab/src/scale/virt/faults.rs
@@ -6,7 +6,7 @@
 use super::super::truth::Applied;
 use super::hosts::Acts;
 use super::{Event, LEAST, Link, LinkId, MILLI, SECOND, World};
-use pumicebay_carrier::{Nanos, Node, Version};
+use pumicebay_carrier::{Nanos, TreeNode, Version};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
@@ -194,7 +194,7 @@
         let now = one.clock.local(self.now);
         let terms = fleet::terms(self.plan, &self.sites, who, life);
         let mut host = Acts { acts: Vec::new(), random: &mut self.random, keeps: one.keeps };
-        one.node = Some(Node::start(now, terms, kept, &mut host));
+        one.node = Some(TreeNode::start(now, terms, kept, &mut host));
         let acts = host.acts;
         let seen = &mut self.truth.seen[who];
         (seen.applied, seen.born) = (Applied::default(), self.now);
--- a/crates/lab/src/scale/virt/hosts.rs
+++ b/crates/lab/src/scale/virt/hosts.rs
@@ -1,6 +1,8 @@
 //! What nodes and publishers ask for, noted down in order.
 
-use pumicebay_carrier::{Child, Down, Host, Kept, Outcome, PublisherHost, Resource, Up, Version};
+use pumicebay_carrier::{
+    ChangeOutcome, ChildId, ChildMessage, Host, ParentMessage, PublisherHost, Resource, Snapshot, Version,
+};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
@@ -8,11 +10,11 @@
 pub(super) enum Act {
     Dial(String),
     HangUp,
-    Up(Up),
-    Down(Child, Down),
-    Drop(Child),
+    Up(ChildMessage),
+    Down(ChildId, ParentMessage),
+    Drop(ChildId),
     Force(Version, Vec<Resource>),
-    Keep(Kept),
+    Keep(Snapshot),
 }
 
 pub(super) struct Acts<'a> {
@@ -22,33 +24,33 @@
 }
 
 impl Host for Acts<'_> {
-    fn dial(&mut self, parent: &str) {
+    fn connect_parent(&mut self, parent: &str) {
         self.acts.push(Act::Dial(parent.into()));
     }
-    fn hang_up(&mut self) {
+    fn disconnect_parent(&mut self) {
         self.acts.push(Act::HangUp);
     }
-    fn send_up(&mut self, message: Up) {
+    fn send_to_parent(&mut self, message: ChildMessage) {
         self.acts.push(Act::Up(message));
     }
-    fn send_down(&mut self, child: Child, message: Down) {
+    fn send_to_child(&mut self, child: ChildId, message: ParentMessage) {
         self.acts.push(Act::Down(child, message));
     }
-    fn drop_child(&mut self, child: Child) {
+    fn disconnect_child(&mut self, child: ChildId) {
         self.acts.push(Act::Drop(child));
     }
-    fn put_in_force(&mut self, version: Version, resources: Vec<Resource>) {
+    fn apply(&mut self, version: Version, resources: Vec<Resource>) {
         self.acts.push(Act::Force(version, resources));
     }
-    fn keep(&mut self, kept: &Kept) {
+    fn persist(&mut self, kept: &Snapshot) {
         // Of a disk that is never read again the version is enough.
         let kept = match self.keeps {
             true => kept.clone(),
-            false => Kept { version: kept.version, ..Kept::default() },
+            false => Snapshot { version: kept.version, ..Snapshot::default() },
         };
         self.acts.push(Act::Keep(kept));
     }
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.random.random_range(0.0..1.0)
     }
 }
@@ -57,7 +59,7 @@
     Read,
     Write(String, u64),
     Publish(Version, Vec<Resource>),
-    Answer(u64, Outcome),
+    Answer(u64, ChangeOutcome),
     GiveBack,
 }
 
@@ -65,19 +67,19 @@
 pub(super) struct PublisherActs(pub(super) Vec<PublisherAct>);
 
 impl PublisherHost for PublisherActs {
-    fn read(&mut self) {
+    fn read_record(&mut self) {
         self.0.push(PublisherAct::Read);
     }
-    fn write(&mut self, text: String, version: u64) {
+    fn write_record(&mut self, text: String, version: u64) {
         self.0.push(PublisherAct::Write(text, version));
     }
     fn publish(&mut self, version: Version, resources: Vec<Resource>) {
         self.0.push(PublisherAct::Publish(version, resources));
     }
-    fn answer(&mut self, number: u64, outcome: Outcome) {
+    fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
         self.0.push(PublisherAct::Answer(number, outcome));
     }
-    fn give_back(&mut self) {
+    fn release_lease(&mut self) {
         self.0.push(PublisherAct::GiveBack);
     }
 }
--- a/crates/lab/src/scale/virt/links.rs
+++ b/crates/lab/src/scale/virt/links.rs
@@ -3,7 +3,7 @@
 use super::super::fleet::{self, Spot};
 use super::super::meter::{HELLO, OPENING, segments};
 use super::{BEAT, Event, Link, LinkId, Proc, SECOND, SILENT, World};
-use pumicebay_carrier::{Child, Nanos};
+use pumicebay_carrier::{ChildId, Nanos};
 use rand::RngExt;
 
 impl World<'_> {
@@ -74,7 +74,7 @@
         self.procs[parent].down.insert(id);
         self.procs[parent].meter.link(now, true);
         self.at(now + way, Event::Connected(id));
-        self.node(parent, |node, now, host| node.child_up(now, Child::from(id), host));
+        self.node(parent, |node, now, host| node.child_connected(now, ChildId::from(id), host));
     }
 
     pub(super) fn connected(&mut self, id: LinkId) {
@@ -88,7 +88,7 @@
             self.orphans.push((self.now - since) as f64 / 1e9);
             *self.herd.entry((self.deaths, parent)).or_default() += 1;
         }
-        self.node(child, |node, now, host| node.parent_up(now, host));
+        self.node(child, |node, now, host| node.parent_connected(now, host));
     }
 
     /// This end takes the link for gone, and the other end is told unless it can't be.
@@ -136,9 +136,9 @@
     pub(super) fn gone_at(&mut self, id: LinkId, child: bool) {
         let Link { child: below, parent, .. } = self.links[id as usize];
         if child {
-            self.node(below, |node, now, host| node.parent_lost(now, host));
+            self.node(below, |node, now, host| node.parent_disconnected(now, host));
         } else {
-            self.node(parent, |node, now, host| node.child_lost(now, Child::from(id), host));
+            self.node(parent, |node, now, host| node.child_disconnected(now, ChildId::from(id), host));
         }
     }
 
--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -19,7 +19,7 @@
 use super::report::{Cost, Found};
 use super::truth::{Applied, Key, Seen, Truth};
 use pumicebay_accord::{Answer, Ask, Message, Store};
-use pumicebay_carrier::{Down, Kept, Nanos, Node, Scope, Up, Version};
+use pumicebay_carrier::{ChildMessage, Nanos, ParentMessage, Scope, Snapshot, TreeNode, Version};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -59,10 +59,10 @@
     Gone(LinkId, bool),
     /// The same by silence, if what silenced it still lasts.
     Silent(LinkId, bool),
-    Up(LinkId, Up),
-    Down(LinkId, Down),
+    Up(LinkId, ChildMessage),
+    Down(LinkId, ParentMessage),
     InForce(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
-    Kept(usize, u64, Kept),
+    Kept(usize, u64, Snapshot),
     Vote(Store, Store, Message),
     Ask(usize, Ask),
     Answer(Answer),
@@ -96,13 +96,13 @@
 }
 
 pub(super) struct Proc {
-    pub(super) node: Option<Node>,
+    pub(super) node: Option<TreeNode>,
     life: u64,
     pub(super) clock: Clock,
     wake: Nanos,
     ticked: Nanos,
-    disk: Option<Kept>,
-    old: Option<Kept>,
+    disk: Option<Snapshot>,
+    old: Option<Snapshot>,
     /// Whether its disk is ever read again.
     keeps: bool,
     up: Option<LinkId>,
--- a/crates/lab/src/scale/virt/publishing.rs
+++ b/crates/lab/src/scale/virt/publishing.rs
@@ -4,7 +4,7 @@
 use super::hosts::{PublisherAct, PublisherActs};
 use super::{Event, LEAST, SAMPLED, World};
 use pumicebay_accord::Want;
-use pumicebay_carrier::{Nanos, Publisher, Version, Written};
+use pumicebay_carrier::{Nanos, Publisher, Version, WriteOutcome};
 use std::time::Instant;
 
 impl World<'_> {
@@ -36,7 +36,7 @@
                     let now = self.procs[at].clock.local(self.now);
                     let Some(token) = self.controls[at].holding.may(now, 0) else {
                         self.publisher(at, |publisher, now, host| {
-                            publisher.written(now, Written::Refused, host);
+                            publisher.record_written(now, WriteOutcome::Refused, host);
                         });
                         continue;
                     };
@@ -88,10 +88,10 @@
             return;
         }
         let Some(node) = &self.procs[at].node else { return };
-        let mut versions: Vec<Version> = node.confirmed().map(|(_, version)| version).collect();
+        let mut versions: Vec<Version> = node.persisted_versions().map(|(_, version)| version).collect();
         versions.sort_unstable_by(|one, other| other.cmp(one));
         if let Some(&majority) = versions.get(self.plan.control / 2) {
-            self.publisher(at, |publisher, now, host| publisher.confirmed(now, majority, host));
+            self.publisher(at, |publisher, now, host| publisher.majority_persisted(now, majority, host));
         }
     }
 
--- a/crates/lab/src/scale/virt/voting.rs
+++ b/crates/lab/src/scale/virt/voting.rs
@@ -5,7 +5,7 @@
 use super::hosts::PublisherActs;
 use super::{Event, LEAST, SAMPLED, UNANSWERED, World, size};
 use pumicebay_accord::{Answer, Reply, Store, Want};
-use pumicebay_carrier::{Nanos, Publisher, Written};
+use pumicebay_carrier::{Nanos, Publisher, WriteOutcome};
 use rand::RngExt;
 use std::time::Instant;
 
@@ -94,10 +94,10 @@
             // Who publishes has no parent, and needs none.
             (self.procs[at].published, self.procs[at].orphan) = (true, None);
             let name = self.sites[at].name.clone();
-            self.node(at, |node, now, host| node.root_is(now, Some(&name), host));
+            self.node(at, |node, now, host| node.set_root(now, Some(&name), host));
             self.published(at, acts);
         } else {
-            self.node(at, |node, now, host| node.root_is(now, None, host));
+            self.node(at, |node, now, host| node.set_root(now, None, host));
         }
     }
 
@@ -166,31 +166,31 @@
                     let name = holder.name.clone();
                     // Its own last life may still have the lease.
                     let root = (name != self.sites[at].name).then_some(name);
-                    self.node(at, |node, now, host| node.root_is(now, root.as_deref(), host));
+                    self.node(at, |node, now, host| node.set_root(now, root.as_deref(), host));
                 }
             }
             For::Read => {
                 let Some(node) = &self.procs[at].node else { return };
-                let holds = node.holds();
+                let holds = node.version();
                 match reply {
                     Reply::Record(record) => {
                         let record = record.clone();
                         self.publisher(at, |publisher, now, host| {
                             let entry = record.0.values.get("carrier");
                             let entry = entry.map(|entry| (entry.text.as_str(), entry.version));
-                            publisher.read(now, record.0.founded, entry, holds, host);
+                            publisher.record_read(now, record.0.founded, entry, holds, host);
                         });
                     }
-                    _ => self.publisher(at, |publisher, now, host| publisher.read_failed(now, host)),
+                    _ => self.publisher(at, |publisher, now, host| publisher.record_read_failed(now, host)),
                 }
             }
             For::Write => {
                 let written = match reply {
-                    Reply::Written(version) => Written::Done(*version),
-                    Reply::Refused(_) | Reply::Denied(..) => Written::Refused,
-                    _ => Written::Unknown,
+                    Reply::Written(version) => WriteOutcome::Committed(*version),
+                    Reply::Refused(_) | Reply::Denied(..) => WriteOutcome::Refused,
+                    _ => WriteOutcome::Unknown,
                 };
-                self.publisher(at, |publisher, now, host| publisher.written(now, written, host));
+                self.publisher(at, |publisher, now, host| publisher.record_written(now, written, host));
             }
         }
     }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -128,10 +128,10 @@
 fn a_fault_planted_in_the_carrier_is_found() {
     let mut plan = shipped("small.toml");
     plan.apply_ms = 1500.0;
-    let found = pumicebay_carrier::Fault::ALL.map(|fault| {
-        pumicebay_carrier::plant(Some(fault));
+    let found = pumicebay_carrier::InjectedFault::ALL.map(|fault| {
+        pumicebay_carrier::inject_fault(Some(fault));
         let wrong: Vec<_> = (1..=2).map(|seed| virt::play(&plan, seed).0.wrong).collect();
-        pumicebay_carrier::plant(None);
+        pumicebay_carrier::inject_fault(None);
         (fault, wrong)
     });
     let sound = (1..=2).map(|seed| virt::play(&plan, seed).0.wrong.all()).sum::<usize>();
--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -12,8 +12,8 @@
 use crate::fleet::wire::{CarrierStatus, Frame};
 use pumicebay_accord::{Held, Reply};
 use pumicebay_carrier::{
-    Change, Child, Down, Host, Kept, Member, Nanos, Node, Outcome, Place, Publisher, Resource, Scope, Terms,
-    Up, Version,
+    Change, ChangeOutcome, ChildId, ChildMessage, Host, Location, Member, Nanos, ParentMessage, Publisher,
+    Resource, Scope, Snapshot, TreeNode, TreeNodeConfig, Version,
 };
 use std::collections::{HashMap, VecDeque};
 use std::fmt::{Display, Formatter};
@@ -54,11 +54,11 @@
 enum Act {
     Dial(String),
     HangUp,
-    Up(Up),
-    Down(Child, Down),
-    Drop(Child),
+    Up(ChildMessage),
+    Down(ChildId, ParentMessage),
+    Drop(ChildId),
     PutInForce(Version, Vec<Resource>),
-    Keep(Kept),
+    Keep(Snapshot),
 }
 
 /// What the node asks for, in its order.
@@ -68,28 +68,28 @@
 }
 
 impl Host for Acts {
-    fn dial(&mut self, parent: &str) {
+    fn connect_parent(&mut self, parent: &str) {
         self.acts.push_back(Act::Dial(parent.into()));
     }
-    fn hang_up(&mut self) {
+    fn disconnect_parent(&mut self) {
         self.acts.push_back(Act::HangUp);
     }
-    fn send_up(&mut self, message: Up) {
+    fn send_to_parent(&mut self, message: ChildMessage) {
         self.acts.push_back(Act::Up(message));
     }
-    fn send_down(&mut self, child: Child, message: Down) {
+    fn send_to_child(&mut self, child: ChildId, message: ParentMessage) {
         self.acts.push_back(Act::Down(child, message));
     }
-    fn drop_child(&mut self, child: Child) {
+    fn disconnect_child(&mut self, child: ChildId) {
         self.acts.push_back(Act::Drop(child));
     }
-    fn put_in_force(&mut self, version: Version, resources: Vec<Resource>) {
+    fn apply(&mut self, version: Version, resources: Vec<Resource>) {
         self.acts.push_back(Act::PutInForce(version, resources));
     }
-    fn keep(&mut self, kept: &Kept) {
+    fn persist(&mut self, kept: &Snapshot) {
         self.acts.push_back(Act::Keep(kept.clone()));
     }
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.random.rand_float()
     }
 }
@@ -101,7 +101,7 @@
     /// Of a control machine.
     pub asker: Option<Asker>,
     /// To the disk, where there is one.
-    pub keep: Option<watch::Sender<Option<Kept>>>,
+    pub keep: Option<watch::Sender<Option<Snapshot>>>,
     /// Gives the lease back.
     pub give_back: mpsc::Sender<()>,
     pub tell: watch::Sender<Told>,
@@ -111,13 +111,13 @@
     me: Me,
     config: Arc<CarrierConfig>,
     ways: Ways,
-    node: Node,
+    node: TreeNode,
     acts: Acts,
     parent: Option<Parent>,
     dials: u64,
     /// How many of them came to nothing since a link was up.
     vain: u32,
-    children: HashMap<Child, mpsc::Sender<Down>>,
+    children: HashMap<ChildId, mpsc::Sender<ParentMessage>>,
     publisher: Option<(Publisher, publish::Host)>,
     publishers: u64,
     since: Nanos,
@@ -128,7 +128,7 @@
     started: Nanos,
 }
 
-fn terms(me: &Me, config: &CarrierConfig) -> Terms {
+fn terms(me: &Me, config: &CarrierConfig) -> TreeNodeConfig {
     let names = |of: &std::collections::BTreeMap<String, _>| -> Vec<String> {
         of.keys().filter(|name| **name != me.who.name).cloned().collect()
     };
@@ -138,38 +138,38 @@
         Part::Relay => vec![names(&config.control)],
         Part::Leaf => vec![names(&config.relays), names(&config.control)],
     };
-    Terms {
-        me: Member { name: me.who.name.clone(), incarnation: me.who.incarnation },
-        place: place(me, config),
-        control: part == Part::Control,
-        relay: part == Part::Relay,
-        tiers,
-        children: config.children,
+    TreeNodeConfig {
+        member: Member { name: me.who.name.clone(), incarnation: me.who.incarnation },
+        location: place(me, config),
+        is_control: part == Part::Control,
+        is_relay: part == Part::Relay,
+        parent_tiers: tiers,
+        max_children: config.children,
         child_bytes_per_second: config.bytes_per_second,
         control_bytes_per_second: CONTROL_BYTES_PER_SECOND,
         control_part_bytes: CONTROL_PART_BYTES,
         control_machines: names(&config.control),
         part_bytes: PART_BYTES,
-        named: NAMED,
+        max_exceptions: NAMED,
     }
 }
 
-pub fn place(me: &Me, config: &CarrierConfig) -> Place {
-    Place { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
+pub fn place(me: &Me, config: &CarrierConfig) -> Location {
+    Location { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
 }
 
 /// Runs as long as the process lives.
 pub async fn run(
     me: Me,
     config: Arc<CarrierConfig>,
-    kept: Option<Kept>,
+    kept: Option<Snapshot>,
     ways: Ways,
     events: mpsc::Receiver<Event>,
 ) {
     let random = oorandom::Rand64::new(u128::from(draw()));
     let mut acts = Acts { acts: VecDeque::new(), random };
     let started = me.clock.now();
-    let node = Node::start(started, terms(&me, &config), kept, &mut acts);
+    let node = TreeNode::start(started, terms(&me, &config), kept, &mut acts);
     let mut actor = Actor {
         me,
         config,
@@ -208,44 +208,46 @@
         match event {
             Event::ChildUp(child, mailbox) => {
                 self.children.insert(child, mailbox);
-                node.child_up(now, child, acts);
+                node.child_connected(now, child, acts);
             }
             Event::ChildSaid(child, up) if self.children.contains_key(&child) => {
-                node.child_said(now, child, up, acts);
+                node.child_message(now, child, up, acts);
             }
             Event::ChildLost(child) if self.children.remove(&child).is_some() => {
-                node.child_lost(now, child, acts);
+                node.child_disconnected(now, child, acts);
             }
             Event::ParentUp(number) if dialled == Some(number) => {
                 self.vain = 0;
-                node.parent_up(now, acts);
+                node.parent_connected(now, acts);
+            }
+            Event::ParentSaid(number, down) if dialled == Some(number) => {
+                node.parent_message(now, down, acts)
             }
-            Event::ParentSaid(number, down) if dialled == Some(number) => node.told(now, down, acts),
             Event::ParentLost(number) if dialled == Some(number) => {
                 self.parent = None;
-                node.parent_lost(now, acts);
+                node.parent_disconnected(now, acts);
             }
             // Of a link that was given up.
             Event::ChildSaid(..) | Event::ChildLost(_) => {}
             Event::ParentUp(_) | Event::ParentSaid(..) | Event::ParentLost(_) => {}
-            Event::InForce(version, refused) => node.in_force(now, version, refused, acts),
-            Event::Reread => node.reread(now, acts),
-            Event::Kept(version) => node.kept(now, version, acts),
+            Event::InForce(version, refused) => node.applied(now, version, refused, acts),
+            Event::Reread => node.reapply(now, acts),
+            Event::Kept(version) => node.persisted(now, version, acts),
             Event::Lease(held, holder) => self.lease(now, held, holder),
             Event::Read(number, reply) => self.publisher_read(now, number, &reply),
             Event::Written(number, reply) => {
                 if let Some((publisher, host)) =
                     self.publisher.as_mut().filter(|(_, host)| host.number == number)
                 {
-                    publisher.written(now, publish::written(reply), host);
+                    publisher.record_written(now, publish::written(reply), host);
                 }
             }
             Event::Offer(number, changes, link) => self.offered(number, changes, link),
             Event::Checked(number, changes, link, checked) => match (checked, &mut self.publisher) {
-                (Err(why), _) => _ = link.try_send(Frame::Offered(number, Outcome::Refused(why))),
+                (Err(why), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(why))),
                 (Ok(()), Some((publisher, host))) => {
                     let number = host.waits(number, link);
-                    publisher.offered(now, number, changes, host);
+                    publisher.propose(now, number, changes, host);
                 }
                 (Ok(()), None) => _ = link.try_send(self.status()),
             },
@@ -289,15 +291,15 @@
                     if self.parent.as_ref().is_some_and(full) {
                         // It does not read: as good as gone.
                         self.parent = None;
-                        self.node.parent_lost(self.me.clock.now(), &mut self.acts);
+                        self.node.parent_disconnected(self.me.clock.now(), &mut self.acts);
                     }
                 }
                 Act::Down(child, down) => {
-                    let full = |mailbox: &mpsc::Sender<Down>| mailbox.try_send(down).is_err();
+                    let full = |mailbox: &mpsc::Sender<ParentMessage>| mailbox.try_send(down).is_err();
                     if self.children.get(&child).is_some_and(full) {
                         tracing::info!("carrier: a child that does not read is dropped");
                         self.children.remove(&child);
-                        self.node.child_lost(self.me.clock.now(), child, &mut self.acts);
+                        self.node.child_disconnected(self.me.clock.now(), child, &mut self.acts);
                     }
                 }
                 Act::Drop(child) => _ = self.children.remove(&child),
@@ -322,7 +324,7 @@
     fn publisher_acts(&mut self) {
         let now = self.now();
         let Some((publisher, host)) = &mut self.publisher else { return };
-        publisher.confirmed(now, self.node.majority(self.config.control.len()), host);
+        publisher.majority_persisted(now, self.node.majority_version(self.config.control.len()), host);
         for act in std::mem::take(&mut host.acts) {
             match act {
                 publish::Act::Publish(version, resources) => {
@@ -333,7 +335,7 @@
                     self.publisher = None;
                     let _ = self.ways.give_back.try_send(());
                     self.root = None;
-                    return self.node.root_is(now, None, &mut self.acts);
+                    return self.node.set_root(now, None, &mut self.acts);
                 }
             }
         }
@@ -345,7 +347,7 @@
             tracing::info!("carrier: {} publishes", root.as_deref().unwrap_or("nobody that is known"));
             self.root = root;
         }
-        self.node.root_is(now, self.root.as_deref(), &mut self.acts);
+        self.node.set_root(now, self.root.as_deref(), &mut self.acts);
         self.end_publisher();
         if let (Some(held), Some(asker)) = (held, &self.ways.asker) {
             (self.publishers, self.since) = (self.publishers + 1, now);
@@ -363,7 +365,7 @@
     }
 
     fn publisher_read(&mut self, now: Nanos, number: u64, reply: &Reply) {
-        let holds = self.node.holds();
+        let holds = self.node.version();
         let Some((publisher, host)) = self.publisher.as_mut().filter(|(_, host)| host.number == number)
         else {
             return;
@@ -371,9 +373,9 @@
         match reply {
             Reply::Record(record) => {
                 let (epoch, entry) = publish::entry(record);
-                publisher.read(now, epoch, entry, holds, host);
+                publisher.record_read(now, epoch, entry, holds, host);
             }
-            _ => publisher.read_failed(now, host),
+            _ => publisher.record_read_failed(now, host),
         }
     }
 
@@ -403,11 +405,11 @@
             name: self.me.who.name.clone(),
             publisher: self.root.clone(),
             publishes: self.publisher.as_ref().map(|_| now.saturating_sub(self.since)),
-            holds: self.node.holds(),
+            holds: self.node.version(),
             age: self.node.age(now),
-            sum: self.node.sum(now),
+            sum: self.node.summary(now),
             queue: self.publisher.as_ref().map_or(0, |(_, host)| host.waiting.len() as u64),
-            children: self.node.children() as u64,
+            children: self.node.child_count() as u64,
         }))
     }
 
@@ -415,7 +417,7 @@
     fn tell(&mut self, now: Nanos) {
         let age = self.node.age(now);
         let known = age.and_then(|age| Instant::now().checked_sub(Duration::from_nanos(age)));
-        let holds = self.node.holds();
+        let holds = self.node.version();
         self.ways.tell.send_replace(Told { holds, known });
         let old = age.unwrap_or(now.saturating_sub(self.started)) > OLD;
         if old != self.old {
@@ -450,10 +452,10 @@
 }
 
 /// What of the kept set concerns this process, in the order in which it is laid.
-pub fn concerning(me: &str, place: Place, resources: &[Resource]) -> Vec<Resource> {
+pub fn concerning(me: &str, place: Location, resources: &[Resource]) -> Vec<Resource> {
     let interest = pumicebay_carrier::Interest::Proxy(place, me.into());
     let mut all: Vec<Resource> =
-        resources.iter().filter(|resource| interest.wants(&resource.scope)).cloned().collect();
+        resources.iter().filter(|resource| interest.includes(&resource.scope)).cloned().collect();
     apply::in_order(&mut all);
     all
 }
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -7,7 +7,7 @@
 use crate::fleet::config::FleetConfig;
 use crate::fleet::wire::{CARRIER, CarrierStatus, Frame};
 use anyhow::{Context, Result, bail, ensure};
-use pumicebay_carrier::{Change, Exception, Outcome, Version, Why};
+use pumicebay_carrier::{Change, ChangeOutcome, Exception, ExceptionKind, Version};
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -105,9 +105,9 @@
         ensure!(json.is_object(), "{}: expected an object, found {json}", file.unwrap_or_default());
     }
     let version = match offer(fleet, Change { scope, name: name.into(), patch }).await? {
-        Outcome::Settled(version) => version,
-        Outcome::Refused(why) => bail!("refused: {why}"),
-        Outcome::Unknown => {
+        ChangeOutcome::Settled(version) => version,
+        ChangeOutcome::Refused(why) => bail!("refused: {why}"),
+        ChangeOutcome::Unknown => {
             eprintln!("pumicebay: whether it was written is not known; see pumicebay fleet changes");
             return Ok(ExitCode::from(NOT_YET));
         }
@@ -119,12 +119,12 @@
     }
 }
 
-async fn offer(fleet: &FleetConfig, change: Change) -> Result<Outcome> {
+async fn offer(fleet: &FleetConfig, change: Change) -> Result<ChangeOutcome> {
     let (until, mut offered) = (Instant::now() + PATIENCE, false);
     loop {
         let (mut called, _) = match publisher(fleet, until.saturating_duration_since(Instant::now())).await {
             Ok(found) => found,
-            Err(_) if offered => return Ok(Outcome::Unknown),
+            Err(_) if offered => return Ok(ChangeOutcome::Unknown),
             Err((_, why)) => bail!("nothing was written: {why}"),
         };
         let answer = called.ask(Frame::Offer(1, vec![change.clone()]), SETTLES, |frame| match frame {
@@ -137,7 +137,7 @@
             Ok(None) => {}
             // A publisher that lost its lease amid the write does not know. The same change once more is only a newer
             // version of it.
-            Ok(Some(Outcome::Unknown)) => offered = true,
+            Ok(Some(ChangeOutcome::Unknown)) => offered = true,
             Ok(Some(outcome)) => return Ok(outcome),
             Err(error) => {
                 eprintln!("pumicebay: {error:#}; asked again");
@@ -145,7 +145,7 @@
             }
         }
         if offered && Instant::now() >= until {
-            return Ok(Outcome::Unknown);
+            return Ok(ChangeOutcome::Unknown);
         }
         sleep(AGAIN).await;
     }
@@ -159,7 +159,7 @@
         match publisher(fleet, left).await {
             Ok((mut called, mut status)) => loop {
                 let sum = &status.sum;
-                let refused = |exception: &Exception| matches!(exception.why, Why::Refused { .. });
+                let refused = |exception: &Exception| matches!(exception.kind, ExceptionKind::Refused { .. });
                 let all = gathered(&status) && sum.in_force >= version && sum.unnamed == 0;
                 if all && sum.exceptions.is_empty() {
                     return Ok(ExitCode::SUCCESS);
@@ -209,14 +209,14 @@
 fn shown(status: &CarrierStatus) -> Json {
     let CarrierStatus { name, publisher, publishes, holds, age, sum, queue, children } = status;
     let exception = |exception: &Exception| {
-        let why = match &exception.why {
-            Why::Refused { scope, resource, version, reason } => {
+        let why = match &exception.kind {
+            ExceptionKind::Refused { scope, resource, version, reason } => {
                 format!("refused {resource} for {scope}, of {version}: {reason}")
             }
-            Why::Late => "late".into(),
-            Why::Lost { .. } => "lost".into(),
+            ExceptionKind::Late => "late".into(),
+            ExceptionKind::Lost { .. } => "lost".into(),
         };
-        json!({"name": exception.who.name, "in_force": exception.in_force.to_string(), "why": why})
+        json!({"name": exception.member.name, "in_force": exception.in_force.to_string(), "why": why})
     };
     json!({
         "version": holds.to_string(), "publisher": publisher, "said_by": name,
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -3,7 +3,7 @@
 use crate::fleet::carrier::door::{Door, Event};
 use crate::fleet::sealed::Sealed;
 use anyhow::{Context, Result};
-use pumicebay_carrier::Kept;
+use pumicebay_carrier::Snapshot;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
@@ -16,25 +16,25 @@
 };
 
 /// What was kept there, if anything; why not, if it can't be read.
-pub fn read(folder: &Path) -> Result<Option<Kept>> {
+pub fn read(folder: &Path) -> Result<Option<Snapshot>> {
     let Some(bytes) = FILE.read(folder)? else { return Ok(None) };
     decode(&bytes).map(Some).with_context(|| folder.join(FILE.name).display().to_string())
 }
 
 /// Writes what comes, the newest only, as long as the process lives.
-pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Kept>>, door: Door) {
-    let written = |kept: Kept| {
+pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, door: Door) {
+    let written = |kept: Snapshot| {
         let door = door.clone();
         async move { _ = door.say(Event::Kept(kept.version)).await }
     };
     FILE.keep_newest("carrier", folder, newest, written).await;
 }
 
-pub fn encode(kept: &Kept) -> Result<Vec<u8>> {
+pub fn encode(kept: &Snapshot) -> Result<Vec<u8>> {
     FILE.encode(kept)
 }
 
 /// What a file says, or why it can't be trusted.
-pub fn decode(bytes: &[u8]) -> Result<Kept> {
+pub fn decode(bytes: &[u8]) -> Result<Snapshot> {
     FILE.decode(bytes)
 }
--- a/crates/proxy/src/fleet/carrier/door.rs
+++ b/crates/proxy/src/fleet/carrier/door.rs
@@ -3,7 +3,7 @@
 use crate::fleet::carrier::apply::Refusal;
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{Held, Reply};
-use pumicebay_carrier::{Change, Child, Down, Up, Version};
+use pumicebay_carrier::{Change, ChildId, ChildMessage, ParentMessage, Version};
 use tokio::sync::mpsc;
 
 const MAILBOX: usize = 1024;
@@ -11,12 +11,12 @@
 /// What can happen to the carrier.
 pub enum Event {
     /// A child's link is up; what it is told goes into this mailbox.
-    ChildUp(Child, mpsc::Sender<Down>),
-    ChildSaid(Child, Up),
-    ChildLost(Child),
+    ChildUp(ChildId, mpsc::Sender<ParentMessage>),
+    ChildSaid(ChildId, ChildMessage),
+    ChildLost(ChildId),
     /// Of the dial with this number.
     ParentUp(u64),
-    ParentSaid(u64, Down),
+    ParentSaid(u64, ParentMessage),
     ParentLost(u64),
     /// What was put in force, and what was not.
     InForce(Version, Vec<Refusal>),
