--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -6,7 +6,7 @@
 use crate::fleet::me::Me;
 use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
 use anyhow::{Context, Result, ensure};
-use pumicebay_carrier::{Child, Down, Up};
+use pumicebay_carrier::{ChildId, ChildMessage, ParentMessage};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -39,7 +39,7 @@
     Hello::new(&me.config.name, &me.who, Role::Proxy, None)
 }
 
-async fn serve(me: &Me, door: &Door, stream: TcpStream, number: Child) -> Result<()> {
+async fn serve(me: &Me, door: &Door, stream: TcpStream, number: ChildId) -> Result<()> {
     let (mut link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.to_string();
     ensure!(link.speaks() >= CARRIER, "{name} speaks links up to {}, not {CARRIER}", link.speaks());
@@ -61,14 +61,14 @@
     door: &Door,
     link: &mut Link,
     other: &Hello,
-    number: Child,
-    mut mailbox: mpsc::Receiver<Down>,
+    number: ChildId,
+    mut mailbox: mpsc::Receiver<ParentMessage>,
 ) -> Result<()> {
     let said = |down| Frame::Down(Box::new(down));
     while let Some(frame) = link.hear(&mut mailbox, said).await? {
         let Frame::Up(up) = frame else { continue };
-        if let Up::Subscribe { who, .. } = &*up {
-            let who = &who.member;
+        if let ChildMessage::Subscribe { attachment, .. } = &*up {
+            let who = &attachment.member;
             let same = who.name == other.who.name && who.incarnation == other.who.incarnation;
             ensure!(same, "subscribes as {}, and said hello as {}", who.name, other.who);
         }
@@ -96,7 +96,7 @@
     /// Of the dial: what comes of an earlier one counts no more.
     pub number: u64,
     pub name: String,
-    pub ups: mpsc::Sender<Up>,
+    pub ups: mpsc::Sender<ChildMessage>,
     task: AbortHandle,
 }
 
@@ -130,7 +130,7 @@
     number: u64,
     name: &str,
     at: Option<SocketAddr>,
-    mut mailbox: mpsc::Receiver<Up>,
+    mut mailbox: mpsc::Receiver<ChildMessage>,
     up: &mut bool,
 ) -> Result<()> {
     let at = at.context("fleet.carrier has no such control machine or relay")?;
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -29,13 +29,13 @@
 use crate::fleet::carrier::config::CarrierConfig;
 use crate::fleet::carrier::door::Door;
 use crate::fleet::me::Me;
-use pumicebay_carrier::{Kept, Place};
+use pumicebay_carrier::{Location, Snapshot};
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinSet, spawn_blocking};
 
 /// What was kept, if anything can be read, and that laid over the file.
-pub async fn kept(file: &Config) -> (Option<Kept>, Option<Laid>) {
+pub async fn kept(file: &Config) -> (Option<Snapshot>, Option<Laid>) {
     let Some(fleet) = &file.fleet else { return (None, None) };
     let Some(carrier) = &fleet.carrier else { return (None, None) };
     let Some(folder) = carrier.folder.clone() else { return (None, None) };
@@ -52,9 +52,9 @@
         }
     };
     let place =
-        Place { region: carrier.region.clone(), zone: fleet.zone.clone(), site: carrier.site.clone() };
+        Location { region: carrier.region.clone(), zone: fleet.zone.clone(), site: carrier.site.clone() };
     let resources = actor::concerning(&file.name, place, &kept.resources);
-    let laid = apply::lay(file, &resources, &kept.good);
+    let laid = apply::lay(file, &resources, &kept.last_good);
     let (version, used, of) = (kept.version, laid.good.len(), resources.len());
     tracing::info!("carrier: starts with version {version} as it was kept, {used} of {of} resources");
     for (scope, name, why) in &laid.refused {
@@ -70,7 +70,7 @@
     config: Arc<CarrierConfig>,
     asker: Option<Asker>,
     layer: Layer,
-    kept: Option<Kept>,
+    kept: Option<Snapshot>,
     tell: watch::Sender<Told>,
 ) -> (Door, impl Future<Output = ()> + use<>) {
     let mut actors = JoinSet::new();
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -5,7 +5,7 @@
 use crate::fleet::lease::Lease;
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{Held, Reply, Shared, Token, Want};
-use pumicebay_carrier::{Outcome, PublisherHost, Resource, Version, Written};
+use pumicebay_carrier::{ChangeOutcome, PublisherHost, Resource, Version, WriteOutcome};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -53,13 +53,13 @@
     /// Whoever still waits is told that it is not known.
     pub fn end(&mut self) {
         for (command, link) in std::mem::take(&mut self.waiting).into_values() {
-            let _ = link.try_send(Frame::Offered(command, Outcome::Unknown));
+            let _ = link.try_send(Frame::Offered(command, ChangeOutcome::Unknown));
         }
     }
 }
 
 impl PublisherHost for Host {
-    fn read(&mut self) {
+    fn read_record(&mut self) {
         let (asker, door, number) = (self.asker.clone(), self.door.clone(), self.number);
         tokio::spawn(async move {
             let reply = asker.want(Want::Read, PATIENCE).await;
@@ -67,7 +67,7 @@
         });
     }
 
-    fn write(&mut self, text: String, version: u64) {
+    fn write_record(&mut self, text: String, version: u64) {
         let (asker, door, number) = (self.asker.clone(), self.door.clone(), self.number);
         let fence = Some((NAME.into(), self.token));
         let want = Want::Put { name: NAME.into(), text, version: Some(version), fence };
@@ -81,13 +81,13 @@
         self.acts.push(Act::Publish(version, resources));
     }
 
-    fn answer(&mut self, number: u64, outcome: Outcome) {
+    fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
         if let Some((command, link)) = self.waiting.remove(&number) {
             let _ = link.try_send(Frame::Offered(command, outcome));
         }
     }
 
-    fn give_back(&mut self) {
+    fn release_lease(&mut self) {
         self.acts.push(Act::GiveBack);
     }
 }
@@ -98,14 +98,14 @@
     (record.0.founded, entry)
 }
 
-pub fn written(reply: Reply) -> Written {
+pub fn written(reply: Reply) -> WriteOutcome {
     match reply {
-        Reply::Written(version) => Written::Done(version),
+        Reply::Written(version) => WriteOutcome::Committed(version),
         Reply::Refused(why) => {
             tracing::warn!("carrier: the record was not written: {why}");
-            Written::Refused
+            WriteOutcome::Refused
         }
-        _ => Written::Unknown,
+        _ => WriteOutcome::Unknown,
     }
 }
 
--- a/crates/proxy/src/fleet/wire.rs
+++ b/crates/proxy/src/fleet/wire.rs
@@ -7,7 +7,7 @@
 use pumicebay_accord::{
     Answer, Ask, Holder, LARGEST, Message, Name, Nanos, Record, Seen, Shared, Standing, Store, Token,
 };
-use pumicebay_carrier::{Change, Down, Outcome, Sum, Up, Version};
+use pumicebay_carrier::{Change, ChangeOutcome, ChildMessage, ParentMessage, Summary, Version};
 use pumicebay_replication::{Message as Replicated, Stamp, Status as ReplicationStatus};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -120,11 +120,11 @@
     Bye,
     // Since version 2:
     /// What a child of the carrier says to its parent, and a parent to its child.
-    Up(Box<Up>),
-    Down(Box<Down>),
+    Up(Box<ChildMessage>),
+    Down(Box<ParentMessage>),
     /// Changes of configuration, to the control machine that publishes; with their number, which the answer bears.
     Offer(u64, Vec<Change>),
-    Offered(u64, Outcome),
+    Offered(u64, ChangeOutcome),
     /// Asks a control machine what it knows of changes; also its answer to an offer where another publishes.
     Carrier,
     CarrierIs(Box<CarrierStatus>),
@@ -170,7 +170,7 @@
     /// How long ago the publisher is known to have held just this; `None` where it never was.
     pub age: Option<Nanos>,
     /// What is in force at it and below it: of the publisher, everywhere.
-    pub sum: Sum,
+    pub sum: Summary,
     /// Offered and not settled yet.
     pub queue: u64,
     pub children: u64,
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -9,7 +9,7 @@
 use pumicebay::fleet::carrier::{apply, disk};
 use pumicebay::fleet::wire::{Frame, Hello, Role};
 use pumicebay_accord::Holder;
-use pumicebay_carrier::{Attachment, Interest, Kept, Member, Resource, Scope, Up, Version};
+use pumicebay_carrier::{Attachment, ChildMessage, Interest, Member, Resource, Scope, Snapshot, Version};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -179,7 +179,12 @@
     // What can't be read ends its link, and nothing else.
     let (c1, who) = (&fleet.section["carrier"]["control"]["c1"], Holder { name: "x".into(), incarnation: 1 });
     let foreign = Attachment { member: Member { name: "y".into(), incarnation: 1 }, number: 1 };
-    let up = Up::Subscribe { who: foreign, wants: Interest::All, holds: Version::default(), digest: 0 };
+    let up = ChildMessage::Subscribe {
+        attachment: foreign,
+        interest: Interest::All,
+        version: Version::default(),
+        digest: 0,
+    };
     let up = postcard::to_stdvec(&Frame::Up(Box::new(up))).unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
     for bytes in [framed(&[99, 1, 2]), vec![255; 8], framed(&[]), framed(&up), framed(&up)[..9].to_vec()] {
@@ -321,7 +326,7 @@
 #[test]
 fn a_kept_file_is_whole_or_known_not_to_be() {
     let resources = vec![resource(Scope::Fleet, "a", 3, "{}")];
-    let kept = Kept { version: Version { epoch: 7, number: 3 }, resources, ..Kept::default() };
+    let kept = Snapshot { version: Version { epoch: 7, number: 3 }, resources, ..Snapshot::default() };
     let whole = disk::encode(&kept).unwrap();
     assert_eq!(disk::decode(&whole).unwrap(), kept);
     for at in 0..whole.len() {
