--- a/crates/carrier/src/apply_state.rs
+++ b/crates/carrier/src/apply_state.rs
@@ -8,8 +8,8 @@
 use crate::store::{Key, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of refused resources that are reported for each member, and the number of characters of each reason. Both are
-/// limited because summaries are sent once a second and share the link with everything else.
+/// The number of refused resources that are reported for each member, and the number of characters of each
+/// reason. Both are limited because summaries are sent once a second and share the link with everything else.
 const MAX_REPORTED_REFUSALS: usize = 4;
 const MAX_REASON_CHARS: usize = 100;
 
@@ -33,8 +33,8 @@
     pending: Option<PendingApply>,
     /// The local configuration under the resources has changed since they were last applied.
     reapply: bool,
-    /// The refused version of each refused resource and the reason, until another version of the resource is in force or the
-    /// resource is removed.
+    /// The refused version of each refused resource and the reason, until another version of the resource is
+    /// in force or the resource is removed.
     refused: BTreeMap<Key, (Version, String)>,
     /// The last good version of each refused resource.
     last_good: BTreeMap<Key, Resource>,
@@ -52,14 +52,14 @@
         self.last_good.values().cloned().collect()
     }
 
-    /// Records that the local configuration under the resources has changed: refused resources may be accepted now, and
-    /// accepted ones may be refused.
+    /// Records that the local configuration under the resources has changed: refused resources may be
+    /// accepted now, and accepted ones may be refused.
     pub fn request_reapply(&mut self) {
         self.reapply = true;
     }
 
-    /// Asks the process to apply the newest resources after the held ones or the applied ones have changed. Only one request
-    /// is under way at a time.
+    /// Asks the process to apply the newest resources after the held ones or the applied ones have changed.
+    /// Only one request is under way at a time.
     pub fn request_apply(
         &mut self,
         now: Nanos,
@@ -93,7 +93,8 @@
                 self.refused.retain(|key, _| still_refused.contains(key));
             } else {
                 self.reapply = false;
-                // A full set can replace the content of the same version: what was reported as in force no longer holds.
+                // A full set can replace the content of the same version: what was reported as in force no
+                // longer holds.
                 if self.in_force >= store.version {
                     let number = store.version.number.saturating_sub(1);
                     self.in_force = Version { number, ..store.version };
@@ -111,8 +112,9 @@
             if self.in_force < store.version { self.behind_since.or(Some(now)) } else { None };
     }
 
-    /// Records that the process has this version in force, except for the refused resources, of which the previous versions
-    /// stay in force. Returns whether this version had been requested, and whether the last good versions have changed.
+    /// Records that the process has this version in force, except for the refused resources, of which the
+    /// previous versions stay in force. Returns whether this version had been requested, and whether the last
+    /// good versions have changed.
     pub fn finish_apply(
         &mut self,
         now: Nanos,
@@ -125,14 +127,15 @@
         let refused = refused.into_iter().map(|(scope, name, reason)| ((scope, name), reason));
         let refused: Vec<_> =
             refused.filter_map(|(key, reason)| Some((resources.remove(&key)?, key, reason))).collect();
-        // A resource whose newest version is in force needs no last good version. That of a resource that is still refused
-        // stays.
+        // A resource whose newest version is in force needs no last good version. That of a resource that is
+        // still refused stays.
         self.last_good.retain(|key, _| !resources.contains_key(key) || still_refused.contains(key));
         self.refused.retain(|key, _| still_refused.contains(key));
         for (resource, key, reason) in refused {
             let previous = self.applied.remove(&key);
             if self.last_good.get(&key) == Some(&resource) {
-                // The process refuses the last good version too, for instance after an update: there is none left.
+                // The process refuses the last good version too, for instance after an update: there is none
+                // left.
                 self.last_good.remove(&key);
             } else {
                 let reason = reason.chars().take(MAX_REASON_CHARS).collect();
--- a/crates/carrier/src/children.rs
+++ b/crates/carrier/src/children.rs
@@ -9,16 +9,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const HEARTBEAT_INTERVAL: Nanos = SECOND;
-/// Sent bytes count against a child's bytes per second for somewhat longer than a second, since messages that were sent
-/// apart can arrive closer together.
+/// Sent bytes count against a child's bytes per second for somewhat longer than a second, since messages that
+/// were sent apart can arrive closer together.
 const BANDWIDTH_WINDOW: Nanos = SECOND + SECOND / 4;
-/// A heartbeat that moves a child to a newer version without changes for it is sent early, but not sooner than this after
-/// the last heartbeat.
+/// A heartbeat that moves a child to a newer version without changes for it is sent early, but not sooner
+/// than this after the last heartbeat.
 const MIN_HEARTBEAT_INTERVAL: Nanos = 250 * MILLISECOND;
-/// A child that sends nothing for so long, or does not answer a part within it, is disconnected: it takes a place that other
-/// children need.
+/// A child that sends nothing for so long, or does not answer a part within it, is disconnected: it takes a
+/// place that other children need.
 const STALL_TIMEOUT: Nanos = 10 * SECOND;
-/// No part is made smaller than this, in bytes, because the bytes of a second are used up; it is sent later instead.
+/// No part is made smaller than this, in bytes, because the bytes of a second are used up; it is sent later
+/// instead.
 pub(crate) const MIN_PART_BYTES: usize = 1_024;
 /// The maximum size of a part without its resources and of a heartbeat, in bytes.
 const PART_OVERHEAD_BYTES: usize = 64;
@@ -47,9 +48,11 @@
     /// The oldest version that is held here but not in force there, and since when.
     pub behind: Option<(Version, Nanos)>,
     transfer: Option<Transfer>,
-    /// A part without an answer: the version that the child holds after it if it is the last part, and when it was sent.
+    /// A part without an answer: the version that the child holds after it if it is the last part, and when
+    /// it was sent.
     part_in_flight: Option<(Option<Version>, Nanos)>,
-    /// The version at which a full set was sent: if the digest still differs after that, sending it again would not help.
+    /// The version at which a full set was sent: if the digest still differs after that, sending it again
+    /// would not help.
     full_set_sent: Option<Version>,
     /// When how many bytes were sent within the bandwidth window.
     sent_bytes: VecDeque<(Nanos, usize)>,
@@ -67,7 +70,8 @@
     due_times: BTreeSet<(Nanos, ChildId)>,
 }
 
-/// The resources that a child is sent, the age of this process's knowledge in nanoseconds, and the child's limits.
+/// The resources that a child is sent, the age of this process's knowledge in nanoseconds, and the child's
+/// limits.
 #[derive(Clone, Copy)]
 pub(crate) struct ServeContext<'a> {
     pub store: &'a Store,
@@ -215,7 +219,8 @@
             self.begin_transfer(interest, store);
         }
         let Some(transfer) = &mut self.transfer else { return Nanos::MAX };
-        // Tombstones that were set since the transfer began may have been pruned: then only a new full set is complete.
+        // Tombstones that were set since the transfer began may have been pruned: then only a new full set is
+        // complete.
         match &mut transfer.full_set {
             Some(begun_at) if *begun_at < store.pruned => {
                 (*begun_at, transfer.cursor) = (store.version, Cursor::default());
@@ -265,8 +270,8 @@
         now + STALL_TIMEOUT
     }
 
-    /// Decides what the child is to be sent, if anything. A parent that is behind its child sends it nothing. If nothing
-    /// changed for the child, an early heartbeat moves it to the newer version.
+    /// Decides what the child is to be sent, if anything. A parent that is behind its child sends it nothing.
+    /// If nothing changed for the child, an early heartbeat moves it to the newer version.
     fn begin_transfer(&mut self, interest: &Interest, store: &Store) {
         let (version, digest) = self.held;
         let same_content = store.digest(interest) == digest;
--- a/crates/carrier/src/fault_injection.rs
+++ b/crates/carrier/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Deliberate faults that tests inject to check that they would detect them. Only builds with the feature `planted` can
-//! inject one; in all others the check is a constant `false`.
+//! Deliberate faults that tests inject to check that they would detect them. Only builds with the feature
+//! `planted` can inject one; in all others the check is a constant `false`.
 
 pub use injection::{inject_fault, is_injected};
 
--- a/crates/carrier/src/hash.rs
+++ b/crates/carrier/src/hash.rs
@@ -1,7 +1,7 @@
 //! A hash that is the same in every process and build, since digests are sent between processes.
 
-/// FNV-1a over each field preceded by its length, so that different sequences of fields never have the same input bytes.
-/// The result is mixed at the end, since digests are combined by exclusive or.
+/// FNV-1a over each field preceded by its length, so that different sequences of fields never have the same
+/// input bytes. The result is mixed at the end, since digests are combined by exclusive or.
 pub(crate) fn hash<'a>(fields: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     let mut mix_byte = |byte: u8| hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/carrier/src/node.rs
+++ b/crates/carrier/src/node.rs
@@ -1,4 +1,5 @@
-//! One process in the distribution tree: it has one parent at most, any number of children, and the resources that it holds.
+//! One process in the distribution tree: it has one parent at most, any number of children, and the resources
+//! that it holds.
 
 use crate::apply_state::ApplyState;
 use crate::children::{Children, ServeContext, Subscriber};
@@ -15,21 +16,24 @@
 
 /// What a [`TreeNode`] needs from the process that it runs in.
 pub trait Host {
-    /// Opens a connection to this parent; the result is reported by `parent_connected` or `parent_disconnected`.
+    /// Opens a connection to this parent; the result is reported by `parent_connected` or
+    /// `parent_disconnected`.
     fn connect_parent(&mut self, parent: &str);
     /// Ends the link or the pending connection to the parent; nothing is reported for it afterwards.
     fn disconnect_parent(&mut self);
+    /// Sends a message on the link to the parent.
     fn send_to_parent(&mut self, message: ChildMessage);
+    /// Sends a message on the link to a child.
     fn send_to_child(&mut self, child: ChildId, message: ParentMessage);
     /// Ends the child's link once everything before it is sent; nothing is reported for it afterwards.
     fn disconnect_child(&mut self, child: ChildId);
-    /// Puts these resources in force: all that apply to this process now, the widest scope first, then by name. The result is
-    /// reported by `applied`, and there is no second call before that. The process may refuse some of them; for those it
-    /// leaves in force what it had.
+    /// Puts these resources in force: all that apply to this process now, the widest scope first, then by
+    /// name. The result is reported by `applied`, and there is no second call before that. The process may
+    /// refuse some of them; for those it leaves in force what it had.
     fn apply(&mut self, version: Version, resources: Vec<Resource>);
-    /// Writes the snapshot to disk; reported by `persisted` once it is synced, and there is no second call before that.
-    /// Called at most four times a second. A process without a disk reports nothing: what is only in memory counts towards no
-    /// majority.
+    /// Writes the snapshot to disk; reported by `persisted` once it is synced, and there is no second call
+    /// before that. Called at most four times a second. A process without a disk reports nothing: what is
+    /// only in memory counts towards no majority.
     fn persist(&mut self, snapshot: &Snapshot);
     /// A random number between 0 and 1.
     fn random(&mut self) -> f64;
@@ -40,12 +44,13 @@
 pub struct TreeNodeConfig {
     pub member: Member,
     pub location: Location,
-    /// Whether the process is a control machine: it holds all resources, and `set_root` determines its parent.
+    /// Whether the process is a control machine: it holds all resources, and `set_root` determines its
+    /// parent.
     pub is_control: bool,
     /// Whether the process is a relay: it holds the resources of every proxy of its site.
     pub is_relay: bool,
-    /// The parent candidates: tiers are tried in the given order, the candidates of a tier in an order that differs between
-    /// processes. Not used by control machines.
+    /// The parent candidates: tiers are tried in the given order, the candidates of a tier in an order that
+    /// differs between processes. Not used by control machines.
     pub parent_tiers: Vec<Vec<Name>>,
     /// The maximum number of children, not counting control machines and relays.
     pub max_children: usize,
@@ -53,26 +58,27 @@
     pub child_bytes_per_second: u64,
     /// The maximum size of one part of a delta, in bytes.
     pub part_bytes: usize,
-    /// The same limits for children that are control machines. They are higher, since all other processes wait for the
-    /// control machines, and nothing leaves the record before a majority of them has it. Only proxies need protection from
-    /// too much traffic.
+    /// The same limits for children that are control machines. They can be higher: all other processes wait
+    /// for the control machines, and nothing leaves the record before a majority of them has it. Only proxies
+    /// need protection from too much traffic.
     pub control_bytes_per_second: u64,
     pub control_part_bytes: usize,
-    /// The other control machines. The root lists those that are not connected to it as exceptions, even if no living
-    /// process ever had a link to them.
+    /// The other control machines. The root lists those that are not connected to it as exceptions, even if
+    /// no living process ever had a link to them.
     pub control_machines: Vec<Name>,
     /// The maximum number of exceptions that are listed in a summary.
     pub max_exceptions: usize,
 }
 
-/// Links accepted beyond `max_children`: for control machines, relays, and children that have not subscribed yet.
+/// Links accepted beyond `max_children`: for control machines, relays, and children that have not subscribed
+/// yet.
 const SPARE_CHILDREN: usize = 64;
 /// The maximum size of an incomplete delta, in bytes. A parent that sends more is faulty.
 const MAX_INCOMPLETE_BYTES: usize = 4 * 1024 * 1024;
 /// The minimum delay after the last summary if the summary has changed, and the interval if it has not.
 const SUMMARY_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, SECOND];
-/// The minimum delay between two writes to disk. The second applies where only the version has changed, except on control
-/// machines.
+/// The minimum delay between two writes to disk. The second applies where only the version has changed,
+/// except on control machines.
 const PERSIST_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
 
 /// The received parts of a delta whose last part is still missing.
@@ -115,7 +121,8 @@
     /// The last time for which the root is known to have held exactly this.
     known_current_at: Option<Nanos>,
     has_published: bool,
-    /// The last summary that was sent, when it was sent, when the summary was last computed, and when that is due again.
+    /// The last summary that was sent, when it was sent, when the summary was last computed, and when that is
+    /// due again.
     sent_summary: Summary,
     summary_sent_at: Nanos,
     summary_computed_at: Nanos,
@@ -174,8 +181,8 @@
         node
     }
 
-    /// Tells a control machine who holds the lease `carrier`. If it is the process itself, the process becomes the root. If
-    /// nobody is known to hold the lease, the process keeps its current parent.
+    /// Tells a control machine who holds the lease `carrier`. If it is the process itself, the process
+    /// becomes the root. If nobody is known to hold the lease, the process keeps its current parent.
     pub fn set_root(&mut self, now: Nanos, root: Option<&str>, host: &mut impl Host) {
         if !self.config.is_control {
             return;
@@ -240,7 +247,8 @@
                     self.incomplete = None;
                     return self.send_held(host);
                 }
-                // A correct parent sends no resource that is newer than the delta, and no name that is too long for a part.
+                // A correct parent sends no resource that is newer than the delta, and no name that is too
+                // long for a part.
                 let is_invalid = |resource: &Resource| {
                     resource.version > version || invalid_name(&resource.scope, &resource.name).is_some()
                 };
@@ -269,6 +277,7 @@
         }
     }
 
+    /// Adds a received part to the incomplete delta, and joins a patch that was split between parts.
     fn collect_part(&mut self, full_set: bool, truncated: bool, resources: Vec<Resource>) {
         // A full set that begins while a delta is incomplete replaces it.
         let mut incomplete =
@@ -380,8 +389,8 @@
         self.persist_if_due(now, host);
     }
 
-    /// Called by the root's publisher: these changes are settled, and become this version. Ignored if this process is not
-    /// the root.
+    /// Called by the root's publisher: these changes are settled, and become this version. Ignored if this
+    /// process is not the root.
     pub fn publish(&mut self, now: Nanos, version: Version, resources: Vec<Resource>, host: &mut impl Host) {
         if !self.is_root {
             return;
@@ -393,8 +402,8 @@
         }
     }
 
-    /// The process has put this version in force, except for the refused resources, given by scope and name with the reason:
-    /// their previous versions are still in force.
+    /// The process has put this version in force, except for the refused resources, given by scope and name
+    /// with the reason: their previous versions are still in force.
     pub fn applied(
         &mut self,
         now: Nanos,
@@ -416,8 +425,8 @@
         self.summary_changed(now, host);
     }
 
-    /// The local configuration under the resources has changed, for instance because a file was read again: all resources are
-    /// applied anew.
+    /// The local configuration under the resources has changed, for instance because a file was read again:
+    /// all resources are applied anew.
     pub fn reapply(&mut self, now: Nanos, host: &mut impl Host) {
         self.apply_state.request_reapply();
         self.apply_state.request_apply(now, &self.store, &self.own_interest, host);
@@ -427,8 +436,8 @@
     /// A child has connected.
     pub fn child_connected(&mut self, now: Nanos, child: ChildId, host: &mut impl Host) {
         self.children.add(now, child);
-        // A child that has not subscribed yet takes none of the places for proxies, but the number of such children is
-        // limited too.
+        // A child that has not subscribed yet takes none of the places for proxies, but the number of such
+        // children is limited too.
         if self.children.len() > self.config.max_children + SPARE_CHILDREN {
             self.reject_child(now, child, host);
         }
@@ -449,8 +458,9 @@
                 if self.children.get_mut(child).is_none() {
                     return;
                 }
-                // Control machines and relays are accepted even if proxies have taken all their places: a control machine
-                // can connect to no process but the root, and other processes depend on a relay.
+                // Control machines and relays are accepted even if proxies have taken all their places: a
+                // control machine can connect to no process but the root, and other processes depend on a
+                // relay.
                 if matches!(interest, Interest::Proxy(..))
                     && self.children.proxy_count() >= self.config.max_children
                 {
@@ -550,8 +560,8 @@
         }
     }
 
-    /// The summary may have changed: if so, it is sent soon. It is not computed for each event, since there may be a thousand
-    /// children.
+    /// The summary may have changed: if so, it is sent soon. It is not computed for each event, since there
+    /// may be a thousand children.
     fn summary_changed(&mut self, now: Nanos, host: &mut impl Host) {
         self.summary_due = self.summary_due.min(self.summary_computed_at + SUMMARY_INTERVAL[0]);
         self.send_summary_if_due(now, host);
@@ -602,7 +612,8 @@
         self.store.version
     }
 
-    /// How long ago the root is known to have held exactly what this process holds; `None` if that is not known.
+    /// How long ago the root is known to have held exactly what this process holds; `None` if that is not
+    /// known.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         if self.is_root && self.has_published {
             Some(0)
@@ -640,8 +651,9 @@
         summary
     }
 
-    /// Lists the control machines that are not connected as lost. Without it "in force everywhere" could be reported after
-    /// a publisher died: a publisher is nobody's child, so no process notices the loss of its link.
+    /// Lists the control machines that are not connected as lost. Without it "in force everywhere" could be
+    /// reported after a publisher died: a publisher is nobody's child, so no process notices the loss of its
+    /// link.
     fn add_missing_control_machines(&self, summary: &mut Summary) {
         let is_child = |name: &Name| {
             let has_name = |attachment: &Attachment| attachment.member.name == *name;
@@ -682,7 +694,8 @@
         self.store.iter()
     }
 
-    /// The version on the disk of each control machine, as far as known: of this process itself and of its children.
+    /// The version on the disk of each control machine, as far as known: of this process itself and of its
+    /// children.
     pub fn persisted_versions(&self) -> impl Iterator<Item = (&str, Version)> {
         let own = self.disk.persisted.map(|version| (self.config.member.name.as_str(), version));
         let held = self.store.version;
--- a/crates/carrier/src/parents.rs
+++ b/crates/carrier/src/parents.rs
@@ -5,21 +5,22 @@
 use crate::resource::Name;
 use crate::{MILLISECOND, Nanos, SECOND};
 
-/// A parent that sends nothing for so long, or does not answer a connection request within it, counts as lost.
+/// A parent that sends nothing for so long, or does not answer a connection request within it, counts as
+/// lost.
 const LINK_TIMEOUT: Nanos = 2 * SECOND;
 /// A parent whose knowledge is older than this is left for another one.
 pub(crate) const STALE_AGE: Nanos = 4 * SECOND;
-/// The delay before connecting to the next candidate is random, up to the first of these at the beginning and twice as much
-/// after each failure, up to the second.
+/// The delay before connecting to the next candidate is random, up to the first of these at the beginning and
+/// twice as much after each failure, up to the second.
 const RECONNECT_BACKOFF: [Nanos; 2] = [100 * MILLISECOND, 3 * SECOND];
-/// Children that find their parent's knowledge stale leave it after a random delay up to this, so that they don't leave
-/// all at once.
+/// Children that find their parent's knowledge stale leave it after a random delay up to this, so that they
+/// don't leave all at once.
 const STALE_SWITCH_JITTER: Nanos = SECOND;
-/// If all candidates are stale, another one is tried after a random delay between half of this and all of it: the first at
-/// the beginning, twice as much each time, up to the second.
+/// If all candidates are stale, another one is tried after a random delay between half of this and all of it:
+/// the first at the beginning, twice as much each time, up to the second.
 const STALE_SWITCH_BACKOFF: [Nanos; 2] = [10 * SECOND, 60 * SECOND];
-/// A process whose parent is not its first candidate retries an earlier one after a random delay between half of this and
-/// all of it.
+/// A process whose parent is not its first candidate retries an earlier one after a random delay between half
+/// of this and all of it.
 const PREFERRED_RETRY_INTERVAL: Nanos = 60 * SECOND;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -41,11 +42,14 @@
     link: Link,
     /// Connections in a row that ended without a heartbeat.
     failures: u32,
-    /// Set while an earlier candidate is tried: the index of the candidate to return to if the earlier one is no better.
+    /// Set while an earlier candidate is tried: the index of the candidate to return to if the earlier one is
+    /// no better.
     return_to: Option<usize>,
-    /// The last time for which the parent's knowledge is known to have been current, or when the link came up.
+    /// The last time for which the parent's knowledge is known to have been current, or when the link came
+    /// up.
     fresh_at: Nanos,
-    /// While all candidates are stale: when another one is tried, and the upper bound of the last delay.
+    /// While the parent is stale: when another candidate is tried, and the upper bound of that delay, 0 for
+    /// the first one.
     stale_switch: Option<(Nanos, Nanos)>,
     /// When an earlier candidate is tried, and how often one was tried so far.
     preferred_retry_at: Nanos,
@@ -53,8 +57,8 @@
 }
 
 impl ParentSelector {
-    /// Orders the candidates of each tier by rendezvous hashing with the process's own name, and leaves out the process
-    /// itself.
+    /// Orders the candidates of each tier by rendezvous hashing with the process's own name, and leaves out
+    /// the process itself.
     pub fn new(now: Nanos, own_name: &str, tiers: &[Vec<Name>], host: &mut impl Host) -> ParentSelector {
         let mut candidates = Vec::new();
         for tier in tiers {
@@ -78,7 +82,8 @@
         }
     }
 
-    /// Replaces the candidates of a control machine: the root, or none if the control machine is the root itself.
+    /// Replaces the candidates of a control machine: the root, or none if the control machine is the root
+    /// itself.
     pub fn set_candidates(&mut self, now: Nanos, candidates: Vec<Name>, host: &mut impl Host) {
         if self.candidates == candidates {
             return;
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Handles a heartbeat with the age of the parent's knowledge; `None` if the parent is behind this process.
+    /// Handles a heartbeat with the age of the parent's knowledge; `None` if the parent is behind this
+    /// process.
     pub fn heartbeat(&mut self, now: Nanos, age: Option<Nanos>, host: &mut impl Host) {
         self.failures = 0;
         match age.filter(|age| *age <= STALE_AGE) {
@@ -158,8 +164,8 @@
         self.link = Link::Idle(Nanos::MAX);
     }
 
-    /// How long the parent may be silent. Longer after failed connections: where thousands of children connect at once an
-    /// answer takes longer, and giving up too early only causes more connections.
+    /// How long the parent may be silent. Longer after failed connections: where thousands of children
+    /// connect at once an answer takes longer, and giving up too early only causes more connections.
     fn link_timeout(&self) -> Nanos {
         LINK_TIMEOUT << self.failures.min(2)
     }
@@ -191,8 +197,8 @@
                 if now < next {
                     return false;
                 }
-                // If the next candidate is no fresher, the process stays there for the whole delay. Without it a crowd of
-                // children would move from candidate to candidate all the time.
+                // If the next candidate is no fresher, the process stays there for the whole delay. Without
+                // it a crowd of children would move from candidate to candidate all the time.
                 let max_delay = if max_delay == 0 {
                     STALE_SWITCH_BACKOFF[0]
                 } else {
--- a/crates/carrier/src/publisher.rs
+++ b/crates/carrier/src/publisher.rs
@@ -1,7 +1,7 @@
-//! The publisher, driven by the holder of the lease `carrier`: it takes proposed changes in batches, writes them into the
-//! record under the token of the lease, and gives them to the tree node of its process once they are settled, that is once
-//! they are in the record. The record keeps only the changes that are not yet known to be on the disks of a majority of the
-//! control machines; a majority has everything older.
+//! The publisher, driven by the holder of the lease `carrier`: it takes proposed changes in batches, writes
+//! them into the record under the token of the lease, and gives them to the tree node of its process once
+//! they are settled, that is once they are in the record. The record keeps only the changes that are not yet
+//! known to be on the disks of a majority of the control machines; a majority has everything older.
 
 use crate::resource::{MAX_NAME_BYTES, Name, Resource, Scope, Version, invalid_name};
 use crate::{MILLISECOND, Nanos, SECOND};
@@ -15,8 +15,8 @@
 const MAX_UNCONFIRMED_BYTES: usize = 32 * 1024;
 /// How long changes wait for room in the record before they are refused.
 const ROOM_TIMEOUT: Nanos = 5 * SECOND;
-/// The delay before the record is read again after a failed read: the first at the beginning, twice as much each time, up to
-/// the second.
+/// The delay before the record is read again after a failed read: the first at the beginning, twice as much
+/// each time, up to the second.
 const READ_BACKOFF: [Nanos; 2] = [250 * MILLISECOND, 2 * SECOND];
 /// The maximum length of a patch, in bytes.
 const MAX_PATCH_BYTES: usize = 16 * 1024;
@@ -25,15 +25,15 @@
 pub trait PublisherHost {
     /// Reads the record; the result is reported by `record_read` or `record_read_failed`.
     fn read_record(&mut self);
-    /// Writes the value `carrier` of the record under the token of the lease, if the version of the value in the record is
-    /// still this one, 0 if there was no value. The result is reported by `record_written`.
+    /// Writes the value `carrier` of the record under the token of the lease, if the version of the value in
+    /// the record is still this one, 0 if there was no value. The result is reported by `record_written`.
     fn write_record(&mut self, text: String, version: u64);
     /// Passes settled changes to `TreeNode::publish`.
     fn publish(&mut self, version: Version, resources: Vec<Resource>);
     /// Answers the proposal with this number.
     fn answer(&mut self, number: u64, outcome: ChangeOutcome);
-    /// Gives the lease back because this process holds too little or may not publish any longer. The publisher is to be
-    /// dropped.
+    /// Gives the lease back because this process holds too little or may not publish any longer. The
+    /// publisher is to be dropped.
     fn release_lease(&mut self);
 }
 
@@ -72,7 +72,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct RecordValue {
     version: Version,
-    /// A majority of the control machines has this version on disk; `changes` has everything that changed since.
+    /// A majority of the control machines has this version on disk; `changes` has everything that changed
+    /// since.
     base: Version,
     changes: Vec<Resource>,
 }
@@ -96,7 +97,8 @@
     size: usize,
 }
 
-/// Writes proposed changes into the record and publishes them, as long as its process holds the lease `carrier`.
+/// Writes proposed changes into the record and publishes them, as long as its process holds the lease
+/// `carrier`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
     state: State,
@@ -112,8 +114,8 @@
     batch: Vec<(u64, Version)>,
     /// The value that is being written.
     pending: Option<RecordValue>,
-    /// Whether an earlier write of the same value may have succeeded although its outcome was unknown, and whether the last
-    /// write was refused.
+    /// Whether an earlier write of the same value may have succeeded although its outcome was unknown, and
+    /// whether the last write was refused.
     earlier_write_unknown: bool,
     last_write_refused: bool,
     confirmed: Version,
@@ -143,8 +145,8 @@
         }
     }
 
-    /// The record was read: it was created as `epoch`, and `entry` is the text and the version of its value `carrier`, if
-    /// there is one. `held` is the version that the tree node of this process holds.
+    /// The record was read: it was created as `epoch`, and `entry` is the text and the version of its value
+    /// `carrier`, if there is one. `held` is the version that the tree node of this process holds.
     pub fn record_read(
         &mut self,
         now: Nanos,
@@ -172,10 +174,12 @@
             if value == pending {
                 self.answer_settled(host);
             } else if value_version != self.value_version || self.last_write_refused {
-                // Another process wrote the value since, or the lease is lost: a delayed write will be refused.
+                // Another process wrote the value since, or the lease is lost: a delayed write will be
+                // refused.
                 return self.stop("the lease `carrier` was lost, or another process wrote the record", host);
             } else {
-                // The delayed write and this one have the same content: whichever comes first, the other is refused.
+                // The delayed write and this one have the same content: whichever comes first, the other is
+                // refused.
                 return self.send_write(pending, host);
             }
         }
@@ -197,7 +201,8 @@
             );
         }
         if value.version.number.max(held.number) > u64::MAX / 2 {
-            // Counting never gets that far: the value was written by hand, or a disk is corrupt. Numbers must keep growing.
+            // Counting never gets that far: the value was written by hand, or a disk is corrupt. Numbers must
+            // keep growing.
             return self.stop(
                 &format!("no version numbers are left after {} in the record and {held} here", value.version),
                 host,
@@ -226,8 +231,8 @@
         }
     }
 
-    /// Proposes changes that become one version, all or none. The outcome is reported by `PublisherHost::answer` with this
-    /// number.
+    /// Proposes changes that become one version, all or none. The outcome is reported by
+    /// `PublisherHost::answer` with this number.
     pub fn propose(&mut self, now: Nanos, number: u64, changes: Vec<Change>, host: &mut impl PublisherHost) {
         let waiting: usize = self.proposals.iter().map(|proposal| proposal.changes.len().max(1)).sum();
         let size = changes.iter().map(change_size).sum();
@@ -261,7 +266,8 @@
         }
     }
 
-    /// Writes the waiting proposals, and the unconfirmed changes of the value again, if no write is under way.
+    /// Writes the waiting proposals, and the unconfirmed changes of the value again, if no write is under
+    /// way.
     fn write_next(&mut self, now: Nanos, host: &mut impl PublisherHost) {
         if self.state != State::Ready {
             return;
@@ -297,8 +303,9 @@
             if version.epoch == self.epoch {
                 return;
             }
-            // The record was created anew. Changes that were settled and lost with the old record may be held by some
-            // processes and not by others: a new version makes all of them hold what this process holds.
+            // The record was created anew. Changes that were settled and lost with the old record may be held
+            // by some processes and not by others: a new version makes all of them hold what this process
+            // holds.
             self.last_number = self.last_number.saturating_add(1);
             next.version = Version { epoch: self.epoch, number: self.last_number };
         }
@@ -353,7 +360,8 @@
                 self.read_again(host);
             }
             WriteOutcome::Refused => {
-                let reason = "this process no longer publishes: the lease `carrier` was lost, or another process wrote the record";
+                let reason = "this process no longer publishes: the lease `carrier` was lost, or another \
+                              process wrote the record";
                 for (number, _) in std::mem::take(&mut self.batch) {
                     host.answer(number, ChangeOutcome::Refused(reason.into()));
                 }
@@ -371,7 +379,8 @@
         host.read_record();
     }
 
-    /// Stops publishing. The outcome of the proposals that are being written is unknown; those that wait were not written.
+    /// Stops publishing. The outcome of the proposals that are being written is unknown; those that wait were
+    /// not written.
     fn stop(&mut self, reason: &str, host: &mut impl PublisherHost) {
         for (number, _) in std::mem::take(&mut self.batch) {
             host.answer(number, ChangeOutcome::Unknown);
@@ -413,8 +422,8 @@
 /// The reason for a refusal because the record has no room.
 fn record_full() -> String {
     format!(
-        "the record is full: it has room for {MAX_UNCONFIRMED_BYTES} bytes of changes that are not yet on the disks of a \
-         majority of the control machines"
+        "the record is full: it has room for {MAX_UNCONFIRMED_BYTES} bytes of changes that are not yet on \
+         the disks of a majority of the control machines"
     )
 }
 
--- a/crates/carrier/src/resource.rs
+++ b/crates/carrier/src/resource.rs
@@ -10,15 +10,17 @@
 /// The maximum length of a resource's name and of each name in its scope, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 200;
 
-/// A version of the complete set of resources: the epoch in which the record was created, and the number of changes since.
-/// Never reused, and ordered by epoch, then number.
+/// A version of the complete set of resources: the epoch of the record, which is higher each time the record
+/// is created anew, and a number that grows with each change. Never reused, and ordered by epoch, then
+/// number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     pub epoch: u64,
     pub number: u64,
 }
 
-/// The processes that a resource applies to. Resources of narrower scopes are applied after those of wider ones.
+/// The processes that a resource applies to. Resources of narrower scopes are applied after those of wider
+/// ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     Fleet,
--- a/crates/carrier/src/store.rs
+++ b/crates/carrier/src/store.rs
@@ -1,11 +1,13 @@
-//! The resources that a process holds, by scope and name, with digests that are kept up to date for each interest.
+//! The resources that a process holds, by scope and name, with digests that are kept up to date for each
+//! interest.
 
 use crate::hash::hash;
 use crate::resource::{Interest, Location, Name, Resource, Scope, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum number of tombstones that are kept. A child that is behind the newest pruned one is sent a full set.
+/// The maximum number of tombstones that are kept. A child that is behind the newest pruned one is sent a
+/// full set.
 const MAX_TOMBSTONES: usize = 1_024;
 
 pub(crate) type Key = (Scope, Name);
@@ -27,14 +29,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Store {
     pub version: Version,
-    /// The newest tombstone that was pruned: a child that holds an older version can't be told what was removed since.
+    /// The newest tombstone that was pruned: a child that holds an older version can't be told what was
+    /// removed since.
     pub pruned: Version,
     resources: BTreeMap<Key, Resource>,
     by_version: BTreeSet<VersionKey>,
     /// The same by scope: of many thousands of scopes a proxy wants five.
     by_scope: BTreeMap<Scope, BTreeSet<(Version, Name)>>,
     tombstones: BTreeSet<VersionKey>,
-    /// The digest of each scope's resources. Tombstones are left out, since processes don't all keep the same ones.
+    /// The digest of each scope's resources. Tombstones are left out, since processes don't all keep the same
+    /// ones.
     scope_digests: BTreeMap<Scope, u64>,
     /// The digest of the resources of all proxies of each site.
     site_proxy_digests: BTreeMap<Name, u64>,
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Adds a resource to the digests or, called a second time, removes it: digests are combined by exclusive or.
+    /// Adds a resource to the digests or, called a second time, removes it: digests are combined by exclusive
+    /// or.
     fn toggle_digest(&mut self, resource: &Resource) {
         let digest = resource_digest(resource);
         if digest == 0 {
@@ -242,8 +247,8 @@
         self.resources_from(first_key_after(after), interest).filter(move |resource| resource.version > after)
     }
 
-    /// The next part, of at most `max_bytes` bytes, of what this interest misses after version `after`. For a full set, which
-    /// was begun at the version in `full_set`, tombstones up to that version are left out.
+    /// The next part, of at most `max_bytes` bytes, of what this interest misses after version `after`. For a
+    /// full set, which was begun at the version in `full_set`, tombstones up to that version are left out.
     pub fn next_part(
         &self,
         interest: &Interest,
@@ -261,8 +266,8 @@
         for resource in self.resources_from(start, interest) {
             let version_key = (resource.version, resource.scope.clone(), resource.name.clone());
             let resumed = cursor.after.as_ref() == Some(&version_key);
-            // A truncated patch continues where it stopped, unless the resource has changed since: then it has a higher
-            // version and comes later, and the child drops the piece that it has.
+            // A truncated patch continues where it stopped, unless the resource has changed since: then it
+            // has a higher version and comes later, and the child drops the piece that it has.
             if (resumed && cursor.patch_offset == 0) || (full_set.is_none() && resource.version <= after) {
                 continue;
             }
--- a/crates/carrier/src/summary.rs
+++ b/crates/carrier/src/summary.rs
@@ -8,13 +8,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member is late if what is held here is not in force there for longer than the first of these. For a child that has
-/// children itself it is the second, since the processes below it receive a version later.
+/// A member is late if what is held here is not in force there for longer than the first of these. For a
+/// child that has children itself it is the second, since the processes below it receive a version later.
 pub(crate) const LATE_AFTER: [Nanos; 2] = [3 * SECOND, 5 * SECOND];
 /// A lost member is listed as an exception for so long, unless it arrives elsewhere.
 const LOST_RETENTION: Nanos = 60 * SECOND;
-/// For how long summaries report that a member has arrived: longer than its old parent, which may notice the loss late,
-/// lists the member as lost.
+/// For how long summaries report that a member has arrived: longer than its old parent, which may notice the
+/// loss late, lists the member as lost.
 const ARRIVAL_RETENTION: Nanos = 75 * SECOND;
 /// The maximum number of arrivals that are remembered; the newest are kept.
 const MAX_ARRIVALS: usize = 4096;
@@ -48,11 +48,11 @@
 }
 
 impl MembershipChanges {
-    /// Records that the link of a child that was counted is lost. If there are more than `max` lost members, the one that
-    /// would expire first is removed.
+    /// Records that the link of a child that was counted is lost. If there are more than `max` lost members,
+    /// the one that would expire first is removed.
     pub fn record_lost(&mut self, now: Nanos, attachment: Attachment, in_force: Version, max: usize) {
-        // News can arrive out of order: the end of a link may be noticed after the member arrived by its next link. The
-        // member must not be listed as lost then.
+        // News can arrive out of order: the end of a link may be noticed after the member arrived by its next
+        // link. The member must not be listed as lost then.
         if self.has_arrived_later(now, &attachment) {
             return;
         }
@@ -131,8 +131,8 @@
     pub exceptions: Vec<Exception>,
 }
 
-/// Combines the state of a process with the summaries of its children. Lists at most `max_exceptions` exceptions and as many
-/// arrivals.
+/// Combines the state of a process with the summaries of its children. Lists at most `max_exceptions`
+/// exceptions and as many arrivals.
 pub(crate) fn summarize(
     now: Nanos,
     held: Version,
@@ -152,8 +152,8 @@
             continue;
         };
         let child_member = &child_attachment.member;
-        // A member that came back elsewhere or was lost in two places must not be counted twice. Neither must this process
-        // itself, which a former parent of it may list as lost.
+        // A member that came back elsewhere or was lost in two places must not be counted twice. Neither must
+        // this process itself, which a former parent of it may list as lost.
         let counted_elsewhere = |other: &&Exception| {
             let ExceptionKind::Lost { attachment: number } = other.kind else { return false };
             let link = attachment(&other.member, number);
@@ -207,8 +207,8 @@
     }
 }
 
-/// The members that some child lists as lost but that are children here, with their latest links. Used in addition to the
-/// recorded arrivals, which expire.
+/// The members that some child lists as lost but that are children here, with their latest links. Used in
+/// addition to the recorded arrivals, which expire.
 fn reconnected_here(children: &Children) -> BTreeMap<&str, &Attachment> {
     let exceptions = children
         .iter()
@@ -233,8 +233,9 @@
     reconnected
 }
 
-/// The most severe exceptions, at most `max`, of which up to half may be refusals, since their reasons help the operator.
-/// Also returns how many members are left out or listed only with a less severe exception than their most severe one.
+/// The most severe exceptions, at most `max`, of which up to half may be refusals, since their reasons help
+/// the operator. Also returns how many members are left out or listed only with a less severe exception than
+/// their most severe one.
 fn limit_exceptions(mut exceptions: Vec<Exception>, max: usize) -> (Vec<Exception>, u32) {
     if exceptions.len() <= max {
         return (exceptions, 0);
@@ -259,7 +260,8 @@
 }
 
 impl ExceptionKind {
-    /// 0 is the most severe: a lost or late member may have nothing in force, one that refuses a resource has all others.
+    /// 0 is the most severe: a lost or late member may have nothing in force, one that refuses a resource has
+    /// all others.
     fn severity_rank(&self) -> u8 {
         match self {
             ExceptionKind::Lost { .. } => 0,
--- a/crates/carrier/tests/common/mod.rs
+++ b/crates/carrier/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates a fleet in one process: tree nodes, links, disks, the record and its publisher, with a simulated clock and a
-//! seeded random number generator. Checks the invariants of the protocol at each step.
+//! Simulates a fleet in one process: tree nodes, links, disks, the record and its publisher, with a simulated
+//! clock and a seeded random number generator. Checks the invariants of the protocol at each step.
 #![allow(dead_code)]
 
 use pumicebay_carrier::*;
@@ -12,11 +12,13 @@
 /// The resources that a process has in force.
 pub type Applied = BTreeMap<Key, Resource>;
 
+/// The key of a resource: its scope and name.
 pub fn key(resource: &Resource) -> Key {
     (resource.scope.clone(), resource.name.clone())
 }
 
-/// Puts these resources in force and refuses those whose patch contains "bad": their previous versions stay in force.
+/// Puts these resources in force and refuses those whose patch contains "bad": their previous versions stay
+/// in force.
 pub fn apply(applied: &mut Applied, resources: Vec<Resource>) -> Vec<(Scope, Name, String)> {
     let mut refused = Vec::new();
     let previous = std::mem::take(applied);
@@ -45,8 +47,8 @@
     last
 }
 
-/// Describes a resource that the process reports as in force in its summary, without an exception, although it is not;
-/// `None` if the summary claims no more than what is in force.
+/// Describes a resource that the process reports as in force in its summary, without an exception, although
+/// it is not; `None` if the summary claims no more than what is in force.
 pub fn false_claim(
     member: &Member,
     location: &Location,
@@ -67,19 +69,21 @@
     let (key, write) = last_writes(settled, summary.in_force).into_iter().find(|(key, write)| {
         let applied_version = applied.get(key).map(|resource| resource.version);
         let correct = match &write.patch {
-            Some(_) => {
-                applied_version.map_or(newest[key].version > write.version, |applied| applied >= write.version)
-            },
+            Some(_) => applied_version
+                .map_or(newest[key].version > write.version, |applied| applied >= write.version),
             None => applied_version.is_none_or(|applied| applied > write.version),
         };
         let refused = |exception: &Exception| {
-            matches!(&exception.kind, ExceptionKind::Refused { scope, resource, .. } if (scope, resource) == (&key.0, &key.1))
+            matches!(
+                &exception.kind,
+                ExceptionKind::Refused { scope, resource, .. } if (scope, resource) == (&key.0, &key.1)
+            )
         };
         own_interest.includes(&key.0) && !correct && !own_exceptions().any(refused)
     })?;
     let applied_version = applied.get(&key).map(|resource| resource.version);
     Some(format!(
-        "{} claims {} but has {} {} of {} at {applied_version:?}",
+        "{} claims {}, but of {} {}, written at {}, it has {applied_version:?} in force",
         member.name, summary.in_force, key.0, key.1, write.version
     ))
 }
@@ -96,9 +100,11 @@
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     }
+    /// A number from 0 to `n - 1`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n
     }
+    /// True with a probability of 1 in `n`.
     pub fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
@@ -183,11 +189,12 @@
     }
 }
 
-/// Something that is scheduled to happen. Numbers identify the process by its index, then its incarnation; those of events
-/// of the record are the token of the lease.
+/// A scheduled event. Events of a process have its index and mostly its incarnation; events of a publisher
+/// have the token of its lease. Those of an earlier incarnation, connection or lease are ignored.
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick(usize, u64),
+    /// Index, incarnation and connection number of the child, and the parent's name.
     ConnectAnswered(usize, u64, u64, Name),
     ToParent(ChildId, ChildMessage),
     ToChild(ChildId, ParentMessage),
@@ -199,11 +206,14 @@
     GrantLease,
     RootAnnounced(usize, u64),
     RecordRead(u64),
+    /// Token, text and version of the write, whether its outcome stays unknown, and whether the write is
+    /// lost.
     RecordWritten(u64, String, u64, bool, bool),
     CheckMajority(u64),
     Propose,
 }
 
+/// A simulated process with its disk.
 pub struct Process {
     pub config: TreeNodeConfig,
     pub node: Option<TreeNode>,
@@ -221,39 +231,47 @@
     /// The links of children that were lost here, and when; and the latest known link of each process.
     pub lost_links: Vec<(Attachment, Nanos)>,
     pub latest_links: BTreeMap<Name, Attachment>,
+    /// When the next tick of the tree node is scheduled.
     pub wake_at: Nanos,
     /// How long it takes to put resources in force; writing its disk takes a quarter of it.
     pub apply_delay: Nanos,
-    /// Whether it stays down after its last crash, and until when it is cut off from all other processes.
+    /// Whether it stays down after a crash, and until when it is cut off from all other processes.
     pub never_restarts: bool,
     pub isolated_until: Nanos,
 }
 
+/// A link between two processes, each given by its index and incarnation.
 pub struct Link {
     pub child: (usize, u64),
     pub parent: (usize, u64),
     /// Messages are lost without the ends noticing.
     pub drops_messages: bool,
+    /// When the last message in each direction arrives: messages stay in order.
     pub up_delivered_at: Nanos,
     pub down_delivered_at: Nanos,
+    /// Whether the child's end and the parent's end are open.
     pub open: (bool, bool),
     /// The part without an answer: the version that the child holds after it if it is the last part.
     pub part_in_flight: Option<Option<Version>>,
+    /// The child's subscription and its last summary, as received by the parent.
     pub attachment: Option<Attachment>,
     pub summary: Option<Summary>,
+    /// When how many bytes were sent to the child within the last second.
     pub sent: VecDeque<(Nanos, usize)>,
 }
 
+/// The simulated fleet, its record and its event queue.
 pub struct Simulation {
     pub now: Nanos,
     pub rng: Rng,
+    /// Scheduled events by time, then by the order in which they were scheduled.
     pub queue: BTreeMap<(Nanos, u64), Event>,
     pub sequence: u64,
     pub processes: Vec<Process>,
     pub links: BTreeMap<ChildId, Link>,
     pub next_link: ChildId,
-    /// The record: its epoch, the value `carrier` with its version, the version of the record, the token of the lease, and
-    /// which process holds the lease.
+    /// The record: its epoch, the value `carrier` with its version, the version of the record, the token of
+    /// the lease, and which process holds the lease.
     pub epoch: u64,
     pub entry: Option<(String, u64)>,
     pub record_version: u64,
@@ -261,19 +279,25 @@
     pub holder: Option<usize>,
     pub publisher: Option<Publisher>,
     pub publisher_host: RecordingPublisherHost,
+    /// The number of proposals so far, and the outcome of each by its number.
     pub proposals: u64,
     pub outcomes: BTreeMap<u64, ChangeOutcome>,
     /// All changes that were ever settled, by version.
     pub settled: BTreeMap<Version, Vec<Resource>>,
+    /// Whether messages and writes to the record are lost at random.
     pub lossy: bool,
+    /// The maximum delay of a message.
     pub max_delay: Nanos,
+    /// The number of parts that were sent.
     pub deltas: u64,
+    /// The first violated invariant.
     pub violation: Option<String>,
     pub name: String,
     /// Whether events are printed; set by the environment variable SHOW.
     pub verbose: bool,
 }
 
+/// The configuration of a process with small limits.
 pub fn node_config(
     name: &str,
     site: &str,
@@ -350,6 +374,7 @@
         simulation
     }
 
+    /// Schedules an event after this delay.
     pub fn schedule(&mut self, after: Nanos, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.now + after, self.sequence), event);
@@ -375,6 +400,8 @@
         self.now = until;
     }
 
+    /// Calls the tree node of a process, if it is running, and performs the calls that the node makes to its
+    /// host. The held version must never decrease.
     fn with_node(&mut self, index: usize, call: impl FnOnce(&mut TreeNode, Nanos, &mut RecordingHost)) {
         let process = &mut self.processes[index];
         let Some(node) = &mut process.node else { return };
@@ -538,6 +565,7 @@
         }
     }
 
+    /// Handles an event.
     pub fn handle(&mut self, event: Event) {
         if self.verbose
             && !matches!(event, Event::Tick(..) | Event::ToChild(_, ParentMessage::Heartbeat { .. }))
@@ -716,6 +744,7 @@
         self.with_node(index, |node, now, host| node.applied(now, version, refused, host));
     }
 
+    /// Starts a process with its disk, unless it is running or stays down.
     pub fn start(&mut self, index: usize) {
         let process = &mut self.processes[index];
         if process.never_restarts || process.node.is_some() {
@@ -783,6 +812,7 @@
         }
     }
 
+    /// Proposes changes to the publisher, if there is one.
     pub fn propose(&mut self, changes: Vec<Change>) {
         self.proposals += 1;
         let number = self.proposals;
@@ -832,9 +862,9 @@
             return;
         }
         let Some(holder) = self.holder else { return };
-        let controls = self.processes.iter().filter(|process| process.config.is_control).count();
+        let control_count = self.processes.iter().filter(|process| process.config.is_control).count();
         let Some(node) = &self.processes[holder].node else { return };
-        let (held, majority) = (node.version(), node.majority_version(controls));
+        let (held, majority) = (node.version(), node.majority_version(control_count));
         let now = self.now;
         let Some(mut publisher) = self.publisher.take() else { return };
         match event {
@@ -862,8 +892,8 @@
         self.perform_publisher_calls();
     }
 
-    /// Checks that a summary claims no more than what is in force at the members that it counts, except for its exceptions,
-    /// and that it lists the members that were lost.
+    /// Checks that a summary claims no more than what is in force at the members that it counts, except for
+    /// its exceptions, and that it lists the members that were lost.
     pub fn check_summary(&mut self, index: usize, summary: &Summary) {
         let process = &self.processes[index];
         let member = &process.config.member;
@@ -937,8 +967,8 @@
         violations.into_iter().for_each(|violation| self.report_violation(violation));
     }
 
-    /// Checks that all running processes hold the last settled version and have it in force, and that the root's summary says
-    /// so. The error names what is missing where.
+    /// Checks that all running processes hold the last settled version and have it in force, and that the
+    /// root's summary says so. The error names what is missing where.
     pub fn check_converged(&self) -> Result<(), String> {
         let Some(holder) = self.holder else { return Err("there is no root".into()) };
         let (Some(root), Some((version, _))) = (&self.processes[holder].node, self.settled.last_key_value())
--- a/crates/carrier/tests/publisher.rs
+++ b/crates/carrier/tests/publisher.rs
@@ -14,6 +14,7 @@
     Version { epoch, number }
 }
 
+/// Compares the calls since the last check with the expected ones, a line each; epoch 7 is left out.
 fn check(host: &mut RecordingPublisherHost, expected: Expect) {
     let line = |call: PublisherCall| match call {
         PublisherCall::ReadRecord => "read".into(),
@@ -30,6 +31,7 @@
     expected.assert_eq(&host.calls.drain(..).map(|call| line(call) + "\n").collect::<String>());
 }
 
+/// The text of the last write to the record.
 fn last_written(host: &RecordingPublisherHost) -> String {
     let text = host.calls.iter().rev().find_map(|call| match call {
         PublisherCall::WriteRecord(text, _) => Some(text.clone()),
--- a/crates/carrier/tests/schedules.rs
+++ b/crates/carrier/tests/schedules.rs
@@ -1,16 +1,19 @@
-//! Runs random schedules of a small fleet: lost and delayed messages, links that break or drop all messages, processes that
-//! restart with their disk, an empty one or an older copy of it, and a lease that moves between control machines. The
-//! invariants are checked at each step (see `common`). At the end all running processes must agree within
-//! `CONVERGENCE_LIMIT`.
+//! Runs random schedules of a small fleet: lost and delayed messages, links that break or drop all messages,
+//! processes that restart with their disk, an empty one or an older copy of it, and a lease that moves
+//! between control machines. The invariants are checked at each step (see `common`). At the end all running
+//! processes must agree within `CONVERGENCE_LIMIT`.
 
 mod common;
 
 use common::{MS, SECOND, Simulation, node_config};
 use pumicebay_carrier::*;
 
+/// For how long faults are injected.
 const FAULT_PERIOD: Nanos = 40 * SECOND;
-/// The maximum time from the last fault until all running processes have everything in force and the root's summary says so.
+/// The maximum time from the last fault until all running processes have everything in force and the root's
+/// summary says so.
 const CONVERGENCE_LIMIT: Nanos = 75 * SECOND;
+/// The number of schedules that are run by default.
 const SEED_COUNT: u64 = 150;
 
 /// A random fleet of control machines, relays and proxies.
@@ -21,8 +24,8 @@
     let mut fleet: Vec<TreeNodeConfig> =
         control_names.iter().map(|name| node_config(name, "s0", true, false, vec![])).collect();
     fleet.extend(relays.iter().map(|name| node_config(name, "s0", false, true, vec![control_names.clone()])));
-    // In some fleets the parents accept few children: enough for all children even if one parent is gone, but a rejected
-    // child has to find another parent.
+    // In some fleets the parents accept few children: enough for all children even if one parent is gone, but
+    // a rejected child has to find another parent.
     if rng.one_in(3) {
         fleet.iter_mut().for_each(|config| {
             config.max_children = if config.is_relay { 1 } else { 9 / control_names.len() }
@@ -62,7 +65,8 @@
     Change { scope, name: format!("n{}", rng.below(4)), patch }
 }
 
-/// Injects a random fault or proposes random changes. `wipeable` is the only control machine that may lose its disk.
+/// Injects a random fault or proposes random changes. `wipeable` is the only control machine that may lose
+/// its disk.
 fn inject_random_event(simulation: &mut Simulation, wipeable: usize) {
     let index = simulation.rng.below(simulation.processes.len() as u64) as usize;
     let links: Vec<ChildId> =
@@ -73,7 +77,8 @@
         (1, Some(link)) => simulation.links.get_mut(&link).unwrap().drops_messages = true,
         (2 | 3, _) if simulation.processes[index].node.is_some() => {
             simulation.crash(index);
-            // Only one of the control machines ever loses its disk, so that a majority keeps what was confirmed.
+            // Only one of the control machines ever loses its disk, so that a majority keeps what was
+            // confirmed.
             let allowed = !simulation.processes[index].config.is_control || index == wipeable;
             match simulation.rng.below(3) {
                 0 if allowed => simulation.processes[index].disk = None,
@@ -98,7 +103,7 @@
     }
 }
 
-/// Runs a schedule up to its last fault.
+/// Runs the random schedule of this seed up to its last fault.
 fn run_schedule(seed: u64) -> Simulation {
     let mut rng = common::Rng(seed);
     let fleet = fleet(&mut rng);
@@ -113,8 +118,8 @@
         inject_random_event(&mut simulation, wipeable);
     }
     simulation.lossy = false;
-    // One process may stay down for good. Among the control machines it can only be the one whose disk may be lost, since a
-    // majority must keep theirs.
+    // One process may stay down for good. Among the control machines it can only be the one whose disk may be
+    // lost, since a majority must keep theirs.
     let index = simulation.rng.below(5) as usize;
     let allowed =
         simulation.processes.get(index).is_some_and(|process| process.config.is_relay || index == wipeable);
@@ -163,7 +168,8 @@
     durations.sort();
     let (median, longest) = (durations[durations.len() / 2] / MS, durations[durations.len() - 1] / MS);
     println!(
-        "{} seeds: {settled} versions, {deltas} parts; converged after {median} ms (median), {longest} ms (longest)",
+        "{} seeds: {settled} versions, {deltas} parts; \
+         converged after {median} ms (median), {longest} ms (longest)",
         durations.len()
     );
 }
--- a/crates/carrier/tests/traces.rs
+++ b/crates/carrier/tests/traces.rs
@@ -43,14 +43,14 @@
             let flags = [(full_set, " full set"), (last, " last"), (truncated, " truncated")];
             let flags: String = flags.iter().filter(|(set, _)| *set).map(|(_, flag)| *flag).collect();
             let names: Vec<String> =
-                resources.iter().map(|one| format!("{} {}", one.scope, one.name)).collect();
+                resources.iter().map(|resource| format!("{} {}", resource.scope, resource.name)).collect();
             format!("to {child}: {after} to {version}{flags}: {}", names.join(", "))
         }
         HostCall::SendToChild(child, ParentMessage::AtCapacity) => format!("to {child}: at capacity"),
         HostCall::DisconnectChild(child) => format!("disconnect {child}"),
         HostCall::Apply(version, resources) => {
             let names: Vec<String> =
-                resources.iter().map(|one| format!("{}@{}", one.name, one.version)).collect();
+                resources.iter().map(|resource| format!("{}@{}", resource.name, resource.version)).collect();
             format!("apply {version}: {}", names.join(", "))
         }
         HostCall::Persist(snapshot) => format!("persist {}", snapshot.version),
@@ -58,6 +58,7 @@
     host.calls.drain(..).map(|call| line(call) + "\n").collect()
 }
 
+/// A summary in one line: its version, the number of members, and the exceptions.
 fn describe_summary(summary: &Summary) -> String {
     let exceptions: Vec<String> = summary
         .exceptions
@@ -73,6 +74,7 @@
     )
 }
 
+/// Compares the calls since the last trace with the expected ones.
 fn check(host: &mut RecordingHost, expected: Expect) {
     expected.assert_eq(&trace(host));
 }
@@ -82,6 +84,7 @@
     subscribe_by_link(name, 1, version)
 }
 
+/// The link of a member in its first incarnation.
 fn link(name: &str, number: u64) -> Attachment {
     Attachment { member: Member { name: name.into(), incarnation: 1 }, number }
 }
@@ -97,6 +100,7 @@
     }
 }
 
+/// The summary of a proxy that has this version in force.
 fn summary_message(number: u64) -> ChildMessage {
     ChildMessage::Summary(Summary { in_force: version(number), members: 1, ..Summary::default() })
 }
@@ -304,8 +308,9 @@
     .assert_eq(&descriptions);
 }
 
-/// Guards against listing a connected child as lost: a relay that lost a child, and to which the child had come before, may
-/// connect here after that child. What the relay then reports of the child is older than the child's own link.
+/// Guards against listing a connected child as lost: a relay that lost a child, and to which the child had
+/// come before, may connect here after that child. What the relay then reports of the child is older than the
+/// child's own link.
 #[test]
 fn a_connected_child_is_not_listed_as_lost_by_its_former_parent() {
     let mut host = recording_host();
@@ -339,8 +344,8 @@
     Summary { in_force: version(1), members: 2, exceptions, ..Summary::default() }
 }
 
-/// Guards against listing a running member as lost while it moves from one relay to another and back: each relay reports
-/// what it saw, and the reports may arrive in any order.
+/// Guards against listing a running member as lost while it moves from one relay to another and back: each
+/// relay reports what it saw, and the reports may arrive in any order.
 #[test]
 fn reports_about_a_moving_member_may_arrive_in_any_order() {
     let arrived_by = |number: u64| Summary { arrived: vec![link("p1", number)], ..relay_summary(None) };
@@ -369,8 +374,8 @@
     }
 }
 
-/// Guards against listing a child that moved to a relay as lost: the relay may report its arrival before the loss of the
-/// child's own link is noticed here.
+/// Guards against listing a child that moved to a relay as lost: the relay may report its arrival before the
+/// loss of the child's own link is noticed here.
 #[test]
 fn the_loss_of_a_link_may_be_noticed_after_the_next_link_is_up() {
     let mut host = recording_host();
@@ -388,8 +393,8 @@
     assert_eq!(describe_summary(&node.summary(SECOND)), "1.1 at 3, but p1 Lost { attachment: 2 }");
 }
 
-/// Guards against forgetting a publisher that died: it was nobody's child, so no process notices the loss of its link. The
-/// next publisher lists it as lost until it connects.
+/// Guards against forgetting a publisher that died: it was nobody's child, so no process notices the loss of
+/// its link. The next publisher lists it as lost until it connects.
 #[test]
 fn a_control_machine_without_a_link_is_listed_as_lost() {
     let mut host = recording_host();
--- a/crates/carrier/tests/whole.rs
+++ b/crates/carrier/tests/whole.rs
@@ -1,7 +1,8 @@
-//! Explores all states of a small fleet exhaustively: a root, a relay and a proxy, a few versions, and every order of the
-//! events that a budget allows. Messages and ends of links arrive at any time, but in order on each link; processes restart
-//! with or without their disk; links break; messages are lost; time advances to whatever is due next. From each final state
-//! a run without further faults must bring all processes to the last version. States are distinguished by 64-bit hashes.
+//! Explores all states of a small fleet exhaustively: a root, a relay and a proxy, a few versions, and every
+//! order of the events that a budget allows. Messages and ends of links arrive at any time, but in order on
+//! each link; processes restart with or without their disk; links break; messages are lost; time advances to
+//! whatever is due next. From each final state a run without further faults must bring all processes to the
+//! last version. States are distinguished by 64-bit hashes.
 
 mod common;
 
@@ -29,6 +30,7 @@
     time_steps: u8,
 }
 
+/// A link; `child` and `parent` are indexes of processes.
 #[derive(Clone, Hash)]
 struct Link {
     child: usize,
@@ -36,11 +38,15 @@
     /// Messages under way in each direction; `None` is the end of the link.
     up: VecDeque<Option<ChildMessage>>,
     down: VecDeque<Option<ParentMessage>>,
+    /// Whether the child's end and the parent's end are open.
     open: [bool; 2],
+    /// The part without an answer: the version that the child holds after it if it is the last part.
     part_in_flight: Option<Option<Version>>,
+    /// The child and its last summary, as received by the parent.
     summary: Option<(Member, Summary)>,
 }
 
+/// A process; its tree node, its disk and the state of its host.
 #[derive(Clone, Hash)]
 struct Process {
     node: TreeNode,
@@ -85,6 +91,7 @@
     }
 }
 
+/// One state of the explored fleet.
 #[derive(Clone, Hash)]
 struct State {
     now: Nanos,
@@ -95,6 +102,7 @@
     budget: Budget,
 }
 
+/// An event that can happen next. `Restart` keeps the disk if its flag is set.
 #[derive(Clone, Copy, Debug)]
 enum Choice {
     DeliverUp(ChildId),
@@ -120,7 +128,7 @@
     config
 }
 
-/// The changes of each version. Version 2 takes two parts and removes a resource; all after it are refused.
+/// The changes of each version. Version 2 takes two parts and removes a resource; later ones are refused.
 fn change(number: u64) -> Vec<Resource> {
     let version = Version { epoch: 1, number };
     let resource = |name: &str, patch: Option<String>| Resource {
@@ -143,6 +151,7 @@
     });
 }
 
+/// Calls a function with all changes up to a version number.
 fn settled<R>(until: u64, call: impl FnOnce(&BTreeMap<Version, Vec<Resource>>) -> R) -> R {
     SETTLED.with(|settled| call(&settled[until as usize]))
 }
@@ -179,7 +188,7 @@
             node.set_root(now, Some("c0"), host);
             node.publish(now, Version { epoch: 1, number: 0 }, vec![], host);
         });
-        // Runs until all processes are connected.
+        // Lets the processes connect and converge before the exploration.
         state.run_fair();
         state
     }
@@ -274,7 +283,8 @@
         }
     }
 
-    /// The events that can happen next: of the links and hosts, and with faults also those that the budget allows.
+    /// The events that can happen next: of the links and hosts, and with faults also those that the budget
+    /// allows.
     fn choices(&self, with_faults: bool) -> Vec<Choice> {
         let mut choices = Vec::new();
         let budget = self.budget;
@@ -552,7 +562,7 @@
         Budget { versions: 1, lost_messages: 1, time_steps: 1, ..no_faults },
         Budget { versions: 1, restarts: 1, lost_messages: 1, ..no_faults },
     ];
-    // The environment variable DEEP adds larger budgets, which take minutes.
+    // With the environment variable DEEP these are replaced by larger budgets, which take minutes more.
     if std::env::var("DEEP").is_ok() {
         budgets = vec![
             Budget { time_steps: 1, ..no_faults },
