--- a/crates/carrier/src/message.rs
+++ b/crates/carrier/src/message.rs
@@ -53,6 +53,7 @@
     /// digest of what the child wants at that version, and the age of the parent's knowledge. The age is the
     /// time since the root held exactly this, in nanoseconds, or `Nanos::MAX` if that is not known. A child
     /// whose own digest equals this one thereby holds that version.
+    // The encoding on links is by position; the name is kept for encodings that write it out.
     #[serde(rename = "Pulse")]
     Heartbeat { version: Version, digest: u64, age: Nanos },
     /// What changed for the child after version `after`, up to `version`. Sent in parts; the child holds
--- a/crates/carrier/src/parents.rs
+++ b/crates/carrier/src/parents.rs
@@ -198,7 +198,7 @@
                     return false;
                 }
                 // If the next candidate is no fresher, the process stays there for the whole delay. Without
-                // it a crowd of children would move from candidate to candidate all the time.
+                // the delay a crowd of children would move from candidate to candidate all the time.
                 let max_delay = if max_delay == 0 {
                     STALE_SWITCH_BACKOFF[0]
                 } else {
