--- a/crates/lab/tests/lab/stand_ins.rs
+++ b/crates/lab/tests/lab/stand_ins.rs
@@ -3,9 +3,9 @@
 use crate::day;
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
-use pumicebay::http::{Http, Request};
+use pumicebay::http::{ClientCodec, Request};
 use pumicebay::resp::{Frame, Resp};
-use pumicebay::upstream::forms::{answered, probed, replied};
+use pumicebay::upstream::protocol::{parse_cache_reply, parse_origin_response, parse_probe_reply};
 use pumicebay_core::{Outcome, Standing};
 use pumicebay_lab::platform;
 use pumicebay_lab::real::fleet::Fleet;
@@ -52,21 +52,24 @@
     let fleet = fleet().await;
     let mut node = connect(&fleet, 0).await;
     let wish = take(&fleet, 77, 3);
-    let back = replied(ask(&mut node, &wish, 77).await).expect("a reply that can be read");
+    let back = parse_cache_reply(ask(&mut node, &wish, 77).await).expect("a reply that can be read");
     let value = back.value.whole().expect("a whole value");
     assert_eq!((back.outcome, made_for(value), value.len()), (Outcome::Completed, Some(77), 900));
     let wish = take(&fleet, 78, 1_000_000);
-    let back = replied(ask(&mut node, &wish, 78).await).expect("a reply that can be read");
+    let back = parse_cache_reply(ask(&mut node, &wish, 78).await).expect("a reply that can be read");
     assert_eq!(back.outcome, Outcome::Missed);
     node.send(&Frame::command([b"PING"])).await.expect("a probe sent");
     let pong = node.next().await.expect("a reply").expect("a frame");
-    assert_eq!(probed(pong).expect("a probe's answer").outcome, Outcome::Completed);
+    assert_eq!(parse_probe_reply(pong).expect("a probe's answer").outcome, Outcome::Completed);
     // What no client asked for is turned away, and spoilt answers can't be read.
     let wish = take(&fleet, 79, 3);
-    let unknown = replied(ask(&mut node, &wish, 4000).await).expect("a reply that can be read");
+    let unknown = parse_cache_reply(ask(&mut node, &wish, 4000).await).expect("a reply that can be read");
     assert_eq!(unknown.outcome, Outcome::Saturated);
     fleet.changes(Change::Errors(0, 1.0)).await;
-    assert_eq!(replied(ask(&mut node, &wish, 79).await).expect("a reply").outcome, Outcome::Errored);
+    assert_eq!(
+        parse_cache_reply(ask(&mut node, &wish, 79).await).expect("a reply").outcome,
+        Outcome::Errored
+    );
     fleet.changes(Change::Errors(0, 0.0)).await;
     fleet.changes(Change::Spoils(0, 1.0)).await;
     let wish = take(&fleet, 80, 3);
@@ -107,7 +110,7 @@
     // It came back empty.
     let mut node = connect(&fleet, 0).await;
     let wish = take(&fleet, 90, 3);
-    assert_eq!(replied(ask(&mut node, &wish, 90).await).expect("a reply").outcome, Outcome::Missed);
+    assert_eq!(parse_cache_reply(ask(&mut node, &wish, 90).await).expect("a reply").outcome, Outcome::Missed);
 }
 
 #[tokio::test]
@@ -115,14 +118,14 @@
     let fleet = fleet().await;
     let address = fleet.address(fleet.origin()).expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
-    let mut origin = Framed::new(stream, Http::new(64 * 1024));
+    let mut origin = Framed::new(stream, ClientCodec::new(64 * 1024));
     let wish = take(&fleet, 5, 4);
     let id = format!("{:016x}", 5);
     let path = format!("/{}", key_text(wish.key));
     let headers = vec![("X-Txn", id.as_bytes()), ("X-Labels", &b"c=read,d=500"[..])];
     origin.send(Request { headers, ..Request::get(path) }).await.expect("a request sent");
     let response = origin.next().await.expect("an answer").expect("that can be read");
-    let back = answered(response);
+    let back = parse_origin_response(response);
     let value = back.value.whole().expect("a whole value");
     assert_eq!((back.outcome, made_for(value)), (Outcome::Completed, Some(5)));
 }
@@ -136,16 +139,18 @@
     let config = pumicebay::config::parse(&config).expect("a configuration that the proxy takes");
     let address = fleet.discovery(0).expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
-    let mut agent = Framed::new(stream, Http::new(64 * 1024));
+    let mut agent = Framed::new(stream, ClientCodec::new(64 * 1024));
     agent.send(Request::get("/registry/instances".into())).await.expect("a request sent");
     let whole = agent.next().await.expect("an answer").expect("that can be read");
-    let (version, all, named) = pumicebay::discovery::entries::entries(&whole.body, &config).expect("a list");
+    let (version, all, named) =
+        pumicebay::discovery::entries::parse_list(&whole.body, &config).expect("a list");
     assert!(all && named.len() == 3 && named[2].listed.origin);
     let watch = format!("/registry/instances?index={version}&wait=5000");
     agent.send(Request::get(watch)).await.expect("a request sent");
     fleet.changes(Change::Drain(1)).await;
     let changes = agent.next().await.expect("an answer").expect("that can be read");
-    let (later, all, named) = pumicebay::discovery::entries::entries(&changes.body, &config).expect("a list");
+    let (later, all, named) =
+        pumicebay::discovery::entries::parse_list(&changes.body, &config).expect("a list");
     assert!(later > version && !all);
     assert_eq!((&*named[0].uid, named[0].listed.standing), ("n2", Standing::Draining));
 }
@@ -164,6 +169,6 @@
     let mut buffer = BytesMut::new();
     let answer = Answer { status: 503, header: Some(("X-Turned-Away", "1")), body: "no".into() };
     server.encode(answer, &mut buffer).expect("room");
-    let response = Http::new(100).decode(&mut buffer).expect("sound").expect("whole");
-    assert_eq!(answered(response).outcome, Outcome::Saturated);
+    let response = ClientCodec::new(100).decode(&mut buffer).expect("sound").expect("whole");
+    assert_eq!(parse_origin_response(response).outcome, Outcome::Saturated);
 }
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -1,5 +1,6 @@
 //! Nodes that operators have taken out of service, by `uid`. Each is a file in the proxy's private folder, so that a
-//! process that serves beside this one, or comes after it, keeps the same bans: whoever is called writes, both look.
+//! process that serves beside this one or comes after it takes the same nodes out: the process that gets the call writes
+//! the file, and every process reads the folder.
 
 use crate::desk::{Desk, Whose};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
@@ -12,244 +13,280 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// A file's name is this, which has the version, and the `uid` in hex.
-const NAME: &str = "pumicebay-ban-1-";
-/// One that was put back leaves a file of this name: a successor takes the node for as cold as this process does.
-const BACK: &str = "pumicebay-back-1-";
-/// The highest token seen of a lease: this, the lease in hex, `-` and the token.
-const FENCE: &str = "pumicebay-fence-1-";
-/// How often the folder is looked through; a ban from another process acts so much later.
-const LOOK: Duration = Duration::from_millis(100);
+/// Start of the name of the file for a node that is out of service, with the version of the format; the node's `uid` in
+/// hex follows.
+const OUT_FILE_PREFIX: &str = "pumicebay-ban-1-";
+/// Start of the name of the file for a node that was put back. Its age tells a successor how long ago that was, so that
+/// it treats the node as cold for as long as this process does.
+const RETURNED_FILE_PREFIX: &str = "pumicebay-back-1-";
+/// Start of the name of the file for the highest token seen of a lease; the lease in hex, `-` and the token follow.
+const FENCE_FILE_PREFIX: &str = "pumicebay-fence-1-";
+/// How often the folder is read, and thus how long a call to another process may take to act here.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 const MAILBOX: usize = 64;
-/// No `uid` is longer: file names end at 255 bytes.
-const LONGEST_UID: usize = 110;
-/// No lease that a call names is longer, for the same reason.
-pub const LONGEST_LEASE: usize = 100;
+/// The longest `uid` in bytes: file names are limited to 255 bytes.
+const MAX_UID_BYTES: usize = 110;
+/// The longest lease name in bytes, for the same reason.
+pub const MAX_LEASE_BYTES: usize = 100;
 
-/// What became of a call.
+/// The result of a maintenance call.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum MaintenanceResult {
+    /// Done at this proxy.
     Done,
-    /// It holds here, and goes on to the others of the group under this stamp.
-    Ordered(Stamp),
-    /// An order under a lease stands against it.
+    /// Done at this proxy, and replicated to the others of the group as the order with this stamp.
+    Replicated(Stamp),
+    /// Refused because an order under a lease stands against it.
     Refused(String),
-    Unknown,
-    Origin,
-    /// It came under this lease, which has gone on to this token.
-    Late(String, Token),
+    /// No node with this uid is known.
+    UnknownNode,
+    /// The node is the origin, which cannot be taken out of service.
+    IsOrigin,
+    /// The token is out of date: this lease has moved on to this token.
+    StaleToken(String, Token),
     Failed(String),
 }
 
-impl Asked {
-    /// What became of a call about this node, in words.
-    pub fn words(&self, who: &str, out: bool) -> String {
+impl MaintenanceResult {
+    /// The text of the answer to the operator. `out_of_service` is what the call asked for.
+    pub fn message(&self, uid: &str, out_of_service: bool) -> String {
         match self {
-            Asked::Done | Asked::Ordered(_) if out => format!("{who} gets nothing more"),
-            Asked::Done | Asked::Ordered(_) => format!("{who} is back"),
-            Asked::Unknown => format!("no cache node {who:?} is known"),
-            Asked::Origin => format!("{who} is the origin, not a cache node"),
-            Asked::Late(lease, token) => format!("{lease} has gone on to token {token}"),
-            Asked::Refused(why) => format!("{who}: {why}"),
-            Asked::Failed(error) => format!("{who}: could not be kept: {error}"),
+            MaintenanceResult::Done | MaintenanceResult::Replicated(_) if out_of_service => {
+                format!("{uid} gets nothing more")
+            }
+            MaintenanceResult::Done | MaintenanceResult::Replicated(_) => format!("{uid} is back"),
+            MaintenanceResult::UnknownNode => format!("no cache node {uid:?} is known"),
+            MaintenanceResult::IsOrigin => format!("{uid} is the origin, not a cache node"),
+            MaintenanceResult::StaleToken(lease, token) => format!("{lease} has gone on to token {token}"),
+            MaintenanceResult::Refused(why) => format!("{uid}: {why}"),
+            MaintenanceResult::Failed(error) => format!("{uid}: could not be saved: {error}"),
         }
     }
 }
 
-/// An id, whether it goes out, the lease and token that the caller acts under, and where the answer is awaited.
-pub struct Call {
+/// A call that takes a node out of service or puts it back.
+pub struct MaintenanceCall {
     uid: String,
-    out: bool,
-    under: Option<(String, Token)>,
-    done: oneshot::Sender<Asked>,
+    out_of_service: bool,
+    /// The lease and token that the caller acts under, if any.
+    lease: Option<(String, Token)>,
+    reply: oneshot::Sender<MaintenanceResult>,
 }
 
-/// The way to the actor.
+/// A handle to the maintenance actor.
 #[derive(Clone)]
-pub struct Maintenance(mpsc::Sender<Call>);
+pub struct Maintenance(mpsc::Sender<MaintenanceCall>);
 
 impl Maintenance {
-    /// Takes a node out of service or puts it back; answers once that holds.
-    pub async fn ask(&self, uid: String, out: bool, under: Option<(String, Token)>) -> Asked {
-        let (done, answer) = oneshot::channel();
-        let gone = || Asked::Failed("the proxy ends".into());
-        if self.0.send(Call { uid, out, under, done }).await.is_err() {
-            return gone();
+    /// Takes a node out of service or puts it back, under a lease and token if the caller has one. Returns once the
+    /// change is in effect.
+    pub async fn set_service(
+        &self,
+        uid: String,
+        out_of_service: bool,
+        lease: Option<(String, Token)>,
+    ) -> MaintenanceResult {
+        let (reply, result) = oneshot::channel();
+        let stopping = || MaintenanceResult::Failed("the proxy is stopping".into());
+        if self.0.send(MaintenanceCall { uid, out_of_service, lease, reply }).await.is_err() {
+            return stopping();
         }
-        answer.await.unwrap_or_else(|_| gone())
+        result.await.unwrap_or_else(|_| stopping())
     }
 }
 
-pub fn maintenance() -> (Maintenance, mpsc::Receiver<Call>) {
+/// Creates the handle and the mailbox for [`MaintenanceActor::run`].
+pub fn channel() -> (Maintenance, mpsc::Receiver<MaintenanceCall>) {
     let (calls, mailbox) = mpsc::channel(MAILBOX);
     (Maintenance(calls), mailbox)
 }
 
-/// The actor that keeps the bans; calls and what other processes wrote take their turns here.
-pub struct Bans {
+/// The actor that keeps the nodes that are out of service. It handles calls, orders of the group and the files of other
+/// processes one at a time.
+pub struct MaintenanceActor {
     pub desk: Desk,
-    /// Without a folder, bans hold for this process alone.
+    /// The proxy's private folder; without one the nodes are out of service for this process only.
     pub folder: Option<PathBuf>,
-    /// Those that the module has been told of.
+    /// The nodes that the module was told are out of service.
     pub out: BTreeSet<String>,
-    /// What calls under leases brought.
+    /// The highest tokens seen in calls under leases.
     pub fences: Fences,
-    /// Where orders are replicated: the way to the replica, and what holds by all orders.
+    /// Set if orders are replicated in a group.
     pub replication: Option<Replication>,
 }
 
-/// What is replicated of maintenance.
+/// The replicated part of maintenance.
 pub struct Replication {
+    /// The handle to the replica.
     pub handle: Handle,
+    /// The service state of each node by all orders known.
     pub ordered: watch::Receiver<Ordered>,
 }
 
-impl Bans {
-    pub async fn run(mut self, mut calls: mpsc::Receiver<Call>) {
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+impl MaintenanceActor {
+    /// Runs until all handles are dropped.
+    pub async fn run(mut self, mut calls: mpsc::Receiver<MaintenanceCall>) {
+        let mut scan = interval(SCAN_INTERVAL);
+        scan.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
                 call = calls.recv() => match call {
-                    Some(Call { uid, out, under, done }) => {
-                        let _ = done.send(self.called(uid, out, under).await);
+                    Some(MaintenanceCall { uid, out_of_service, lease, reply }) => {
+                        let _ = reply.send(self.handle_call(uid, out_of_service, lease).await);
                     }
                     None => return,
                 },
-                ordered = ordered(&mut self.replication) => self.carry_out(ordered).await,
-                _ = look.tick() => self.look().await,
+                ordered = next_ordered(&mut self.replication) => self.apply_orders(ordered).await,
+                _ = scan.tick() => self.scan_folder().await,
             }
         }
     }
 
-    async fn called(&mut self, uid: String, out: bool, under: Option<(String, Token)>) -> Asked {
+    async fn handle_call(
+        &mut self,
+        uid: String,
+        out_of_service: bool,
+        lease: Option<(String, Token)>,
+    ) -> MaintenanceResult {
         match self.desk.whose(uid.clone()).await {
             Whose::Cache => {}
-            // One that discovery has dropped since can be put back all the same.
+            // A node that discovery has dropped since it was taken out can still be put back.
             Whose::Nobody if self.out.contains(&uid) => {}
-            Whose::Nobody => return Asked::Unknown,
-            Whose::Origin => return Asked::Origin,
+            Whose::Nobody => return MaintenanceResult::UnknownNode,
+            Whose::Origin => return MaintenanceResult::IsOrigin,
         }
-        let order_lease = under.clone().map(|(name, token)| Lease { name, token });
-        // Who held the lease before, and was stopped in the middle of its work, must not undo the next one's.
-        if let Some((lease, token)) = under {
-            match self.fence(&lease, token) {
+        let order_lease = lease.clone().map(|(name, token)| Lease { name, token });
+        // An earlier holder of the lease that was stopped in the middle of its work must not undo the next one's.
+        if let Some((lease, token)) = lease {
+            match self.check_fence(&lease, token) {
                 Ok(Passage::Passes) => {}
-                Ok(Passage::Late(highest)) => return Asked::Late(lease, highest),
-                Ok(Passage::Full) => return Asked::Failed("too many leases are known".into()),
-                Err(error) => return Asked::Failed(error.to_string()),
+                Ok(Passage::Late(highest)) => return MaintenanceResult::StaleToken(lease, highest),
+                Ok(Passage::Full) => return MaintenanceResult::Failed("too many leases are known".into()),
+                Err(error) => return MaintenanceResult::Failed(error.to_string()),
             }
         }
-        let given = match &self.replication {
-            Some(replication) => match replication.give(&uid, out, order_lease).await {
+        let stamp = match &self.replication {
+            Some(replication) => match replication.submit(&uid, out_of_service, order_lease).await {
                 Ok(stamp) => Some(stamp),
                 Err(refused) => return refused,
             },
             None => None,
         };
-        // Kept before it acts: a successor that starts now must find it.
-        if let Err(error) = self.keep(&uid, out) {
-            tracing::error!("maintenance: {uid}: {error}");
-            return Asked::Failed(error.to_string());
+        // Saved before it acts, so that a successor that starts now finds it.
+        if let Err(error) = self.save(&uid, out_of_service) {
+            tracing::error!("maintenance: {uid} could not be saved: {error}");
+            return MaintenanceResult::Failed(error.to_string());
         }
-        self.tell(uid, out).await;
-        given.map_or(Asked::Done, Asked::Ordered)
+        self.update_module(uid, out_of_service).await;
+        stamp.map_or(MaintenanceResult::Done, MaintenanceResult::Replicated)
     }
 
-    /// Carries out what holds by the orders of the group.
-    async fn carry_out(&mut self, ordered: Ordered) {
+    /// Applies the group's orders to the nodes whose state differs from them.
+    async fn apply_orders(&mut self, ordered: Ordered) {
         for (uid, service) in ordered.services {
-            let out = service == Service::Out;
-            if self.out.contains(&uid) == out {
+            let out_of_service = service == Service::Out;
+            if self.out.contains(&uid) == out_of_service {
                 continue;
             }
-            if let Err(error) = self.keep(&uid, out) {
-                tracing::error!("maintenance: {uid} is not kept over a restart: {error}");
+            if let Err(error) = self.save(&uid, out_of_service) {
+                tracing::error!(
+                    "maintenance: {uid} could not be saved and will be lost at a restart: {error}"
+                );
             }
-            self.tell(uid, out).await;
+            self.update_module(uid, out_of_service).await;
         }
         if let Some(replication) = &self.replication {
             replication.handle.applied(ordered.revision);
         }
     }
 
-    /// Whether a call under this token may act; if so it is on disk before it does, as the lease goes on over a loss of
-    /// power too.
-    fn fence(&mut self, lease: &str, token: Token) -> std::io::Result<Passage> {
+    /// Decides whether a call under this token may act. If so, the token is on disk before the call acts, because the
+    /// lease outlives a power loss.
+    fn check_fence(&mut self, lease: &str, token: Token) -> std::io::Result<Passage> {
         let folder = self.folder.as_deref();
         let seen = folder.map(read_fences).transpose()?.unwrap_or_default();
         seen.iter().for_each(|(lease, token)| self.fences.saw(lease, *token));
         let passage = self.fences.passes(lease, token);
         if passage == Passage::Passes {
             if let Some(folder) = folder.filter(|_| !seen.contains(&(lease.into(), token))) {
-                let name = |token: Token| folder.join(format!("{FENCE}{}-{token}", hex(lease)));
-                std::fs::File::create(name(token))?;
+                let path =
+                    |token: Token| folder.join(format!("{FENCE_FILE_PREFIX}{}-{token}", encode_hex(lease)));
+                std::fs::File::create(path(token))?;
                 std::fs::File::open(folder)?.sync_all()?;
                 let lower = seen.iter().filter(|(of, lower)| of == lease && *lower < token);
-                lower.for_each(|(_, lower)| _ = std::fs::remove_file(name(*lower)));
+                lower.for_each(|(_, lower)| _ = std::fs::remove_file(path(*lower)));
             }
             self.fences.saw(lease, token);
         }
         Ok(passage)
     }
 
-    async fn tell(&mut self, uid: String, out: bool) {
-        if out {
+    async fn update_module(&mut self, uid: String, out_of_service: bool) {
+        if out_of_service {
             self.out.insert(uid.clone());
         } else {
             self.out.remove(&uid);
         }
-        self.desk.maintained(uid, out).await;
+        self.desk.maintained(uid, out_of_service).await;
     }
 
-    fn keep(&self, uid: &str, out: bool) -> std::io::Result<()> {
+    fn save(&self, uid: &str, out_of_service: bool) -> std::io::Result<()> {
         let Some(folder) = &self.folder else { return Ok(()) };
-        if uid.len() > LONGEST_UID {
+        if uid.len() > MAX_UID_BYTES {
             return Err(std::io::Error::new(ErrorKind::InvalidInput, "id too long"));
         }
-        let (ban, back) =
-            (folder.join(format!("{NAME}{}", hex(uid))), folder.join(format!("{BACK}{}", hex(uid))));
-        let (new, old) = if out { (ban, back) } else { (back, ban) };
-        // All there is to each is the name and its time: there at once and whole.
+        let (out, returned) = (
+            folder.join(format!("{OUT_FILE_PREFIX}{}", encode_hex(uid))),
+            folder.join(format!("{RETURNED_FILE_PREFIX}{}", encode_hex(uid))),
+        );
+        let (new, old) = if out_of_service { (out, returned) } else { (returned, out) };
+        // The files are empty; the name and the time say everything, so a file is complete as soon as it exists.
         std::fs::File::create(new)?;
         std::fs::remove_file(old).or_else(|e| if e.kind() == ErrorKind::NotFound { Ok(()) } else { Err(e) })
     }
 
-    /// Takes over what another process wrote.
-    async fn look(&mut self) {
-        let Some(there) = self.folder.as_deref().map(|folder| read(folder, NAME)) else { return };
-        let there = match there {
-            Ok(there) => there,
-            Err(error) => return tracing::debug!("maintenance: {error}"),
+    /// Applies what other processes wrote into the folder.
+    async fn scan_folder(&mut self) {
+        let Some(found) = self.folder.as_deref().map(|folder| read_uids(folder, OUT_FILE_PREFIX)) else {
+            return;
+        };
+        let found = match found {
+            Ok(found) => found,
+            Err(error) => return tracing::debug!("maintenance: the folder cannot be read: {error}"),
         };
-        let changed: Vec<String> = there.symmetric_difference(&self.out).cloned().collect();
+        let changed: Vec<String> = found.symmetric_difference(&self.out).cloned().collect();
         for uid in changed {
-            let out = there.contains(&uid);
-            self.tell(uid, out).await;
+            let out_of_service = found.contains(&uid);
+            self.update_module(uid, out_of_service).await;
         }
     }
 }
 
 impl Replication {
-    /// Gives an order, or says why not.
-    async fn give(&self, uid: &str, out: bool, lease: Option<Lease>) -> Result<Stamp, Asked> {
-        let service = if out { Service::Out } else { Service::In };
+    /// Submits an order to the replica. The error is the result of the call.
+    async fn submit(
+        &self,
+        uid: &str,
+        out_of_service: bool,
+        lease: Option<Lease>,
+    ) -> Result<Stamp, MaintenanceResult> {
+        let service = if out_of_service { Service::Out } else { Service::In };
         let name = lease.as_ref().map(|lease| lease.name.clone()).unwrap_or_default();
         let order = Order { node: uid.into(), service, lease };
         self.handle.give(order).await.map_err(|not_given| match not_given {
-            NotGiven::Refused(Refusal::Late { token }) => Asked::Late(name, token),
-            NotGiven::Refused(refusal) => Asked::Refused(refusal.to_string()),
+            NotGiven::Refused(Refusal::Late { token }) => MaintenanceResult::StaleToken(name, token),
+            NotGiven::Refused(refusal) => MaintenanceResult::Refused(refusal.to_string()),
             NotGiven::NotOnDisk => {
-                Asked::Failed("it holds and goes on to the others, but is not on this disk".into())
+                MaintenanceResult::Failed("the order holds and is replicated, but is not on this disk".into())
             }
-            NotGiven::Ended => Asked::Failed("the proxy ends".into()),
+            NotGiven::Ended => MaintenanceResult::Failed("the proxy is stopping".into()),
         })
     }
 }
 
-/// What holds by the orders, once that has changed.
-async fn ordered(replication: &mut Option<Replication>) -> Ordered {
+/// Waits for the next state by all orders; forever if there is no replication.
+async fn next_ordered(replication: &mut Option<Replication>) -> Ordered {
     if let Some(replication) = replication
         && replication.ordered.changed().await.is_ok()
     {
@@ -258,53 +295,57 @@
     std::future::pending().await
 }
 
-/// What a process finds when it starts: the nodes that are out, and those put back for less than this time.
-pub fn found(folder: &Path, cold: Duration) -> std::io::Result<(BTreeSet<String>, BTreeSet<String>)> {
-    let fresh = |uid: &String| {
-        let file = std::fs::metadata(folder.join(format!("{BACK}{}", hex(uid))));
-        let since = file.and_then(|file| file.modified()).ok().and_then(|time| time.elapsed().ok());
-        since.is_some_and(|since| since < cold)
+/// Reads what a process needs at its start: the nodes that are out of service, and those that were put back less than
+/// `cold` ago.
+///
+/// # Errors
+/// When the folder cannot be read.
+pub fn load(folder: &Path, cold: Duration) -> std::io::Result<(BTreeSet<String>, BTreeSet<String>)> {
+    let is_recent = |uid: &String| {
+        let file = std::fs::metadata(folder.join(format!("{RETURNED_FILE_PREFIX}{}", encode_hex(uid))));
+        let age = file.and_then(|file| file.modified()).ok().and_then(|time| time.elapsed().ok());
+        age.is_some_and(|age| age < cold)
     };
-    let back = read(folder, BACK)?;
-    Ok((read(folder, NAME)?, back.into_iter().filter(fresh).collect()))
+    let returned = read_uids(folder, RETURNED_FILE_PREFIX)?;
+    Ok((read_uids(folder, OUT_FILE_PREFIX)?, returned.into_iter().filter(is_recent).collect()))
 }
 
-/// The ids that files of this kind name. Files that are none of ours are passed over.
-fn read(folder: &Path, kind: &str) -> std::io::Result<BTreeSet<String>> {
+/// The uids of all files with this prefix. Files whose names are not valid are skipped.
+fn read_uids(folder: &Path, prefix: &str) -> std::io::Result<BTreeSet<String>> {
     let mut uids = BTreeSet::new();
-    for uid in names(folder, kind)? {
-        match unhex(&uid) {
+    for uid in name_suffixes(folder, prefix)? {
+        match decode_hex(&uid) {
             Some(uid) => _ = uids.insert(uid),
-            None => tracing::debug!("maintenance: {uid:?} is no file of ours"),
+            None => tracing::debug!("maintenance: file ignored: {uid:?} is not a uid in hex"),
         }
     }
     Ok(uids)
 }
 
-/// Leases and tokens that files name; a lease may have several while one is taken away.
+/// The leases and tokens of all fence files. A lease has several while the file of a lower token is being removed.
 fn read_fences(folder: &Path) -> std::io::Result<Vec<(String, Token)>> {
-    let seen = |name: String| {
+    let parse = |name: String| {
         let (lease, token) = name.split_once('-')?;
-        unhex(lease).zip(token.parse().ok())
+        decode_hex(lease).zip(token.parse().ok())
     };
-    Ok(names(folder, FENCE)?.into_iter().filter_map(seen).collect())
+    Ok(name_suffixes(folder, FENCE_FILE_PREFIX)?.into_iter().filter_map(parse).collect())
 }
 
-/// What follows in the names of files that begin so.
-fn names(folder: &Path, kind: &str) -> std::io::Result<Vec<String>> {
+/// The names of all files with this prefix, without the prefix.
+fn name_suffixes(folder: &Path, prefix: &str) -> std::io::Result<Vec<String>> {
     let mut names = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let name = entry?.file_name();
-        names.extend(name.to_str().and_then(|name| name.strip_prefix(kind)).map(str::to_string));
+        names.extend(name.to_str().and_then(|name| name.strip_prefix(prefix)).map(str::to_string));
     }
     Ok(names)
 }
 
-fn hex(uid: &str) -> String {
+fn encode_hex(uid: &str) -> String {
     uid.bytes().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Option<String> {
+fn decode_hex(text: &str) -> Option<String> {
     let pair = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(pair).collect();
     String::from_utf8(bytes?).ok().filter(|uid| !uid.is_empty())
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line: what to do, and with which configuration.
+//! The command line: parses the arguments and runs the command.
 
 use crate::config::{self, Config};
 use crate::counters::Counters;
 use crate::fleet;
-use crate::migrate::{self, Answers, OWN};
+use crate::migrate::{self, MigrationOptions, PER_PROXY_OPTIONS};
 use crate::resp::{Frame, Resp};
 use crate::serve::{self, Proxy};
 use crate::turns;
@@ -24,38 +24,44 @@
 
 usage: pumicebay COMMAND [--config FILE]
 
-  serve              run the proxy until SIGTERM; SIGHUP reads FILE again
-  check              read and check the configuration, and print what it says
-  migrate            write FILE's counterpart for a proxy beside each client, all in one location
-  fleet              what the proxies of a fleet agree on: pumicebay fleet help
-  counters [ADDRESS] print the counters of the proxy that listens there
+  serve              run the proxy until SIGTERM; SIGHUP reloads FILE
+  check              read and check the configuration, and print a summary
+  migrate            convert FILE to the layout with a proxy beside each client, all in one location
+  fleet              manage what the proxies of a fleet agree on: pumicebay fleet help
+  counters [ADDRESS] print the counters of the proxy that listens at ADDRESS
   version            print the version
   help               print this
 
-FILE is by default what $PROXY_CONFIG names; $PROXY_NAME, $PROXY_LISTEN, $PROXY_DISCOVERY and
-$PROXY_OPERATOR go before what it says; $PROXY_LOG is what is logged, info or, with each request, debug; read again, FILE alone says where discovery is. ADDRESS is by default where
-that configuration listens.
+FILE defaults to $PROXY_CONFIG. $PROXY_NAME, $PROXY_LISTEN, $PROXY_DISCOVERY and $PROXY_OPERATOR override
+its keys; when FILE is reloaded, $PROXY_DISCOVERY is ignored. $PROXY_LOG sets the log level: error, warn,
+info (the default) or debug, which logs each request. ADDRESS defaults to where FILE says the proxy listens.
 
 migrate --config FILE --output NEW [--dry-run] [--force]
-  --proxies N        how many proxies there will be, all clients' together
-  --probes yes|no    whether they may probe the nodes
-  --zone NAME        which of the old zones is the one location, where there are several
+  --proxies N        the number of proxies of all clients together
+  --probes yes|no    whether the proxies may probe the nodes
+  --zone NAME        which of the old zones becomes the one location, if there are several
   --name, --listen, --seed, --me
-                     what this proxy has for itself; else as in FILE
-  It lists what it changes, can't carry over and is not told. --dry-run prints the same list and writes
-  nothing; a file already at NEW is replaced with --force only. FILE is never changed.";
+                     values of this proxy alone; taken from FILE by default
+  It lists what it changes, what it cannot carry over and which options are missing. --dry-run prints the
+  same list and writes nothing; an existing NEW is replaced only with --force. FILE is never changed.";
 
-const LOG_LINES: usize = 4096;
-const ANSWERS: Duration = Duration::from_secs(2);
+/// How many log lines may wait for a slow reader; more are dropped.
+const MAX_BUFFERED_LOG_LINES: usize = 4096;
+/// How long a running proxy may take to send its counters.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Carries out what these arguments ask for.
+/// Runs the command that the arguments name.
+///
+/// # Errors
+/// When the arguments or the configuration are invalid, or the command fails.
 pub fn main(args: lexopt::Parser) -> Result<ExitCode> {
     let mut args = args;
     let (mut command, mut file, mut address) = (None, None, None);
-    let (mut output, mut dry, mut over, mut answers) = (None, false, false, Answers::default());
+    let (mut output, mut dry_run, mut overwrite, mut options) =
+        (None, false, false, MigrationOptions::default());
     while let Some(arg) = args.next()? {
         match arg {
-            // So the lab is told, which has commands of its own; here it changes nothing.
+            // Tells the lab, which has commands of its own, to act as the proxy; ignored here.
             Value(word) if command.is_none() && word == "as-proxy" => {}
             Long("config") => file = Some(args.value()?.string()?),
             Short('h') | Long("help") => command = Some("help".to_string()),
@@ -71,55 +77,55 @@
             }
             Long(option) if command.as_deref() == Some("migrate") => match option {
                 "output" => output = Some(args.value()?.string()?),
-                "dry-run" => dry = true,
-                "force" => over = true,
-                "proxies" => answers.proxies = Some(args.value()?.parse().context("--proxies")?),
-                "zone" => answers.zone = Some(args.value()?.string()?),
+                "dry-run" => dry_run = true,
+                "force" => overwrite = true,
+                "proxies" => options.proxies = Some(args.value()?.parse().context("--proxies")?),
+                "zone" => options.zone = Some(args.value()?.string()?),
                 "probes" => {
-                    answers.probes = Some(match args.value()?.string()?.as_str() {
+                    options.probes = Some(match args.value()?.string()?.as_str() {
                         "yes" => true,
                         "no" => false,
                         other => bail!("--probes: expected yes or no, found {other:?}"),
                     });
                 }
                 option => {
-                    let Some((own, _)) = OWN.iter().find(|(own, _)| *own == option) else {
+                    let Some((name, _)) = PER_PROXY_OPTIONS.iter().find(|(name, _)| *name == option) else {
                         return Err(Long(option).unexpected().into());
                     };
                     let value = args.value()?;
-                    let number = *own == "me";
-                    let value = if number {
+                    let is_number = *name == "me";
+                    let value = if is_number {
                         Json::from(value.parse::<u64>().context("--me")?)
                     } else {
                         Json::from(value.string()?)
                     };
-                    answers.own.push((own, value));
+                    options.per_proxy.push((name, value));
                 }
             },
             other => return Err(other.unexpected().into()),
         }
     }
     let file = || {
-        let file = file.clone().or_else(|| variable("PROXY_CONFIG"));
+        let file = file.clone().or_else(|| environment_variable("PROXY_CONFIG"));
         file.context("no configuration: neither --config nor $PROXY_CONFIG is given")
     };
-    let config = || config::read(&file()?, variable);
-    let done = match command.as_deref() {
-        Some("serve") => run(config()?, file()?),
+    let config = || config::read(&file()?, environment_variable);
+    let result = match command.as_deref() {
+        Some("serve") => serve(config()?, file()?),
         Some("check") => {
             println!("{}", config()?.summary());
             Ok(())
         }
         Some("migrate") => {
             let output = output.context("migrate: --output NEW is missing")?;
-            migrate::run(file()?.as_ref(), output.as_ref(), &answers, dry, over)
+            migrate::run(file()?.as_ref(), output.as_ref(), &options, dry_run, overwrite)
         }
         Some("counters") => {
             let address = match address {
                 Some(address) => address,
                 None => config()?.listen.to_string(),
             };
-            print!("{}", runtime()?.block_on(counters(&address))?);
+            print!("{}", runtime()?.block_on(fetch_counters(&address))?);
             Ok(())
         }
         Some("version") => {
@@ -133,57 +139,63 @@
         Some(other) => bail!("unknown command {other:?}; see pumicebay help"),
         None => bail!("no command; see pumicebay help"),
     };
-    done.map(|()| ExitCode::SUCCESS)
+    result.map(|()| ExitCode::SUCCESS)
 }
 
-fn variable(name: &str) -> Option<String> {
+/// The value of an environment variable; `None` if it is unset or empty.
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// One core is all a proxy has.
+/// A single-threaded runtime: a proxy has only one core.
 fn runtime() -> Result<tokio::runtime::Runtime> {
     Ok(tokio::runtime::Builder::new_current_thread().enable_all().build()?)
 }
 
-/// What is logged: `$PROXY_LOG` names the level.
+/// The log level that `$PROXY_LOG` names, `info` by default.
 fn log_level() -> Result<LevelFilter> {
-    let Some(level) = variable("PROXY_LOG") else { return Ok(LevelFilter::INFO) };
+    let Some(level) = environment_variable("PROXY_LOG") else { return Ok(LevelFilter::INFO) };
     level
         .parse()
         .ok()
         .with_context(|| format!("PROXY_LOG: expected error, warn, info or debug, found {level:?}"))
 }
 
-fn run(config: Config, file: String) -> Result<()> {
-    // Lines that nobody reads are lost after a while, rather than wait for.
-    let lossy = NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES);
-    let (log, _flush) = lossy.finish(std::io::stderr());
+/// Runs the proxy until it is told to stop.
+fn serve(config: Config, file: String) -> Result<()> {
+    // Log lines that nobody reads are dropped in the end, so that the proxy never waits for the reader.
+    let writer = NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES);
+    let (log, _flush) = writer.finish(std::io::stderr());
     let log = tracing_subscriber::fmt().with_writer(log).log_internal_errors(false);
     log.with_ansi(false).with_target(false).with_max_level(log_level()?).init();
     let counters = Arc::new(Counters::default());
     let runtime = runtime()?;
-    let served = runtime.block_on(async {
-        let noted = counters.clone();
-        let reread = move || {
-            turns::noted(&noted, || "reading the configuration".into(), || config::reread(&file, variable))
+    let result = runtime.block_on(async {
+        let turn_counters = counters.clone();
+        let reload = move || {
+            turns::noted(
+                &turn_counters,
+                || "reading the configuration".into(),
+                || config::reload(&file, environment_variable),
+            )
         };
-        let (stop, configs) = (serve::signalled().await?, serve::reread(reread)?);
+        let (stop, configs) = (serve::signalled().await?, serve::reread(reload)?);
         Proxy::start(config, counters.clone()).await?.run(stop, configs).await
     });
     tracing::info!("counters: {}", counters.to_string().trim_end().replace('\n', ", "));
     runtime.shutdown_background();
-    served
+    result
 }
 
-/// Asks a running proxy for its counters.
-async fn counters(address: &str) -> Result<String> {
-    let asked = tokio::time::timeout(ANSWERS, async {
+/// Fetches the counters of a running proxy.
+async fn fetch_counters(address: &str) -> Result<String> {
+    let reply = tokio::time::timeout(REPLY_TIMEOUT, async {
         let mut framed = Framed::new(TcpStream::connect(address).await?, Resp);
         framed.send(&Frame::command([b"INFO", b"counters"])).await?;
         match framed.next().await {
             Some(Ok(Frame::Bulk(text))) => Ok(String::from_utf8_lossy(&text).into_owned()),
-            other => bail!("unexpected answer {other:?}"),
+            other => bail!("unexpected reply {other:?}"),
         }
     });
-    asked.await.context("no answer")?.with_context(|| address.to_string())
+    reply.await.context("no reply in time")?.with_context(|| address.to_string())
 }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -273,7 +273,7 @@
     fn crowd(&mut self) {
         self.used = true;
         let used = self.front.used.fetch_add(1, Ordering::Relaxed) + 1;
-        let most = self.front.shared.config.used;
+        let most = self.front.shared.config.max_used_client_connections;
         self.front.room.ask_used(used.saturating_sub(most));
     }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,11 +1,11 @@
-//! The one place where the configuration is read, checked and given defaults. Every message names the key.
+//! Reads and checks the configuration and fills in its defaults. Every error names the key.
 
-use crate::discovery::known::Known;
+use crate::discovery::configured_list::ConfiguredList;
 use crate::fleet::config::FleetConfig;
 use crate::long;
-use crate::operator::CALLERS;
+use crate::operator::MAX_OPERATOR_CONNECTIONS;
 use crate::resp::LONGEST_BULK;
-use crate::sound::{key, sound};
+use crate::validation::{check_value, key_path};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_core::Settings;
 use pumicebay_core::host::Repeat;
@@ -19,103 +19,118 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a proxy holds at most if its limits do not say.
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: u64 = 192;
-const FEWEST_MEMORY_MB: u64 = 8;
-/// How long new connections are accepted after the signal to stop: a front hears of it a little later.
-const DRAINING: Duration = Duration::from_millis(500);
-/// Half the memory is for clients' connections, a quarter for those to nodes: what each may hold at worst. A
-/// client's buffer grows by doubling to the longest frame. A node's holds one value and what goes with it.
-const CLIENT_BYTES: usize = 2 * LONGEST_BULK;
-const NODE_BYTES: usize = LONGEST_BULK + LONGEST_BULK / 4;
-/// Descriptors for all that is not a connection: the runtime, the listener, discovery, logs.
-const RESERVED: usize = 32;
-const FEWEST_SOCKETS: u64 = 2 * RESERVED as u64;
-/// What the platform says goes before what the file says.
+/// The defaults of `limits.sockets` and `limits.memory_mb`.
+const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 192;
+const MIN_MEMORY_MB: u64 = 8;
+/// How long new connections are accepted after the signal to stop: a load balancer learns of the stop a little later.
+const DRAIN_PERIOD: Duration = Duration::from_millis(500);
+/// The most memory that one connection of a client, and one to a node, may use. Half the memory limit is for clients'
+/// connections and a quarter for those to nodes. A client's buffer grows by doubling to the longest frame; a node's
+/// holds one value and the rest of its reply.
+const MAX_CLIENT_BYTES: usize = 2 * LONGEST_BULK;
+const MAX_NODE_BYTES: usize = LONGEST_BULK + LONGEST_BULK / 4;
+/// Descriptors reserved for everything but connections of clients and to nodes: the runtime, the listener, discovery,
+/// logs.
+const RESERVED_DESCRIPTORS: usize = 32;
+const MIN_SOCKETS: u64 = 2 * RESERVED_DESCRIPTORS as u64;
+/// Environment variables that override keys of the file.
 const VARIABLES: &[(&str, &str)] = &[
     ("PROXY_NAME", "name"),
     ("PROXY_LISTEN", "listen"),
     ("PROXY_DISCOVERY", "discovery"),
     ("PROXY_OPERATOR", "operator"),
 ];
-/// A list is no longer than this in bytes, and than an eighth of the memory.
-const LONGEST_LIST: usize = 16 * 1024 * 1024;
-const IDLE: Duration = Duration::from_secs(15);
-const CONNECT: Duration = Duration::from_millis(200);
+/// The longest list of nodes in bytes; an eighth of the memory limit if that is less.
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+const DEFAULT_NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// The top-level keys; others are ignored with a warning.
 const KEYS: &[&str] =
     &["name", "listen", "discovery", "operator", "seed", "limits", "known", "settings", "fleet"];
 
+/// A checked configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The operators' door, where there is one.
+    /// Where operators call; `None` for no such listener.
     pub operator: Option<SocketAddr>,
-    /// Standard input is the clients' listening socket, which other processes hold too.
-    pub inherited: bool,
-    /// The proxy's private folder, in which a process leaves what the one beside it or after it must know.
+    /// Whether standard input is the clients' listening socket, which other processes share.
+    pub listener_inherited: bool,
+    /// The proxy's private folder, in which a process keeps what another one beside it or after it must know.
     pub folder: Option<PathBuf>,
+    /// The seed of all random decisions.
     pub seed: u64,
-    /// The limit on memory, in units of 1,024 bytes.
-    pub memory_kb: u64,
-    /// How many connections clients may hold here, and this proxy to nodes.
-    pub clients: usize,
-    pub upstream: usize,
-    /// How many of those may stay open between exchanges: three quarters of what clients may hold for requests.
-    pub used: usize,
-    /// How many commands clients may send ahead of their answers, over all connections.
-    pub ahead: usize,
-    /// How many long values may be on their way at a time.
-    pub long: usize,
-    /// The list of nodes as this proxy last had it.
-    pub known: Known,
-    /// The longest list that is read, in bytes of its text.
-    pub longest_list: usize,
+    /// The memory limit, in units of 1,024 bytes.
+    pub memory_limit_kb: u64,
+    /// How many connections of clients, and to nodes, may be open.
+    pub max_client_connections: usize,
+    pub max_node_connections: usize,
+    /// How many client connections that have carried a request may stay open between requests: three quarters of those
+    /// that clients may hold for requests.
+    pub max_used_client_connections: usize,
+    /// How many commands clients may send before the replies to earlier ones, over all connections.
+    pub max_pipelined_commands: usize,
+    /// How many long values may be streamed at a time.
+    pub max_streamed_values: usize,
+    /// The list of nodes to start from.
+    pub known: ConfiguredList,
+    /// The longest list of nodes that is read, in bytes of JSON text.
+    pub max_list_bytes: usize,
     pub settings: Settings,
-    /// All of it, as it was read, but for the entries of `known`.
+    /// The whole configuration as it was read, without the entries of `known`.
     pub json: Json,
-    /// What the indices of the decisions stand for.
+    /// The names of tenants, zones and kinds of machines; the core uses their indices.
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
-    /// The kinds of machines, by name.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
+    /// The kind of machine that the origin is.
     pub origin_kind: Option<String>,
-    /// How long a node lets a connection stand idle, and how long one may take to come up.
-    pub idle: Duration,
-    pub connect: Duration,
-    pub draining: Duration,
-    /// The fleet that it is one of, if it is in any.
+    /// How long a node keeps an idle connection open, and how long connecting to one may take.
+    pub node_idle_timeout: Duration,
+    pub connect_timeout: Duration,
+    /// How long new connections are accepted after the signal to stop.
+    pub drain_period: Duration,
+    /// The proxy's fleet, if it is in one.
     pub fleet: Option<Arc<FleetConfig>>,
 }
 
-/// Reads the file at `path` anew: where discovery is it says itself, as what the platform said at the start
-/// may no longer hold.
-pub fn reread(path: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
+/// Reads the file at `path` again. The file alone gives the address of discovery then, because the environment variable
+/// is from the start and may be out of date.
+///
+/// # Errors
+/// As [`read`].
+pub fn reload(path: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
     read(path, |name| if name == "PROXY_DISCOVERY" { None } else { variable(name) })
 }
 
-/// Reads the file at `path`; the platform's variables go before what it says.
+/// Reads the file at `path`. Environment variables, which `variable` returns by name, override its keys.
+///
+/// # Errors
+/// When the file cannot be read or a key is missing or invalid; the message names the path and the key.
 pub fn read(path: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
     let text = std::fs::read_to_string(path).with_context(|| format!("configuration {path}"))?;
     let config = parse_text(&text, &variable).with_context(|| format!("configuration {path}"))?;
-    let inherited = variable("PROXY_FD").is_some();
-    // By the proxy's name, as others may have theirs in the same place.
+    let listener_inherited = variable("PROXY_FD").is_some();
+    // Named after the proxy, because other proxies may use the same directory for theirs.
     let own = format!("pumicebay-{:016x}", names::identity(&config.name));
     let folder = variable("TMPDIR").map(|shared| PathBuf::from(shared).join(own));
-    Ok(Config { inherited, folder, ..config })
+    Ok(Config { listener_inherited, folder, ..config })
 }
 
-/// Reads a configuration's text. The list in it never becomes a tree: it may be far longer than all the rest.
+/// Parses the text of a configuration without building a JSON tree of its list of nodes, which may be far longer than
+/// all the rest.
 fn parse_text(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
     let Ok(fields) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
         return parse(&serde_json::from_str(text)?);
     };
-    let (mut object, mut known) = (serde_json::Map::new(), Known::default());
+    let (mut object, mut known) = (serde_json::Map::new(), ConfiguredList::default());
     for (name, value) in fields {
         let value = if name == "known" {
-            let (list, outline) = Known::read(value.get())?;
+            let (list, outline) = ConfiguredList::parse(value.get())?;
             known = list;
             outline
         } else {
@@ -131,51 +146,51 @@
     build(Json::Object(object), known)
 }
 
-/// Reads a configuration that is a tree already.
+/// Checks a configuration that is already a JSON tree.
 ///
 /// # Errors
-/// Names the key that is missing or wrong.
+/// When a key is missing or invalid; the message names it.
 pub fn parse(json: &Json) -> Result<Config> {
     let mut json = json.clone();
-    let mut known = Known::default();
+    let mut known = ConfiguredList::default();
     if let Some(list) = json.get_mut("known") {
-        let (read, outline) = Known::read(&list.to_string())?;
-        (known, *list) = (read, outline);
+        let (parsed, outline) = ConfiguredList::parse(&list.to_string())?;
+        (known, *list) = (parsed, outline);
     }
     build(json, known)
 }
 
-fn build(json: Json, known: Known) -> Result<Config> {
+fn build(json: Json, known: ConfiguredList) -> Result<Config> {
     let json = &json;
     let Some(object) = json.as_object() else { bail!("expected an object") };
-    // Names that begin with # are notes.
+    // Keys that begin with # are comments.
     for key in object.keys().filter(|key| !KEYS.contains(&key.as_str()) && !key.starts_with('#')) {
-        tracing::warn!("configuration: {key} is not known and not used");
+        tracing::warn!("configuration: unknown key {key} ignored");
     }
     let wire = json.get("settings").context("settings: missing")?;
     ensure!(wire.is_object(), "settings: expected an object, found {wire}");
-    let settings = checked(json, wire)?;
-    let sockets = number(json, "/limits/sockets")?.unwrap_or(SOCKETS);
-    ensure!(sockets >= FEWEST_SOCKETS, "limits.sockets: expected {FEWEST_SOCKETS} or more, found {sockets}");
+    let settings = checked_settings(json, wire)?;
+    let sockets = number(json, "/limits/sockets")?.unwrap_or(DEFAULT_SOCKETS);
+    ensure!(sockets >= MIN_SOCKETS, "limits.sockets: expected {MIN_SOCKETS} or more, found {sockets}");
     let operator = address(json, "operator")?;
-    let reserved = RESERVED + operator.map_or(0, |_| CALLERS);
+    let reserved = RESERVED_DESCRIPTORS + operator.map_or(0, |_| MAX_OPERATOR_CONNECTIONS);
     let sockets = usize::try_from(sockets).unwrap_or(usize::MAX) - reserved;
-    let memory = number(json, "/limits/memory_mb")?.unwrap_or(MEMORY_MB);
-    let least = FEWEST_MEMORY_MB;
+    let memory = number(json, "/limits/memory_mb")?.unwrap_or(DEFAULT_MEMORY_MB);
+    let least = MIN_MEMORY_MB;
     ensure!(memory >= least, "limits.memory_mb: expected {least} or more, found {memory}");
-    let memory_kb = memory.saturating_mul(1024);
+    let memory_limit_kb = memory.saturating_mul(1024);
     let memory = usize::try_from(memory).unwrap_or(usize::MAX).saturating_mul(1 << 20);
-    // Clients hold a third of all descriptors for requests.
-    let used = (sockets + reserved) / 3 * 3 / 4;
-    let clients = clients_part(sockets).min(memory / 2 / CLIENT_BYTES);
+    // Clients may hold a third of all descriptors for requests.
+    let max_used_client_connections = (sockets + reserved) / 3 * 3 / 4;
+    let max_client_connections = client_descriptors(sockets).min(memory / 2 / MAX_CLIENT_BYTES);
     let listen = address(json, "listen")?.context("listen: missing")?;
-    let kinds = names::list(wire, "/skus", "");
+    let machine_kinds = names::list(wire, "/skus", "");
     let origin = wire.pointer("/domain/origin-kind").and_then(Json::as_i64).filter(|&kind| kind >= 0);
     let origin_kind = origin.map(|kind| {
-        kinds
+        machine_kinds
             .get(kind as usize)
             .cloned()
-            .with_context(|| format!("settings.domain.origin-kind: no kind {kind}"))
+            .with_context(|| format!("settings.domain.origin-kind: no kind {kind} in settings.skus"))
     });
     let micros = |key, default| number(json, key).map(|time| time.map_or(default, Duration::from_micros));
     let name = text(json, "name")?.unwrap_or("pumicebay").to_string();
@@ -185,88 +200,88 @@
         listen,
         discovery: address(json, "discovery")?.context("discovery: missing")?,
         operator,
-        inherited: false,
+        listener_inherited: false,
         folder: None,
         seed: seed(json)?,
-        memory_kb,
-        clients,
-        used: used.min(clients),
-        upstream: (sockets - clients_part(sockets)).min(memory / 4 / NODE_BYTES),
-        ahead: memory / 8 / LONGEST_BULK,
-        long: memory / 8 / long::HELD,
+        memory_limit_kb,
+        max_client_connections,
+        max_used_client_connections: max_used_client_connections.min(max_client_connections),
+        max_node_connections: (sockets - client_descriptors(sockets)).min(memory / 4 / MAX_NODE_BYTES),
+        max_pipelined_commands: memory / 8 / LONGEST_BULK,
+        max_streamed_values: memory / 8 / long::HELD,
         known,
-        longest_list: (memory / 8).min(LONGEST_LIST),
+        max_list_bytes: (memory / 8).min(MAX_LIST_BYTES),
         json: json.clone(),
         tenants: names::list(wire, "/orgs", "/name"),
         zones: names::list(wire, "/failure-domains", ""),
         origin_kind: origin_kind.transpose()?,
-        kinds,
-        idle: micros("/settings/permissions/conn-idle-us", IDLE)?,
-        connect: micros("/settings/permissions/connect-timeout-us", CONNECT)?,
-        draining: DRAINING,
+        machine_kinds,
+        node_idle_timeout: micros("/settings/permissions/conn-idle-us", DEFAULT_NODE_IDLE_TIMEOUT)?,
+        connect_timeout: micros("/settings/permissions/connect-timeout-us", DEFAULT_CONNECT_TIMEOUT)?,
+        drain_period: DRAIN_PERIOD,
         settings,
     })
 }
 
-/// Of the descriptors that are left, clients have three parts in five: some of them only sit there.
-fn clients_part(descriptors: usize) -> usize {
+/// The share of these descriptors for clients' connections: three fifths, because some clients only stay connected.
+fn client_descriptors(descriptors: usize) -> usize {
     descriptors * 3 / 5
 }
 
-/// The settings under the decisions' names, once what they can't do without is there and sound.
-fn checked(json: &Json, wire: &Json) -> Result<Settings> {
+/// Checks the settings and translates their keys to the names that the core uses.
+fn checked_settings(json: &Json, wire: &Json) -> Result<Settings> {
     for place in ["/settings/fleet-size", "/settings/permissions/most-upstream-tries"] {
-        ensure!(number(json, place)? != Some(0), "{}: expected 1 or more, found 0", key(place));
+        ensure!(number(json, place)? != Some(0), "{}: expected 1 or more, found 0", key_path(place));
     }
     for place in ["/settings/rules/start-capacity", "/settings/surplus-payoff"] {
-        let part = |value: &Json| value.as_f64().is_some_and(|part| (0.0..=1.0).contains(&part));
-        sound(json, place, "a part between 0 and 1", part)?;
+        let fraction = |value: &Json| value.as_f64().is_some_and(|value| (0.0..=1.0).contains(&value));
+        check_value(json, place, "a fraction between 0 and 1", fraction)?;
     }
     for place in ["/settings/permissions/may-probe", "/settings/permissions/retry-after"] {
-        sound(json, place, "true or false", Json::is_boolean)?;
+        check_value(json, place, "true or false", Json::is_boolean)?;
     }
     for place in ["/settings/skus", "/settings/failure-domains", "/settings/telemetry/columns"] {
-        let texts = |value: &Json| value.as_array().is_some_and(|all| all.iter().all(Json::is_string));
-        sound(json, place, "a list of texts", texts)?;
+        let strings = |value: &Json| value.as_array().is_some_and(|all| all.iter().all(Json::is_string));
+        check_value(json, place, "a list of strings", strings)?;
     }
-    let among = [
+    let choices = [
         ("/settings/discovery", &["push", "ask"][..]),
         ("/settings/telemetry/via", &["silent", "pull", "piggyback"]),
     ];
-    for (place, words) in among {
-        let one = |value: &Json| value.as_str().is_some_and(|value| words.contains(&value));
-        sound(json, place, &words.join(" or "), one)?;
+    for (place, words) in choices {
+        let is_choice = |value: &Json| value.as_str().is_some_and(|value| words.contains(&value));
+        check_value(json, place, &words.join(" or "), is_choice)?;
     }
     let multiple = |value: &Json| value.as_f64().is_some_and(|multiple| multiple >= 0.0);
-    sound(json, "/settings/domain/origin-fall-multiple", "0 or more", multiple)?;
+    check_value(json, "/settings/domain/origin-fall-multiple", "0 or more", multiple)?;
     for (at, tenant) in wire.get("orgs").and_then(Json::as_array).into_iter().flatten().enumerate() {
         let quota = tenant.get("quota-per-s").unwrap_or(&Json::Null);
-        let sound = quota.is_null() || quota.as_f64().is_some_and(|quota| quota > 0.0);
-        ensure!(sound, "settings.orgs[{at}].quota-per-s: expected more than 0, found {quota}");
+        let valid = quota.is_null() || quota.as_f64().is_some_and(|quota| quota > 0.0);
+        ensure!(valid, "settings.orgs[{at}].quota-per-s: expected more than 0, found {quota}");
     }
     for place in ["/settings/rules/cold-us", "/settings/rules/fall-us", "/settings/rules/drain-grace-us"] {
         number(json, place)?;
     }
-    if let Some(why) = names::unsound(wire) {
-        bail!("settings.{why}");
+    if let Some(problem) = names::unsound(wire) {
+        bail!("settings.{problem}");
     }
     let routes = wire.get("routes").and_then(Json::as_array).context("settings.routes: expected a list")?;
     ensure!(!routes.is_empty(), "settings.routes: expected one or more");
     for (at, route) in routes.iter().enumerate() {
-        ensure!(!names::text(route, "/name").is_empty(), "settings.routes[{at}].name: expected a text");
+        ensure!(!names::text(route, "/name").is_empty(), "settings.routes[{at}].name: expected a string");
         for key in ["latency-objective-us", "overall-timeout-us"] {
             let time = route.get(key).unwrap_or(&Json::Null);
             let found = || format!("settings.routes[{at}].{key}: expected microseconds, found {time}");
             ensure!(time.as_u64().is_some_and(|time| time > 0), found());
         }
         let name = names::text(route, "/name");
-        let again = routes[..at].iter().any(|other| names::text(other, "/name") == name);
-        ensure!(!again, "settings.routes[{at}].name: {name:?} is there twice");
+        let duplicate = routes[..at].iter().any(|other| names::text(other, "/name") == name);
+        ensure!(!duplicate, "settings.routes[{at}].name: {name:?} is used twice");
         for (key, wanted) in [("window-us", "microseconds"), ("payoff", "0 or more")] {
             let value = route.get(key).unwrap_or(&Json::Null);
-            let whole = value.is_u64() || key == "payoff" && value.as_f64().is_some_and(|value| value >= 0.0);
+            let valid = value.is_u64() || key == "payoff" && value.as_f64().is_some_and(|value| value >= 0.0);
             ensure!(
-                value.is_null() || whole,
+                value.is_null() || valid,
                 "settings.routes[{at}].{key}: expected {wanted}, found {value}"
             );
         }
@@ -277,15 +292,19 @@
     Ok(names::translate(wire))
 }
 
-/// What a file must not lack once the one in force has it: a part that was cut off would else be taken as a wish.
-pub fn keeps(old: &Json, new: &Json) -> Result<()> {
-    lacks_nothing(old, new, "")?;
+/// Checks that a reloaded configuration still has every key of the one in force. A file of which a part was cut off would
+/// otherwise be taken for a change.
+///
+/// # Errors
+/// When a key is missing; the message names it.
+pub fn check_nothing_removed(old: &Json, new: &Json) -> Result<()> {
+    check_has_keys_of(old, new, "")?;
     let keys = |route: &Json| -> Vec<String> {
         route.as_object().into_iter().flat_map(|route| route.keys().cloned()).collect()
     };
     let routes =
         |json: &Json| json.pointer("/settings/routes").and_then(Json::as_array).cloned().unwrap_or_default();
-    // Keys that every route had.
+    // The keys that all old routes have.
     let mut common = routes(old).first().map(keys).unwrap_or_default();
     routes(old).iter().for_each(|route| common.retain(|key| route.get(key).is_some()));
     for (at, route) in routes(new).iter().enumerate() {
@@ -295,35 +314,38 @@
     Ok(())
 }
 
-fn lacks_nothing(old: &Json, new: &Json, place: &str) -> Result<()> {
+fn check_has_keys_of(old: &Json, new: &Json, place: &str) -> Result<()> {
     let Some(object) = old.as_object() else { return Ok(()) };
-    ensure!(new.is_object(), "{}: expected an object, found {new}", key(place));
+    ensure!(new.is_object(), "{}: expected an object, found {new}", key_path(place));
     for (name, old) in object.iter().filter(|(name, old)| !name.starts_with('#') && !old.is_null()) {
         let place = format!("{place}/{name}");
         let Some(new) = new.get(name).filter(|new| !new.is_null()) else {
-            bail!("{}: missing, and was there before", key(&place))
+            bail!("{}: missing, but set in the configuration in force", key_path(&place))
         };
-        lacks_nothing(old, new, &place)?;
+        check_has_keys_of(old, new, &place)?;
     }
     Ok(())
 }
 
-/// What is new and can't be taken while the proxy serves; the list and the seed are for a start anyhow.
-pub fn needs_restart(old: &Json, new: &Json) -> Vec<String> {
-    let taken = ["seed", "discovery", "settings.routes", "settings.permissions.most-upstream-tries"];
-    let taken = |place: &String| taken.contains(&place.as_str()) || place.starts_with("known");
+/// The changed keys that take effect only after a restart. The list of nodes and the seed are not among them, as they are
+/// used only at the start anyway.
+pub fn keys_needing_restart(old: &Json, new: &Json) -> Vec<String> {
+    let exempt = ["seed", "discovery", "settings.routes", "settings.permissions.most-upstream-tries"];
+    let is_exempt = |place: &String| exempt.contains(&place.as_str()) || place.starts_with("known");
     let mut places = Vec::new();
-    differences(old, new, "", &mut places);
-    places.into_iter().map(|place| key(&place)).filter(|place| !taken(place)).collect()
+    collect_differences(old, new, "", &mut places);
+    places.into_iter().map(|place| key_path(&place)).filter(|place| !is_exempt(place)).collect()
 }
 
-fn differences(old: &Json, new: &Json, place: &str, into: &mut Vec<String>) {
+/// Adds the JSON pointers of all values that differ.
+fn collect_differences(old: &Json, new: &Json, place: &str, into: &mut Vec<String>) {
     match (old, new) {
         (Json::Object(old), Json::Object(new)) => {
             let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
             for name in names.into_iter().filter(|name| !name.starts_with('#')) {
-                let of = |json: &serde_json::Map<String, Json>| json.get(name).cloned().unwrap_or_default();
-                differences(&of(old), &of(new), &format!("{place}/{name}"), into);
+                let member =
+                    |json: &serde_json::Map<String, Json>| json.get(name).cloned().unwrap_or_default();
+                collect_differences(&member(old), &member(new), &format!("{place}/{name}"), into);
             }
         }
         _ if old != new => into.push(place.to_string()),
@@ -350,7 +372,7 @@
     match json.get(key) {
         None | Some(Json::Null) => Ok(None),
         Some(Json::String(text)) => Ok(Some(text)),
-        Some(other) => bail!("{key}: expected a text, found {other}"),
+        Some(other) => bail!("{key}: expected a string, found {other}"),
     }
 }
 
@@ -359,32 +381,32 @@
         None | Some(Json::Null) => Ok(None),
         Some(value) => match value.as_u64() {
             Some(number) => Ok(Some(number)),
-            None => bail!("{}: expected a whole number, found {value}", key(place)),
+            None => bail!("{}: expected a whole number, found {value}", key_path(place)),
         },
     }
 }
 
 impl Config {
-    /// What `check` prints.
+    /// The summary that `pumicebay check` prints.
     pub fn summary(&self) -> String {
-        let Config { name, listen, discovery, clients, upstream, .. } = self;
+        let Config { name, listen, discovery, max_client_connections, max_node_connections, .. } = self;
         let repeat = |route: &Route| match route.repeat {
             Repeat::Retriable => "retriable",
             Repeat::Deduped(_) => "deduped",
             Repeat::NonRetriable => "non-retriable",
         };
         let ordered = |route: &Route| if route.ordered { ", in order" } else { "" };
-        let named =
+        let describe =
             |(name, route): (&String, &Route)| format!("{name} ({}{})", repeat(route), ordered(route));
         let routes = Route::all(&self.settings);
         let routes: Vec<String> =
-            names::list(&self.json, "/settings/routes", "/name").iter().zip(&routes).map(named).collect();
+            names::list(&self.json, "/settings/routes", "/name").iter().zip(&routes).map(describe).collect();
         let known = self.known.count;
-        let door = self.operator.map_or(String::new(), |door| format!(", operators at {door}"));
+        let operator = self.operator.map_or(String::new(), |address| format!(", operators at {address}"));
         let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!("\n{}", fleet.summary(name)));
         format!(
-            "{name} listens on {listen}, discovery at {discovery}{door}, {known} nodes known\n\
-             at most {clients} client connections and {upstream} to nodes\n\
+            "{name} listens on {listen}, discovery at {discovery}{operator}, {known} nodes known\n\
+             at most {max_client_connections} client connections and {max_node_connections} to nodes\n\
              routes: {}{fleet}",
             routes.join(", ")
         )
--- a/crates/proxy/src/discovery/known.rs
+++ b/crates/proxy/src/discovery/configured_list.rs
@@ -1,5 +1,6 @@
-//! The list that a configuration brings for the start. It is kept as text until the start has read it, and nothing but
-//! its length after that: a list of thousands is held once, in the decisions.
+//! The list of nodes that the configuration contains for the start. Its text is kept until the proxy has read it at the
+//! start; afterwards only the number of entries stays, so that a list of thousands of nodes is in memory only once, in
+//! the core.
 
 use anyhow::{Result, ensure};
 use serde_json::value::RawValue;
@@ -7,26 +8,26 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The list of a configuration, in discovery's form.
+/// The list of nodes in a configuration, in the format of discovery's answers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
-    /// None where there is no list, or the start has taken it.
+pub struct ConfiguredList {
+    /// `None` if there is no list or the text was already taken.
     text: Option<Arc<str>>,
-    /// How many entries it has.
+    /// The number of entries.
     pub count: usize,
 }
 
-impl Known {
-    /// Of the value of the key `known`, as it was written; and what stands for it in the configuration that is kept,
-    /// which is all but its entries.
+impl ConfiguredList {
+    /// Parses the raw value of the key `known`. Also returns the value without its entries, which replaces the original
+    /// in the configuration that is kept.
     ///
     /// # Errors
-    /// Names the key that is no object or no list.
-    pub fn read(text: &str) -> Result<(Known, Json)> {
+    /// When `known` is not an object or its `targets` is not a list.
+    pub fn parse(text: &str) -> Result<(ConfiguredList, Json)> {
         let Ok(fields) = serde_json::from_str::<BTreeMap<String, &RawValue>>(text) else {
             let other: Json = serde_json::from_str(text)?;
             ensure!(other.is_null(), "known: expected an object, found {other}");
-            return Ok((Known::default(), other));
+            return Ok((ConfiguredList::default(), other));
         };
         let (mut outline, mut count) = (serde_json::Map::new(), 0);
         for (name, value) in fields {
@@ -41,10 +42,10 @@
         }
         let targets = outline.get("targets").unwrap_or(&Json::Null);
         ensure!(targets.is_null() || targets.is_array(), "known.targets: expected a list, found {targets}");
-        Ok((Known { text: Some(text.into()), count }, Json::Object(outline)))
+        Ok((ConfiguredList { text: Some(text.into()), count }, Json::Object(outline)))
     }
 
-    /// The text, for the start; from then on it is gone.
+    /// Takes the text of the list; later calls return `None`.
     pub fn take(&mut self) -> Option<Arc<str>> {
         self.text.take()
     }
--- a/crates/proxy/src/discovery/entries.rs
+++ b/crates/proxy/src/discovery/entries.rs
@@ -1,4 +1,5 @@
-//! Reads a list of nodes, or changes of one, entry by entry: a tree of a whole list would take many times its text.
+//! Parses a list of nodes, or changes to one, entry by entry: a JSON tree of a whole list would take many times the
+//! memory of its text.
 
 use crate::clock::MILLIS;
 use crate::config::Config;
@@ -11,16 +12,16 @@
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// Beyond reason for what the list says of a node's size.
-const MOST_RATED: f64 = 1e6;
-/// Of an entry that can't be read, so much is quoted.
-const LONGEST_QUOTE: usize = 80;
+/// Capacity ratings of this or more are implausible and ignored.
+const MAX_RATING: f64 = 1e6;
+/// How many characters of a value an error message quotes.
+const MAX_QUOTED_CHARS: usize = 80;
 
-/// A list or changes of one, whose entries are not read yet.
+/// A list of nodes, or changes to one, whose entries are not parsed yet.
 #[derive(Debug)]
-pub struct ListText<'a> {
+pub struct RawList<'a> {
     pub version: u64,
-    /// All nodes there are, not changes alone.
+    /// Whether these are all nodes rather than only changes.
     pub whole: bool,
     pub entries: Vec<&'a RawValue>,
 }
@@ -35,57 +36,59 @@
     targets: Option<&'a RawValue>,
 }
 
-fn field<'a, T: Deserialize<'a>>(field: Option<&'a RawValue>) -> Option<T> {
+fn parse_field<'a, T: Deserialize<'a>>(field: Option<&'a RawValue>) -> Option<T> {
     serde_json::from_str(field?.get()).ok()
 }
 
-impl<'a> ListText<'a> {
+impl<'a> RawList<'a> {
+    /// Parses the outer object of a list.
+    ///
     /// # Errors
-    /// Names the key that is missing or broken.
-    pub fn read(text: &'a [u8]) -> Result<ListText<'a>> {
-        let body: Body = serde_json::from_slice(text).context("no JSON object")?;
-        let version = field(body.rev).context("rev: expected a number")?;
-        let whole = field(body.all).context("all: expected true or false")?;
-        let entries = field(body.targets).context("targets: expected a list")?;
-        Ok(ListText { version, whole, entries })
+    /// When a key is missing or has the wrong type; the message names it.
+    pub fn parse(text: &'a [u8]) -> Result<RawList<'a>> {
+        let body: Body = serde_json::from_slice(text).context("not a JSON object")?;
+        let version = parse_field(body.rev).context("rev: expected a number")?;
+        let whole = parse_field(body.all).context("all: expected true or false")?;
+        let entries = parse_field(body.targets).context("targets: expected a list")?;
+        Ok(RawList { version, whole, entries })
     }
 
-    /// Reads one of its entries. One that can't be read is left out with a line in the log.
-    pub fn named(&self, at: usize, config: &Config) -> Option<Named> {
-        let read = entry(self.entries[at], config);
-        read.inspect_err(|error| tracing::warn!("list: targets[{at}] left out: {error:#}")).ok()
+    /// Parses the entry at this index. An invalid entry is logged and gives `None`.
+    pub fn entry(&self, at: usize, config: &Config) -> Option<Named> {
+        let parsed = parse_entry(self.entries[at], config);
+        parsed.inspect_err(|error| tracing::warn!("list of nodes: targets[{at}] ignored: {error:#}")).ok()
     }
 }
 
-/// Reads a list or its changes at once: its version, whether it is whole, and its entries.
+/// Parses a whole list or changes: returns its version, whether it is whole, and its valid entries.
 ///
 /// # Errors
-/// Names the key that is missing or broken.
-pub fn entries(text: &[u8], config: &Config) -> Result<(u64, bool, Vec<Named>)> {
-    let list = ListText::read(text)?;
-    let named = (0..list.entries.len()).filter_map(|at| list.named(at, config)).collect();
+/// When a key of the outer object is missing or has the wrong type; the message names it.
+pub fn parse_list(text: &[u8], config: &Config) -> Result<(u64, bool, Vec<Named>)> {
+    let list = RawList::parse(text)?;
+    let named = (0..list.entries.len()).filter_map(|at| list.entry(at, config)).collect();
     Ok((list.version, list.whole, named))
 }
 
-fn entry(text: &RawValue, config: &Config) -> Result<Named> {
+fn parse_entry(text: &RawValue, config: &Config) -> Result<Named> {
     let target: Json = serde_json::from_str(text.get())?;
     let text = |key: &str| target.get(key).and_then(Json::as_str);
     let number = |key: &str| target.get(key).and_then(Json::as_u64).unwrap_or(0);
-    let uid = text("uid").context("uid: expected a text")?;
-    let quoted = |text: &str| text.chars().take(LONGEST_QUOTE).collect::<String>();
+    let uid = text("uid").context("uid: expected a string")?;
+    let quoted = |text: &str| text.chars().take(MAX_QUOTED_CHARS).collect::<String>();
     let endpoint =
-        text("endpoint").with_context(|| format!("{:?}: endpoint: expected a text", quoted(uid)))?;
+        text("endpoint").with_context(|| format!("{:?}: endpoint: expected a string", quoted(uid)))?;
     let address: SocketAddr =
         endpoint.parse().with_context(|| format!("{:?}: endpoint: {:?}", quoted(uid), quoted(endpoint)))?;
     let standing = match text("state") {
         Some("active") => Standing::Ready,
         Some("leaving") => Standing::Draining,
         Some("left") => Standing::Gone,
-        other => bail!("{:?}: state: {:?}", quoted(uid), other.map(quoted)),
+        other => bail!("{:?}: unknown state: {:?}", quoted(uid), other.map(quoted)),
     };
     let zone = config.zones.iter().position(|zone| Some(zone.as_str()) == text("az"));
     let origin = config.origin_kind.as_deref();
-    let model = config.kinds.iter().position(|kind| Some(kind.as_str()) == text("model"));
+    let kind = config.machine_kinds.iter().position(|kind| Some(kind.as_str()) == text("model"));
     let rating = target.get("capacity_hint").and_then(Json::as_f64);
     let listed = Listed {
         identity: identity(uid),
@@ -94,8 +97,8 @@
         standing,
         started: number("boot_ms").saturating_mul(MILLIS),
         origin: origin.is_some() && origin == text("model"),
-        kind: model.unwrap_or(config.kinds.len()),
-        rating: rating.filter(|rating| (0.0..MOST_RATED).contains(rating) && *rating > 0.0).unwrap_or(1.0),
+        kind: kind.unwrap_or(config.machine_kinds.len()),
+        rating: rating.filter(|rating| (0.0..MAX_RATING).contains(rating) && *rating > 0.0).unwrap_or(1.0),
     };
     Ok(Named { uid: uid.into(), address, listed })
 }
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -1,8 +1,9 @@
-//! The list actor: follows discovery by watches and hands its entries to the module.
+//! The actor that follows discovery: it fetches the list of nodes, then long-polls for changes, and passes the entries
+//! to the module.
 
-use crate::discovery::entries::{ListText, entries};
-use crate::discovery::left::{self, LeftList};
-use crate::http::{Http, Request, Response};
+use crate::discovery::entries::{RawList, parse_list};
+use crate::discovery::saved_list::{self, SavedList};
+use crate::http::{ClientCodec, Request, Response};
 use crate::messages::{ListPart, Named};
 use crate::shared::Shared;
 use crate::turns;
@@ -21,131 +22,144 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-/// How long discovery may hold a call that has nothing to tell, and how long past that it may stay silent.
-const HELD: Duration = Duration::from_secs(2);
-const SILENT: Duration = Duration::from_millis(1500);
-/// How long a connection to it may take to come up.
-const CONNECT: Duration = Duration::from_millis(500);
-/// The least pause before a call after one that failed.
-const AGAIN: Duration = Duration::from_millis(100);
-/// A change counts as told 6 s after discovery had it and could be reached. It may come as a call begins that will
-/// hang, and the next may fail as well: the one after that begins within this time of the first's beginning. The rest
-/// is for its connection, 0.5 s, and a margin of 0.5 s for the answer. At its longest, the call that hangs (3.5 s), half
-/// of what is left as a pause (0.75 s), the next call's connection (0.5 s) and a pause of 0.25 s come to it.
-const THIRD: Duration = Duration::from_secs(5);
-/// Entries that are read and handed to the decisions in one piece.
-const PART: usize = 128;
-/// How much room for answers stays after a long one.
-const KEPT: usize = 64 * 1024;
+/// How long discovery may hold a long poll when nothing has changed.
+const LONG_POLL: Duration = Duration::from_secs(2);
+/// How long discovery may take to answer a call, in addition to the time of a long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long connecting to discovery may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The shortest delay between a failed call and the next.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The proxy must have a change within 6 s of the moment when discovery has it and can be reached. In the worst case
+/// the change comes just as a call begins that will hang, and the call after that fails as well: the third call then
+/// begins within this time of the first call's start. The rest of the 6 s is for the third call's connection, 0.5 s,
+/// and a margin of 0.5 s for the answer. At its longest, this time holds the call that hangs (3.5 s), half of what is
+/// left as a delay (0.75 s), the next call's connection (0.5 s) and a delay of 0.25 s.
+const THIRD_CALL_WITHIN: Duration = Duration::from_secs(5);
+/// How many entries are parsed and passed to the core at once.
+const ENTRIES_PER_PART: usize = 128;
+/// A read buffer of more bytes than this is freed after the answer.
+const MAX_RETAINED_BUFFER: usize = 64 * 1024;
 
-pub struct List {
+/// Follows discovery's list of nodes.
+pub struct ListWatcher {
     shared: Shared,
     discovery: SocketAddr,
-    /// Where the list must be asked for, the module says when, and after a failure in time.
-    follow: mpsc::Receiver<()>,
+    /// In pull mode, the module's signal to call again; after a failure it comes in time.
+    call_requests: mpsc::Receiver<()>,
+    /// The version of the list as of the last answer; `None` makes the next call fetch the whole list.
     version: Option<u64>,
-    connection: Option<Framed<TcpStream, Http>>,
-    /// To be called at once; if not, when the module says so, or then at the latest.
-    due: bool,
-    latest: Option<Instant>,
-    /// When the last call began, and the one before it if that failed.
-    began: Instant,
-    failed: Option<Instant>,
+    connection: Option<Framed<TcpStream, ClientCodec>>,
+    /// Whether to call again at once. If not, the next call is at the module's signal or at `latest_retry`, whichever
+    /// is first.
+    call_now: bool,
+    latest_retry: Option<Instant>,
+    /// When the last call began, and when the one before it did if that failed.
+    call_started: Instant,
+    failed_call_started: Option<Instant>,
     rng: Rand32,
-    /// What is kept for a process after this one, where there is to be one.
-    left: Option<LeftList>,
+    /// The list saved for the next process; `None` if there will be none.
+    saved: Option<SavedList>,
 }
 
-impl List {
-    /// Follows from this version of the list, which the decisions know already.
-    pub fn new(shared: Shared, follow: mpsc::Receiver<()>, version: Option<u64>) -> Self {
-        let folder = shared.config.folder.clone().filter(|_| shared.config.inherited);
-        let left = folder.map(LeftList::new);
+impl ListWatcher {
+    /// Watches for changes after this version of the list, which the core knows already. `call_requests` receives the
+    /// module's signals to call again in pull mode.
+    pub fn new(shared: Shared, call_requests: mpsc::Receiver<()>, version: Option<u64>) -> Self {
+        let folder = shared.config.folder.clone().filter(|_| shared.config.listener_inherited);
+        let saved = folder.map(SavedList::new);
         let (discovery, rng) = (shared.config.discovery, Rand32::new(shared.config.seed));
-        List {
+        ListWatcher {
             shared,
             discovery,
-            follow,
+            call_requests,
             version,
             connection: None,
-            due: false,
-            latest: None,
-            began: Instant::now(),
-            failed: None,
+            call_now: false,
+            latest_retry: None,
+            call_started: Instant::now(),
+            failed_call_started: None,
             rng,
-            left,
+            saved,
         }
     }
 
-    /// The whole list as it is now, for a process that takes over from one that may have been told more than the
-    /// configuration knows.
-    pub async fn first(&mut self) -> Result<Vec<Named>> {
+    /// Fetches the whole current list. A process that takes over needs it because the process before it may have been
+    /// told more than the configuration contains.
+    ///
+    /// # Errors
+    /// When discovery cannot be reached or its answer is not a whole list.
+    pub async fn fetch_whole_list(&mut self) -> Result<Vec<Named>> {
         self.version = None;
         let body = self.call().await?;
-        let list = self.read(&body)?;
+        let list = self.parse_answer(&body)?;
         ensure!(list.whole, "asked for the whole list, got changes");
-        let named = self.part(&list, 0..list.entries.len());
-        self.leave(&list);
+        let named = self.parse_entries(&list, 0..list.entries.len());
+        self.save(&list);
         Ok(named)
     }
 
-    /// What a process before this one was told last. Its version is not followed: discovery is asked anew.
-    pub fn left(&mut self, folder: Option<&Path>) -> Result<Vec<Named>> {
-        let text = left::read(folder.context("no folder")?)?;
-        let (_, whole, named) = entries(&text, &self.shared.config)?;
+    /// Reads the list that an earlier process saved. Its version is not used: discovery is asked for the whole list.
+    ///
+    /// # Errors
+    /// When there is no folder or no valid saved list.
+    pub fn load_saved_list(&mut self, folder: Option<&Path>) -> Result<Vec<Named>> {
+        let text = saved_list::read(folder.context("no folder")?)?;
+        let (_, whole, named) = parse_list(&text, &self.shared.config)?;
         ensure!(whole, "not a whole list");
         Ok(named)
     }
 
-    /// Reads an answer, whose version counts from now on.
-    fn read<'a>(&mut self, body: &'a [u8]) -> Result<ListText<'a>> {
-        let list = ListText::read(body)?;
+    /// Parses the outer object of an answer and takes over its version.
+    fn parse_answer<'a>(&mut self, body: &'a [u8]) -> Result<RawList<'a>> {
+        let list = RawList::parse(body)?;
         if let Some(last) = self.version.take_if(|last| list.version < *last) {
-            // Guards rule 3 from an answer that is older than what was told: only one to a call for the whole list,
-            // which is made anew, shows that discovery itself has gone back.
-            bail!("answers with version {} after {last}", list.version);
+            // An answer older than the last one, say from a cache, could put a draining or removed node back into
+            // service, which must get no new work. The next call fetches the whole list: only an old version in that
+            // answer shows that discovery itself has gone back.
+            bail!("answered with version {} after {last}", list.version);
         }
         self.version = Some(list.version);
         self.shared.counters.list_answers.add();
-        if let (true, Some(left)) = (list.whole, &mut self.left) {
-            left.clear();
+        if let (true, Some(saved)) = (list.whole, &mut self.saved) {
+            saved.clear();
         }
         Ok(list)
     }
 
-    /// Reads some entries of an answer.
-    fn part(&mut self, list: &ListText, range: Range<usize>) -> Vec<Named> {
+    /// Parses these entries of an answer and records them for saving.
+    fn parse_entries(&mut self, list: &RawList, range: Range<usize>) -> Vec<Named> {
         let mut part = Vec::with_capacity(range.len());
         for at in range {
-            let Some(named) = list.named(at, &self.shared.config) else { continue };
-            if let Some(left) = &mut self.left {
-                left.note(&named, list.entries[at]);
+            let Some(named) = list.entry(at, &self.shared.config) else { continue };
+            if let Some(saved) = &mut self.saved {
+                saved.record(&named, list.entries[at]);
             }
             part.push(named);
         }
         part
     }
 
-    /// Leaves what was told for a process after this one.
-    fn leave(&self, list: &ListText) {
-        if let Some(left) = self.left.as_ref().filter(|_| !list.entries.is_empty())
-            && let Err(error) = left.write(list.version)
+    /// Saves the list for the next process, unless the answer had no entries.
+    fn save(&self, list: &RawList) {
+        if let Some(saved) = self.saved.as_ref().filter(|_| !list.entries.is_empty())
+            && let Err(error) = saved.write(list.version)
         {
-            tracing::warn!("the list is not kept for a process after this one: {error}");
+            tracing::warn!("the list of nodes was not saved for the next process: {error}");
         }
     }
 
-    /// Takes in an answer, some entries at a time: guards requests from waiting behind a long list.
-    async fn take(&mut self, body: &[u8]) -> Result<()> {
+    /// Passes an answer to the module a few entries at a time, so that requests do not wait behind a long list.
+    async fn apply_answer(&mut self, body: &[u8]) -> Result<()> {
         let counters = self.shared.counters.clone();
         let what = || format!("reading a list of {} bytes", body.len());
-        let list = turns::noted(&counters, what, || self.read(body))?;
+        let list = turns::noted(&counters, what, || self.parse_answer(body))?;
         let (whole, entries) = (list.whole, list.entries.len());
         let mut from = 0;
         loop {
-            let to = (from + PART).min(entries);
+            let to = (from + ENTRIES_PER_PART).min(entries);
             let what = || format!("reading {} entries of the list", to - from);
-            let named = turns::noted(&counters, what, || self.part(&list, from..to));
+            let named = turns::noted(&counters, what, || self.parse_entries(&list, from..to));
             let part = ListPart { named, whole, first: from == 0, last: to == entries };
             self.shared.door.listed(part).await;
             if to == entries {
@@ -154,41 +168,42 @@
             from = to;
             yield_now().await;
         }
-        turns::noted(&counters, || "leaving the list".into(), || self.leave(&list));
+        turns::noted(&counters, || "saving the list".into(), || self.save(&list));
         Ok(())
     }
 
-    /// Follows discovery where it is now: a new address is asked for the whole list at once. What was told is
-    /// passed on whatever comes meanwhile.
+    /// Follows discovery at its current address until the task is dropped. A new address is asked for the whole list at
+    /// once. An answer that has arrived is passed on completely, whatever comes meanwhile.
     pub async fn run(mut self, mut discovery: watch::Receiver<SocketAddr>) {
-        self.due = !self.asked();
+        self.call_now = !self.is_pull_mode();
         loop {
             self.discovery = *discovery.borrow_and_update();
             let answer = tokio::select! {
                 biased;
                 Ok(()) = discovery.changed() => {
                     (self.version, self.connection) = (None, None);
-                    // What the call broken off would have told is owed by the time it was.
-                    (self.due, self.failed) = (true, Some(self.began));
+                    // The interrupted call counts as failed: a change that it would have brought is due as soon as if
+                    // the call had gone on.
+                    (self.call_now, self.failed_call_started) = (true, Some(self.call_started));
                     continue;
                 }
-                answer = self.next() => answer,
+                answer = self.next_answer() => answer,
             };
-            let taken = match answer {
-                Ok(body) => self.take(&body).await,
+            let applied = match answer {
+                Ok(body) => self.apply_answer(&body).await,
                 Err(error) => Err(error),
             };
-            match taken {
-                Ok(()) => self.failed = None,
+            match applied {
+                Ok(()) => self.failed_call_started = None,
                 Err(error) => {
                     self.shared.counters.list_failures.add();
-                    (self.connection, self.due) = (None, false);
-                    self.latest = Some(Instant::now() + self.pause());
-                    self.failed = Some(self.began);
+                    (self.connection, self.call_now) = (None, false);
+                    self.latest_retry = Some(Instant::now() + self.retry_delay());
+                    self.failed_call_started = Some(self.call_started);
                     tracing::warn!("discovery: {error:#}");
-                    if self.asked() {
-                        // What the module said before, and was not waited for, is not about this failure.
-                        while self.follow.try_recv().is_ok() {}
+                    if self.is_pull_mode() {
+                        // Signals that the module sent before this failure say nothing about it.
+                        while self.call_requests.try_recv().is_ok() {}
                         self.shared.door.list_failed().await;
                     }
                 }
@@ -196,79 +211,89 @@
         }
     }
 
-    /// A service that all share, which the module says when to call.
-    fn asked(&self) -> bool {
+    /// Whether discovery is a service that all proxies share, so that the module decides when to call it.
+    fn is_pull_mode(&self) -> bool {
         self.shared.config.settings.text("discovery") == "ask"
     }
 
-    /// The longest pause after a call that failed. An agent beside the proxy is asked for free; a service that all
-    /// share has the longest that leaves as much for the pause after the next call, spread over its second half:
-    /// guards it from all proxies that come back together.
-    fn pause(&mut self) -> Duration {
-        if !self.asked() {
-            return AGAIN;
+    /// The longest delay after a failed call. Calls to an agent beside the proxy cost little, so it is the minimum
+    /// there. With a service that all proxies share it is the longest that leaves as much time for the delay after the
+    /// next call, spread over its second half: this keeps the proxies from all coming back together and overloading
+    /// discovery.
+    fn retry_delay(&mut self) -> Duration {
+        if !self.is_pull_mode() {
+            return MIN_RETRY_DELAY;
         }
-        let left = |began: Instant| (began + THIRD).saturating_duration_since(Instant::now());
-        let longest = (left(self.began) / 2).min(self.failed.map_or(THIRD, left));
-        longest.mul_f32(0.5 + self.rng.rand_float() / 2.0).max(AGAIN)
+        let left = |began: Instant| (began + THIRD_CALL_WITHIN).saturating_duration_since(Instant::now());
+        let longest =
+            (left(self.call_started) / 2).min(self.failed_call_started.map_or(THIRD_CALL_WITHIN, left));
+        longest.mul_f32(0.5 + self.rng.rand_float() / 2.0).max(MIN_RETRY_DELAY)
     }
 
-    /// Calls again at once, but after a failure: then when the module says so, or the longest pause is over.
-    async fn next(&mut self) -> Result<Bytes> {
-        if !self.due {
-            let latest = self.latest;
-            let over = async move {
+    /// Calls discovery: at once after a success, and after a failure at the module's signal or after the longest delay.
+    async fn next_answer(&mut self) -> Result<Bytes> {
+        if !self.call_now {
+            let latest = self.latest_retry;
+            let delay_over = async move {
                 match latest {
                     Some(latest) => sleep_until(latest).await,
                     None => pending().await,
                 }
             };
             tokio::select! {
-                said = self.follow.recv() => if said.is_none() {
+                requested = self.call_requests.recv() => if requested.is_none() {
                     // The module ends only with the process.
                     pending().await
                 },
-                () = over => {}
+                () = delay_over => {}
             }
         }
-        (self.due, self.began) = (true, Instant::now());
+        (self.call_now, self.call_started) = (true, Instant::now());
         self.call().await
     }
 
+    /// Long-polls for changes since the last version, or fetches the whole list if there is none.
     async fn call(&mut self) -> Result<Bytes> {
         let (path, held) = match self.version {
-            Some(version) => (format!("/registry/instances?index={version}&wait={}", HELD.as_millis()), HELD),
+            Some(version) => {
+                (format!("/registry/instances?index={version}&wait={}", LONG_POLL.as_millis()), LONG_POLL)
+            }
             None => ("/registry/instances".to_string(), Duration::ZERO),
         };
-        let answer = timeout(held + SILENT, self.exchange(path)).await.context("silent")??;
-        ensure!(answer.status == 200, "status {}", answer.status);
-        if answer.last {
+        let response =
+            timeout(held + RESPONSE_TIMEOUT, self.send(path)).await.context("no answer in time")??;
+        ensure!(response.status == 200, "status {}", response.status);
+        if response.last {
             self.connection = None;
         }
-        Ok(answer.body)
+        Ok(response.body)
     }
 
-    async fn exchange(&mut self, path: String) -> Result<Response> {
+    /// Sends a GET over the open connection, or over a new one, and returns the final response.
+    async fn send(&mut self, path: String) -> Result<Response> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => {
                 let stream = TcpStream::connect(self.discovery);
-                let stream = timeout(CONNECT, stream).await.context("not reached")?.context("not reached")?;
+                let stream = timeout(CONNECT_TIMEOUT, stream)
+                    .await
+                    .context("could not connect")?
+                    .context("could not connect")?;
                 stream.set_nodelay(true)?;
-                Framed::new(stream, Http::new(self.shared.config.longest_list))
+                Framed::new(stream, ClientCodec::new(self.shared.config.max_list_bytes))
             }
         };
         connection.send(Request::get(path)).await?;
-        let mut answer = connection.next().await.context("closed")??;
-        while answer.interim() {
-            answer = connection.next().await.context("closed")??;
+        let mut response = connection.next().await.context("connection closed")??;
+        while response.is_interim() {
+            response = connection.next().await.context("connection closed")??;
         }
-        // A whole list leaves no room of its size behind.
-        let room = connection.read_buffer_mut();
-        if room.capacity() > KEPT && room.is_empty() {
-            *room = BytesMut::new();
+        // Frees a buffer that has grown to the size of a whole list.
+        let buffer = connection.read_buffer_mut();
+        if buffer.capacity() > MAX_RETAINED_BUFFER && buffer.is_empty() {
+            *buffer = BytesMut::new();
         }
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(response)
     }
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! The list of nodes: how discovery and the configuration tell it, and who follows it.
+//! The list of nodes: reading it from discovery, from the configuration and from the file of an earlier process.
 
+pub mod configured_list;
 pub mod entries;
-pub mod known;
-pub mod left;
 pub mod list;
+pub mod saved_list;
--- a/crates/proxy/src/fleet/carrier/apply.rs
+++ b/crates/proxy/src/fleet/carrier/apply.rs
@@ -66,7 +66,7 @@
 /// some of the fleet.
 fn read(file: &Config, json: Json) -> Result<Config> {
     let config = config::parse(&json)?;
-    let mut restart = config::needs_restart(&file.json, &json);
+    let mut restart = config::keys_needing_restart(&file.json, &json);
     restart.extend(
         ["seed", "known"]
             .iter()
@@ -75,8 +75,9 @@
     );
     ensure!(restart.is_empty(), "needs a restart, put it into the file: {}", restart.join(", "));
     // What the platform said and no JSON has.
-    let (inherited, folder, known) = (file.inherited, file.folder.clone(), file.known.clone());
-    Ok(Config { inherited, folder, known, ..config })
+    let (listener_inherited, folder, known) =
+        (file.listener_inherited, file.folder.clone(), file.known.clone());
+    Ok(Config { listener_inherited, folder, known, ..config })
 }
 
 fn over(mut json: Json, resource: &Resource) -> Result<Json> {
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -1,7 +1,7 @@
 //! The section `fleet.carrier` of the configuration. Every message names the key.
 
 use crate::fleet::config::addresses;
-use crate::sound::sound;
+use crate::validation::check_value;
 use anyhow::{Context, Result, bail, ensure};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -56,13 +56,13 @@
             tracing::warn!("configuration: fleet.carrier.{key} is not known and not used");
         }
         for key in ["region", "site", "listen", "folder"] {
-            sound(json, &format!("/fleet/carrier/{key}"), "a text", Json::is_string)?;
+            check_value(json, &format!("/fleet/carrier/{key}"), "a text", Json::is_string)?;
         }
         let text = |key: &str| carrier.get(key).and_then(Json::as_str);
         let number = |key: &str, default: u64, least: u64, most: u64| -> Result<usize> {
             let fits = |value: &Json| value.as_u64().is_some_and(|value| (least..=most).contains(&value));
             let wanted = format!("a number from {least} to {most}");
-            sound(json, &format!("/fleet/carrier/{key}"), &wanted, fits)?;
+            check_value(json, &format!("/fleet/carrier/{key}"), &wanted, fits)?;
             Ok(carrier.get(key).and_then(Json::as_u64).unwrap_or(default) as usize)
         };
         let control = addresses(carrier, "fleet.carrier", "control")?;
--- a/crates/proxy/src/fleet/config.rs
+++ b/crates/proxy/src/fleet/config.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::carrier::config::{CarrierConfig, Part};
 use crate::fleet::replication::config::ReplicationConfig;
-use crate::sound::sound;
+use crate::validation::check_value;
 use anyhow::{Context, Result, bail, ensure};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -73,14 +73,14 @@
             tracing::warn!("configuration: fleet.{key} is not known and not used");
         }
         for key in ["name", "zone", "listen", "folder"] {
-            sound(json, &format!("/fleet/{key}"), "a text", Json::is_string)?;
+            check_value(json, &format!("/fleet/{key}"), "a text", Json::is_string)?;
         }
-        sound(json, "/fleet/cautious", "true or false", Json::is_boolean)?;
-        sound(json, "/fleet/clock-ppm", "millionths", Json::is_i64)?;
+        check_value(json, "/fleet/cautious", "true or false", Json::is_boolean)?;
+        check_value(json, "/fleet/clock-ppm", "millionths", Json::is_i64)?;
         let text = |key: &str| fleet.get(key).and_then(Json::as_str);
         let number = |key: &str, default: u64, most: u64| -> Result<u64> {
             let fits = |value: &Json| value.as_u64().is_some_and(|value| value >= 1 && value <= most);
-            sound(json, &format!("/fleet/{key}"), &format!("a number from 1 to {most}"), fits)?;
+            check_value(json, &format!("/fleet/{key}"), &format!("a number from 1 to {most}"), fits)?;
             Ok(fleet.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
         let fleet_name = text("name").context("fleet.name: missing")?;
--- a/crates/proxy/src/fleet/replication/config.rs
+++ b/crates/proxy/src/fleet/replication/config.rs
@@ -1,7 +1,7 @@
 //! The section `fleet.replication` of the configuration. Every message names the key.
 
 use crate::fleet::config::addresses;
-use crate::sound::sound;
+use crate::validation::check_value;
 use anyhow::{Context, Result, ensure};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -50,13 +50,13 @@
             anyhow::bail!("fleet.replication.{key}: is not known");
         }
         for key in ["listen", "folder"] {
-            sound(json, &format!("/fleet/replication/{key}"), "a text", Json::is_string)?;
+            check_value(json, &format!("/fleet/replication/{key}"), "a text", Json::is_string)?;
         }
         let text = |key: &str| section.get(key).and_then(Json::as_str);
         let number = |key: &str, default: u64, least: u64, most: u64| -> Result<u64> {
             let fits = |value: &Json| value.as_u64().is_some_and(|value| (least..=most).contains(&value));
             let wanted = format!("a number from {least} to {most}");
-            sound(json, &format!("/fleet/replication/{key}"), &wanted, fits)?;
+            check_value(json, &format!("/fleet/replication/{key}"), &wanted, fits)?;
             Ok(section.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
         let peers = addresses(section, "fleet.replication", "peers")?;
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -1,7 +1,7 @@
 //! Replication's links: peers that are dialled, peers and commands that call. Each is a task with a small mailbox; one that
 //! does not read, or says nothing, ends, and nobody waits for it.
 
-use crate::bans::{Asked, Maintenance};
+use crate::bans::{Maintenance, MaintenanceResult};
 use crate::fleet::accept::Acceptor;
 use crate::fleet::me::Me;
 use crate::fleet::replication::config::ReplicationConfig;
@@ -140,8 +140,8 @@
 /// A command's order goes the way of an operator's call at this proxy.
 async fn ordered(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
     let OrderCall { node, out, under } = call;
-    match maintenance.ask(node.clone(), out, under).await {
-        Asked::Ordered(stamp) => OrderAnswer::Given(stamp),
-        other => OrderAnswer::Refused(other.words(&node, out)),
+    match maintenance.set_service(node.clone(), out, under).await {
+        MaintenanceResult::Replicated(stamp) => OrderAnswer::Given(stamp),
+        other => OrderAnswer::Refused(other.message(&node, out)),
     }
 }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -1,142 +1,153 @@
-//! HTTP/1.1: as the origin and discovery speak it, requests out and answers in; and as operators do, calls in and
-//! words out.
+//! HTTP/1.1 codecs: the client side for the origin and discovery, and the server side for operators' calls.
 
 use crate::resp::{LONGEST_VALUE, bad, piece};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::io::{Error, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-const LONGEST_HEAD: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 
+/// A request to the origin or discovery.
 pub struct Request<'a> {
     pub method: &'static str,
     pub path: String,
     pub headers: Vec<(&'static str, &'a [u8])>,
     pub body: Option<&'a [u8]>,
-    /// How long a body is that is sent behind the request.
-    pub follows: Option<usize>,
+    /// The length of a body that the caller sends after the request.
+    pub streamed_body_length: Option<usize>,
 }
 
 impl Request<'_> {
+    /// A GET request without headers.
     pub fn get(path: String) -> Self {
-        Request { method: "GET", path, headers: Vec::new(), body: None, follows: None }
+        Request { method: "GET", path, headers: Vec::new(), body: None, streamed_body_length: None }
     }
 }
 
+/// A response of the origin or discovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
     /// Names in lower case.
     pub headers: Vec<(String, Bytes)>,
     pub body: Bytes,
-    /// Nothing follows on this connection.
+    /// Whether this is the last response on its connection.
     pub last: bool,
 }
 
 impl Response {
+    /// The first value of the header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&[u8]> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| &value[..])
     }
 
-    /// Comes ahead of the answer.
-    pub fn interim(&self) -> bool {
+    /// Whether this is an interim response (1xx), which precedes the final one.
+    pub fn is_interim(&self) -> bool {
         matches!(self.status, 100..200)
     }
 }
 
+/// Encodes requests and decodes responses whose bodies are buffered whole.
 #[derive(Debug)]
-pub struct Http {
-    /// The longest body that is held whole, and the longest that may be announced.
-    longest: usize,
-    most: usize,
-    /// The answer whose body is still coming.
-    head: Option<(Response, Body)>,
+pub struct ClientCodec {
+    /// The longest body that is buffered whole, and the longest Content-Length that is accepted, in bytes.
+    max_buffered: usize,
+    max_body: usize,
+    /// The response whose body has not arrived completely.
+    pending: Option<(Response, BodyFraming)>,
 }
 
-impl Http {
-    pub fn new(longest: usize) -> Http {
-        Http { longest, most: longest, head: None }
+impl ClientCodec {
+    /// A codec that accepts bodies of at most this many bytes.
+    pub fn new(max_body: usize) -> ClientCodec {
+        ClientCodec { max_buffered: max_body, max_body, pending: None }
     }
 }
 
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug)]
-enum Body {
+enum BodyFraming {
     Length(usize),
-    Chunks,
-    UntilEnd,
+    Chunked,
+    UntilClose,
 }
 
-/// An answer of the origin: whole, or in pieces where its body is long.
+/// A part of the origin's response: all of it, or a piece of one whose body is streamed because it is long.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Part {
     Whole(Response),
-    /// With the length of the body that follows.
+    /// The head, and the length of the body that follows.
     Begin(Response, usize),
+    /// Some bytes of the body.
     Piece(Bytes),
+    /// The end of a streamed body.
     End,
 }
 
-/// The origin's answers.
+/// Encodes requests to the origin and decodes its responses, with long bodies in pieces.
 #[derive(Debug)]
-pub struct Parts {
-    http: Http,
-    /// What is still to come of a long body.
-    left: Option<usize>,
+pub struct StreamingClientCodec {
+    codec: ClientCodec,
+    /// How many bytes of a streamed body are still to come; `None` outside of one.
+    remaining: Option<usize>,
 }
 
-impl Parts {
-    /// Holds bodies up to this length whole.
-    pub fn new(longest: usize) -> Parts {
-        Parts { http: Http { longest, most: LONGEST_VALUE, head: None }, left: None }
+impl StreamingClientCodec {
+    /// A codec that buffers bodies of at most this many bytes whole and streams longer ones.
+    pub fn new(max_buffered: usize) -> StreamingClientCodec {
+        StreamingClientCodec {
+            codec: ClientCodec { max_buffered, max_body: LONGEST_VALUE, pending: None },
+            remaining: None,
+        }
     }
 }
 
-impl Decoder for Parts {
+impl Decoder for StreamingClientCodec {
     type Item = Part;
     type Error = Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, Error> {
-        if let Some(left) = &mut self.left {
-            if *left > 0 {
-                return Ok(piece(buffer, left).map(Part::Piece));
+        if let Some(remaining) = &mut self.remaining {
+            if *remaining > 0 {
+                return Ok(piece(buffer, remaining).map(Part::Piece));
             }
-            self.left = None;
+            self.remaining = None;
             return Ok(Some(Part::End));
         }
-        if self.http.head.is_none() {
-            self.http.head = head(buffer, self.http.most)?;
+        if self.codec.pending.is_none() {
+            self.codec.pending = parse_head(buffer, self.codec.max_body)?;
         }
-        match self.http.head.take() {
-            Some((response, Body::Length(length))) if length > self.http.longest => {
-                self.left = Some(length);
+        match self.codec.pending.take() {
+            Some((response, BodyFraming::Length(length))) if length > self.codec.max_buffered => {
+                self.remaining = Some(length);
                 Ok(Some(Part::Begin(response, length)))
             }
-            head => {
-                self.http.head = head;
-                Ok(self.http.decode(buffer)?.map(Part::Whole))
+            pending => {
+                self.codec.pending = pending;
+                Ok(self.codec.decode(buffer)?.map(Part::Whole))
             }
         }
     }
 
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<Part>, Error> {
         match self.decode(buffer)? {
-            None if self.left.is_some() => Err(ErrorKind::UnexpectedEof.into()),
-            None => Ok(self.http.decode_eof(buffer)?.map(Part::Whole)),
+            None if self.remaining.is_some() => Err(ErrorKind::UnexpectedEof.into()),
+            None => Ok(self.codec.decode_eof(buffer)?.map(Part::Whole)),
             part => Ok(part),
         }
     }
 }
 
-impl Encoder<Request<'_>> for Parts {
+impl Encoder<Request<'_>> for StreamingClientCodec {
     type Error = Error;
 
     fn encode(&mut self, request: Request<'_>, buffer: &mut BytesMut) -> Result<(), Error> {
-        self.http.encode(request, buffer)
+        self.codec.encode(request, buffer)
     }
 }
 
-impl Encoder<Request<'_>> for Http {
+impl Encoder<Request<'_>> for ClientCodec {
     type Error = Error;
 
     fn encode(&mut self, request: Request<'_>, buffer: &mut BytesMut) -> Result<(), Error> {
@@ -145,7 +156,7 @@
         for (name, value) in &request.headers {
             put(&[name.as_bytes(), b": ", value, b"\r\n"]);
         }
-        if let Some(length) = request.follows.or(request.body.map(<[u8]>::len)) {
+        if let Some(length) = request.streamed_body_length.or(request.body.map(<[u8]>::len)) {
             put(&[b"Content-Length: ", length.to_string().as_bytes(), b"\r\n"]);
         }
         put(&[b"\r\n", request.body.unwrap_or_default()]);
@@ -153,83 +164,86 @@
     }
 }
 
-impl Decoder for Http {
+impl Decoder for ClientCodec {
     type Item = Response;
     type Error = Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Response>, Error> {
-        if self.head.is_none() {
-            self.head = head(buffer, self.most)?;
+        if self.pending.is_none() {
+            self.pending = parse_head(buffer, self.max_body)?;
         }
-        let Some((_, body)) = &self.head else { return Ok(None) };
-        let body = match body {
-            Body::Length(length) if buffer.len() >= *length => buffer.split_to(*length).freeze(),
-            Body::Chunks => match chunks(buffer, self.longest)? {
+        let Some((_, framing)) = &self.pending else { return Ok(None) };
+        let body = match framing {
+            BodyFraming::Length(length) if buffer.len() >= *length => buffer.split_to(*length).freeze(),
+            BodyFraming::Chunked => match take_chunked_body(buffer, self.max_buffered)? {
                 Some(body) => body,
                 None => return Ok(None),
             },
-            Body::UntilEnd if buffer.len() > self.longest => return Err(bad("body too long")),
+            BodyFraming::UntilClose if buffer.len() > self.max_buffered => return Err(bad("body too long")),
             _ => return Ok(None),
         };
-        Ok(self.head.take().map(|(response, _)| Response { body, ..response }))
+        Ok(self.pending.take().map(|(response, _)| Response { body, ..response }))
     }
 
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<Response>, Error> {
         match self.decode(buffer)? {
-            None if matches!(self.head, Some((_, Body::UntilEnd))) => {
+            None if matches!(self.pending, Some((_, BodyFraming::UntilClose))) => {
                 let body = buffer.split().freeze();
-                Ok(self.head.take().map(|(response, _)| Response { body, ..response }))
+                Ok(self.pending.take().map(|(response, _)| Response { body, ..response }))
             }
-            None if self.head.is_some() || !buffer.is_empty() => Err(ErrorKind::UnexpectedEof.into()),
+            None if self.pending.is_some() || !buffer.is_empty() => Err(ErrorKind::UnexpectedEof.into()),
             response => Ok(response),
         }
     }
 }
 
-/// A call at the operators' door.
+/// An operator's HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     pub method: String,
+    /// Without the query.
     pub path: String,
     pub body: Bytes,
 }
 
-/// The answer to a call: a status and one line of text.
+/// The response to a call: the status code and one line of text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word(pub u16, pub String);
+pub struct CallResponse(pub u16, pub String);
 
-/// Reads one call. What can't be read is an error whose text begins with the status that is owed.
+/// Decodes operators' calls and encodes the responses. The text of a decoding error begins with the status code for the
+/// response.
 #[derive(Debug, Default)]
-pub struct Calls {
-    head: Option<(Call, usize)>,
+pub struct CallCodec {
+    /// The call whose body has not arrived completely, and the length of the body.
+    pending: Option<(Call, usize)>,
 }
 
-const LONGEST_CALL_HEAD: usize = 8 * 1024;
-const LONGEST_CALL_BODY: usize = 4 * 1024;
+const MAX_CALL_HEAD_BYTES: usize = 8 * 1024;
+const MAX_CALL_BODY_BYTES: usize = 4 * 1024;
 
-impl Decoder for Calls {
+impl Decoder for CallCodec {
     type Item = Call;
     type Error = Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Call>, Error> {
-        if self.head.is_none() {
-            self.head = call(buffer)?;
+        if self.pending.is_none() {
+            self.pending = parse_call_head(buffer)?;
         }
-        let Some((_, length)) = self.head.as_ref().filter(|(_, length)| buffer.len() >= *length) else {
+        let Some((_, length)) = self.pending.as_ref().filter(|(_, length)| buffer.len() >= *length) else {
             return Ok(None);
         };
         let body = buffer.split_to(*length).freeze();
-        Ok(self.head.take().map(|(call, _)| Call { body, ..call }))
+        Ok(self.pending.take().map(|(call, _)| Call { body, ..call }))
     }
 }
 
-/// Takes a call's head off the buffer, with the length of its body.
-fn call(buffer: &mut BytesMut) -> Result<Option<(Call, usize)>, Error> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Takes the head of a call off the buffer once it is complete. Returns it with the length of its body.
+fn parse_call_head(buffer: &mut BytesMut) -> Result<Option<(Call, usize)>, Error> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(buffer) {
-        Ok(httparse::Status::Complete(head)) if head <= LONGEST_CALL_HEAD => head,
-        Ok(httparse::Status::Partial) if buffer.len() <= LONGEST_CALL_HEAD => return Ok(None),
+        Ok(httparse::Status::Complete(head)) if head <= MAX_CALL_HEAD_BYTES => head,
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CALL_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(bad("431 head too long")),
         Err(_) => return Err(bad("400 malformed call")),
     };
@@ -251,17 +265,21 @@
         }
     }
     let length = length.unwrap_or(0);
-    if length > LONGEST_CALL_BODY {
+    if length > MAX_CALL_BODY_BYTES {
         return Err(bad("413 body too long"));
     }
     let _ = buffer.split_to(head);
     Ok(Some((call, length)))
 }
 
-impl Encoder<Word> for Calls {
+impl Encoder<CallResponse> for CallCodec {
     type Error = Error;
 
-    fn encode(&mut self, Word(status, text): Word, buffer: &mut BytesMut) -> Result<(), Error> {
+    fn encode(
+        &mut self,
+        CallResponse(status, text): CallResponse,
+        buffer: &mut BytesMut,
+    ) -> Result<(), Error> {
         let reason = if status < 300 { "OK" } else { "No" };
         let length = text.len() + 1;
         let head = format!(
@@ -273,71 +291,75 @@
     }
 }
 
-fn head(buffer: &mut BytesMut, most: usize) -> Result<Option<(Response, Body)>, Error> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Takes the head of a response off the buffer once it is complete. `max_body` limits the Content-Length.
+fn parse_head(buffer: &mut BytesMut, max_body: usize) -> Result<Option<(Response, BodyFraming)>, Error> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let length = match parsed.parse(buffer).map_err(|_| bad("malformed answer"))? {
+    let length = match parsed.parse(buffer).map_err(|_| bad("malformed response"))? {
         httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if buffer.len() > LONGEST_HEAD => return Err(bad("head too long")),
+        httparse::Status::Partial if buffer.len() > MAX_HEAD_BYTES => return Err(bad("head too long")),
         httparse::Status::Partial => return Ok(None),
     };
     let mut response = Response { status: parsed.code.unwrap_or(0), ..Response::default() };
     response.last = parsed.version == Some(0);
-    let empty = response.interim() || matches!(response.status, 204 | 304);
-    let mut body = if empty { Body::Length(0) } else { Body::UntilEnd };
+    let empty = response.is_interim() || matches!(response.status, 204 | 304);
+    let mut framing = if empty { BodyFraming::Length(0) } else { BodyFraming::UntilClose };
     for header in parsed.headers.iter() {
         let (name, text) = (header.name.to_ascii_lowercase(), String::from_utf8_lossy(header.value));
         match name.as_str() {
             "content-length" if !empty => {
                 let length = text.trim().parse().map_err(|_| bad("invalid Content-Length"))?;
-                if matches!(body, Body::Length(other) if other != length) {
-                    return Err(bad("two values of Content-Length"));
+                if matches!(framing, BodyFraming::Length(other) if other != length) {
+                    return Err(bad("conflicting values of Content-Length"));
                 }
-                if length > most {
+                if length > max_body {
                     return Err(bad("body too long"));
                 }
-                if !matches!(body, Body::Chunks) {
-                    body = Body::Length(length);
+                if !matches!(framing, BodyFraming::Chunked) {
+                    framing = BodyFraming::Length(length);
                 }
             }
-            "transfer-encoding" if text.trim().eq_ignore_ascii_case("chunked") => body = Body::Chunks,
+            "transfer-encoding" if text.trim().eq_ignore_ascii_case("chunked") => {
+                framing = BodyFraming::Chunked
+            }
             "connection" => response.last |= text.trim().eq_ignore_ascii_case("close"),
             _ => {}
         }
         response.headers.push((name, Bytes::copy_from_slice(header.value)));
     }
-    response.last |= matches!(body, Body::UntilEnd);
+    response.last |= matches!(framing, BodyFraming::UntilClose);
     let _ = buffer.split_to(length);
-    Ok(Some((response, body)))
+    Ok(Some((response, framing)))
 }
 
-/// Takes a body in chunks off the buffer once it is whole.
-fn chunks(buffer: &mut BytesMut, longest: usize) -> Result<Option<Bytes>, Error> {
+/// Takes a chunked body off the buffer once it is complete.
+fn take_chunked_body(buffer: &mut BytesMut, max_body: usize) -> Result<Option<Bytes>, Error> {
     let (mut at, mut body) = (0, BytesMut::new());
     loop {
         let size = httparse::parse_chunk_size(&buffer[at..]).map_err(|_| bad("malformed chunk"))?;
         let httparse::Status::Complete((head, size)) = size else { return Ok(None) };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > longest || body.len() + size > longest {
+        if size > max_body || body.len() + size > max_body {
             return Err(bad("body too long"));
         }
         at += head;
         if size == 0 {
-            // Trailers end with an empty line, as the body does without them.
-            let Some(end) = trailers(&buffer[at..])? else { return Ok(None) };
+            // An empty line ends the trailers, and also a body without any.
+            let Some(end) = trailers_length(&buffer[at..])? else { return Ok(None) };
             let _ = buffer.split_to(at + end);
             return Ok(Some(body.freeze()));
         }
         let Some(chunk) = buffer.get(at..at + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
-            return Err(bad("chunk without end"));
+            return Err(bad("chunk without CRLF at its end"));
         }
         body.put(&chunk[..size]);
         at += size + 2;
     }
 }
 
-fn trailers(rest: &[u8]) -> Result<Option<usize>, Error> {
+/// The length of the trailers with the empty line after them; `None` while that has not arrived.
+fn trailers_length(rest: &[u8]) -> Result<Option<usize>, Error> {
     let mut at = 0;
     while let Some(length) = rest[at..].iter().position(|&byte| byte == b'\n') {
         let empty = matches!(&rest[at..at + length], b"" | b"\r");
@@ -346,11 +368,11 @@
             return Ok(Some(at));
         }
     }
-    if rest.len() > LONGEST_HEAD { Err(bad("trailers too long")) } else { Ok(None) }
+    if rest.len() > MAX_HEAD_BYTES { Err(bad("trailers too long")) } else { Ok(None) }
 }
 
-/// A path with one segment, whatever bytes that holds.
-pub fn path(segment: &[u8]) -> String {
+/// A path of one segment, with all other bytes than unreserved characters percent-encoded.
+pub fn segment_path(segment: &[u8]) -> String {
     let mut path = String::from("/");
     for &byte in segment {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
--- a/crates/proxy/src/module.rs
+++ b/crates/proxy/src/module.rs
@@ -3,15 +3,15 @@
 
 use crate::desk::{Order, PROBE, Whose};
 use crate::fleet::prober::Prober;
-use crate::line_budget::LineBudget;
+use crate::log_limiter::LogLimiter;
 use crate::long::Value;
 use crate::memory::MemoryWatch;
 use crate::messages::{Answer, Back, Cargo, Event, ListPart, Mailbox, Named};
-use crate::nodes::{Known, Nodes};
+use crate::nodes::{NodeEntry, NodeTable};
 use crate::phases::Phase;
 use crate::shared::Shared;
 use crate::turns;
-use crate::upstream::attempt::{self, Errand, Target};
+use crate::upstream::attempt::{self, NodeOperation, Target};
 use bytes::Bytes;
 use hashbrown::{HashMap, HashSet};
 use pumicebay_core::{Ask, Balance, GiveUp, Held, Host, Nanos, Node, Outcome, RequestId, Settings};
@@ -42,8 +42,8 @@
 struct Acts {
     shared: Shared,
     follow: mpsc::Sender<()>,
-    nodes: Nodes,
-    lines: LineBudget,
+    nodes: NodeTable,
+    lines: LogLimiter,
     open: HashMap<RequestId, Open>,
     /// The ids of the exchanges that await their answers.
     ids: HashSet<Bytes>,
@@ -70,8 +70,8 @@
         let acts = Acts {
             shared,
             follow,
-            nodes: Nodes::default(),
-            lines: LineBudget::default(),
+            nodes: NodeTable::default(),
+            lines: LogLimiter::default(),
             open: HashMap::new(),
             ids: HashSet::new(),
             timers: BinaryHeap::new(),
@@ -80,7 +80,7 @@
             prober: None,
         };
         let balance = Balance::new(acts, settings, config.seed, clock.now());
-        let memory = MemoryWatch::new(config.memory_kb);
+        let memory = MemoryWatch::new(config.memory_limit_kb);
         Module { balance, mailbox, memory, memory_due: 0, whole: Vec::new() }
     }
 
@@ -119,7 +119,7 @@
             turns::timer(&counters, Duration::from_nanos(now.saturating_sub(at)));
             self.balance.woke(now, token);
         }
-        let resting = self.balance.host.shared.upstream.count();
+        let resting = self.balance.host.shared.upstream.idle_count();
         counters.gauges.take(&self.balance.status(), resting);
         self.balance.host.lines.report_at(now);
         if self.memory_due <= now {
@@ -133,8 +133,8 @@
         match order {
             Order::Whose(uid, answer) => {
                 let acts = &self.balance.host;
-                let known = acts.nodes.find(&uid).and_then(|node| acts.nodes.get(node));
-                let whose = |known: &Known| if known.origin { Whose::Origin } else { Whose::Cache };
+                let known = acts.nodes.find_by_uid(&uid).and_then(|node| acts.nodes.get(node));
+                let whose = |known: &NodeEntry| if known.origin { Whose::Origin } else { Whose::Cache };
                 let _ = answer.send(known.map_or(Whose::Nobody, whose));
             }
             Order::Maintained(uid, out, done) => {
@@ -143,13 +143,13 @@
             }
             Order::Probe(uid) => {
                 let acts = &mut self.balance.host;
-                let sent = acts.nodes.find(&uid).is_some_and(|node| acts.send_probe(node));
+                let sent = acts.nodes.find_by_uid(&uid).is_some_and(|node| acts.send_probe(node));
                 if let Some(prober) = acts.prober.as_ref().filter(|_| !sent) {
                     prober.probed(&uid, false);
                 }
             }
             Order::Told(uid, answered) => {
-                if let Some(node) = self.balance.host.nodes.find(&uid) {
+                if let Some(node) = self.balance.host.nodes.find_by_uid(&uid) {
                     let outcome = if answered { Outcome::Completed } else { Outcome::Unreachable };
                     self.balance.probed(node, outcome);
                 }
@@ -293,7 +293,7 @@
 
     /// A line about nodes, which come in thousands.
     fn log_node(&mut self, line: impl std::fmt::Display) {
-        if self.lines.allows(self.shared.clock.now()) {
+        if self.lines.allow(self.shared.clock.now()) {
             tracing::info!("{line}");
         } else {
             tracing::debug!("{line}");
@@ -302,19 +302,19 @@
 
     /// The number of a node, a new one where it is not known yet. None for one that left before it was known.
     fn node(&mut self, named: &Named) -> Option<Node> {
-        let (node, new) = self.nodes.number(named)?;
+        let (node, new) = self.nodes.upsert(named)?;
         if new {
             self.shared.counters.nodes_known.add();
-            let logged = self.lines.allows(self.shared.clock.now());
+            let logged = self.lines.allow(self.shared.clock.now());
             if let Some(known) = self.nodes.get_mut(node).filter(|_| logged) {
-                known.log(node);
+                known.log_number(node);
             }
         }
         Some(node)
     }
 
     fn send_probe(&mut self, node: Node) -> bool {
-        let sent = self.begin(node, Errand::Probe { until: Instant::now() + PROBE });
+        let sent = self.begin(node, NodeOperation::Probe { deadline: Instant::now() + PROBE });
         if sent {
             self.shared.counters.probes_sent.add();
         }
@@ -322,13 +322,13 @@
     }
 
     /// Begins it, unless the node is known no more.
-    fn begin(&mut self, node: Node, errand: Errand) -> bool {
+    fn begin(&mut self, node: Node, errand: NodeOperation) -> bool {
         let Some(known) = self.nodes.get_mut(node) else { return false };
         if !known.logged {
-            known.log(node);
+            known.log_number(node);
         }
         let target = Target { node, address: known.address, origin: known.origin };
-        attempt::start(&self.shared, target, errand);
+        attempt::spawn(&self.shared, target, errand);
         true
     }
 }
@@ -343,7 +343,13 @@
             open.recall = CancellationToken::new();
         }
         let (cargo, recall) = (open.cargo.clone(), open.recall.clone());
-        let errand = Errand::Try { xchg, try_no, cargo, until, recall };
+        let errand = NodeOperation::Attempt {
+            request_id: xchg,
+            attempt_number: try_no,
+            request: cargo,
+            deadline: until,
+            cancel: recall,
+        };
         // Once the proxy leaves, nothing is sent any more.
         if self.shared.watch.now() >= Phase::Leaving || !self.begin(node, errand) {
             self.unsent.push((xchg, try_no, node));
@@ -393,10 +399,10 @@
     }
 
     fn dismiss(&mut self, node: Node) {
-        if let Some(Known { uid, .. }) = self.nodes.remove(node) {
+        if let Some(NodeEntry { uid, .. }) = self.nodes.remove(node) {
             self.log_node(format_args!("node {node} is {uid} no more"));
             self.shared.counters.nodes_dismissed.add();
-            self.shared.upstream.forget(node);
+            self.shared.upstream.close_idle(node);
         }
     }
 
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,12 +1,12 @@
-//! The operators' door: HTTP/1.1, one call a connection, on an address of its own. It answers in time whatever the
-//! load: a few connections of its own, of which the one that is silent longest gives way, and a desk of its own at
-//! the module.
+//! The operators' HTTP/1.1 listener, on an address of its own, with one call per connection. It answers in time under any
+//! load: it has a few connections of its own, of which the longest silent one is closed for a new one, and its own
+//! mailbox at the module.
 
-use crate::bans::{Asked, LONGEST_LEASE, Maintenance};
+use crate::bans::{MAX_LEASE_BYTES, Maintenance, MaintenanceResult};
 use crate::counters::Counters;
 use crate::fleet::carrier::actor::Told;
 use crate::fleet::replication::handle::Handle;
-use crate::http::{Call, Calls, Word};
+use crate::http::{Call, CallCodec, CallResponse};
 use crate::phases::{Phase, Watch};
 use crate::room::{Room, Spare};
 use futures_util::{SinkExt, StreamExt};
@@ -18,94 +18,97 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// Calls at a time; their descriptors are set apart.
-pub const CALLERS: usize = 16;
-/// How long a caller may take for its call, and to read its answer.
-const CALLING: Duration = Duration::from_secs(5);
-const READING: Duration = Duration::from_secs(1);
-/// What is still read of a call that was refused, and for how long: closing on it could lose the answer.
+/// Connections at a time; their descriptors are reserved.
+pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
+/// How long a caller may take to send its call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long writing the answer may take.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long, and how many bytes, the rest of a refused call is still read: closing a connection with unread bytes resets
+/// it, which could lose the answer.
 const LINGER: Duration = Duration::from_millis(200);
 const LINGER_BYTES: u64 = 64 * 1024;
-/// How long a call waits for a proxy that is about to serve.
-const STARTING: Duration = Duration::from_millis(700);
-/// How long the replica may take to tell of itself.
-const STATUS: Duration = Duration::from_millis(200);
-/// The pause after a connection could not be accepted.
-const NO_ROOM: Duration = Duration::from_millis(20);
+/// How long a maintenance call waits for a proxy that is still starting.
+const READY_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long the replica may take to report its status.
+const REPLICA_STATUS_TIMEOUT: Duration = Duration::from_millis(200);
+/// The delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What calls are about.
+/// Answers the operators' calls.
 #[derive(Clone)]
-pub struct Operator {
+pub struct OperatorService {
+    /// The phase of the process.
     pub watch: Watch,
     pub counters: Arc<Counters>,
     pub maintenance: Maintenance,
-    /// The replica of maintenance orders, where there is one.
+    /// The replica of maintenance orders, if there is one.
     pub replication: Option<Handle>,
-    /// How old the configuration is that came by the carrier, where there is one.
+    /// How old the configuration from the carrier is, if there is a carrier.
     pub carrier: Option<tokio::sync::watch::Receiver<Told>>,
 }
 
-/// Accepts as long as the process lives.
-pub async fn accept(operator: Operator, listener: TcpListener) {
-    let room = Room::new(CALLERS);
+/// Accepts connections until the task is dropped.
+pub async fn accept(operator: OperatorService, listener: TcpListener) {
+    let room = Room::new(MAX_OPERATOR_CONNECTIONS);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!("operators' door: {error}");
-                sleep(NO_ROOM).await;
+                tracing::warn!("operator listener: accepting a connection failed: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let (operator, room, place) = (operator.clone(), room.clone(), room.take().await);
+        let (operator, room, permit) = (operator.clone(), room.clone(), room.take().await);
         tokio::spawn(async move {
-            if let Err(error) = serve(operator, &room, stream).await {
-                tracing::debug!("operators' door: {error}");
+            if let Err(error) = serve_connection(operator, &room, stream).await {
+                tracing::debug!("operator connection failed: {error}");
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn serve(operator: Operator, room: &Room, stream: TcpStream) -> std::io::Result<()> {
-    let mut framed = Framed::new(stream, Calls::default());
+async fn serve_connection(operator: OperatorService, room: &Room, stream: TcpStream) -> std::io::Result<()> {
+    let mut framed = Framed::new(stream, CallCodec::default());
     let call = tokio::select! {
-        call = timeout(CALLING, framed.next()) => match call {
+        call = timeout(CALL_TIMEOUT, framed.next()) => match call {
             Ok(Some(call)) => call,
             Ok(None) | Err(_) => return Ok(()),
         },
         () = room.asked(Spare::Unused) => return Ok(()),
     };
-    let word = match call {
+    let response = match call {
         Ok(call) => operator.answer(call).await,
-        Err(error) => refusal(&error).ok_or(error)?,
+        Err(error) => error_response(&error).ok_or(error)?,
     };
-    if word.0 >= 300 {
-        tracing::info!("operators' door: {} {}", word.0, word.1);
+    if response.0 >= 300 {
+        tracing::info!("operator call refused: {} {}", response.0, response.1);
     }
-    timeout(READING, framed.send(word)).await??;
+    timeout(WRITE_TIMEOUT, framed.send(response)).await??;
     let stream = framed.get_mut();
     stream.shutdown().await?;
     let _ = timeout(LINGER, copy(&mut stream.take(LINGER_BYTES), &mut sink())).await;
     Ok(())
 }
 
-/// The codec says what is wrong in words that begin with the status.
-fn refusal(error: &std::io::Error) -> Option<Word> {
+/// The response to an invalid call: the codec's error texts begin with the status code. `None` for an I/O error.
+fn error_response(error: &std::io::Error) -> Option<CallResponse> {
     let text = error.to_string();
     let (status, why) = text.split_once(' ')?;
-    Some(Word(status.parse().ok()?, why.into()))
+    Some(CallResponse(status.parse().ok()?, why.into()))
 }
 
-impl Operator {
-    /// What a process that serves says of itself.
-    async fn serving(&self) -> String {
-        let mut words = "serving".to_string();
+impl OperatorService {
+    /// The status line of a process that serves.
+    async fn serving_status(&self) -> String {
+        let mut line = "serving".to_string();
         if let Some(carrier) = &self.carrier {
-            words += &format!(", carrier: {}", *carrier.borrow());
+            line += &format!(", carrier: {}", *carrier.borrow());
         }
         let status = match &self.replication {
-            Some(handle) => timeout(STATUS, handle.show()).await.ok().flatten(),
+            Some(handle) => timeout(REPLICA_STATUS_TIMEOUT, handle.show()).await.ok().flatten(),
             None => None,
         };
         if let Some(status) = status {
@@ -113,72 +116,74 @@
                 .age
                 .map_or("nothing heard yet".into(), |age| format!("as of {:.1} s ago", age as f64 / 1e9));
             let (linked, differing, out) = (status.linked.len(), status.differing.len(), status.out.len());
-            words += &format!(
+            line += &format!(
                 ", replication: {} orders {age}, {out} nodes out, {linked} peers linked, {differing} differ",
                 status.orders
             );
         }
-        words
+        line
     }
 
-    /// The answer to a call: 2xx is yes, all else no with a line that says why.
-    pub async fn answer(&self, call: Call) -> Word {
+    /// Carries out a call. The response is 2xx on success, otherwise an error status with a line that says why.
+    pub async fn answer(&self, call: Call) -> CallResponse {
         let method = match call.path.as_str() {
             "/status" | "/counters" => "GET",
             "/maintenance/enter" | "/maintenance/exit" => "POST",
-            path => return Word(404, format!("no such call: {path:?}")),
+            path => return CallResponse(404, format!("no such call: {path:?}")),
         };
         if call.method != method {
-            return Word(405, format!("{} wants {method}, found {:?}", call.path, call.method));
+            return CallResponse(405, format!("{} requires {method}, found {:?}", call.path, call.method));
         }
         if call.path == "/counters" {
-            return Word(200, self.counters.to_string());
+            return CallResponse(200, self.counters.to_string());
         }
         if method == "GET" {
             return match self.watch.now() {
-                Phase::Serving | Phase::Draining => Word(200, self.serving().await),
-                phase => Word(503, format!("takes no clients: {phase:?}")),
+                Phase::Serving | Phase::Draining => CallResponse(200, self.serving_status().await),
+                phase => CallResponse(503, format!("takes no clients: {phase:?}")),
             };
         }
         let mut body = match serde_json::from_slice::<Json>(&call.body) {
             Ok(Json::Object(body)) => body,
-            Ok(other) => return Word(400, format!("expected {{\"who\":\"ID\"}}, found {other}")),
-            Err(error) => return Word(400, format!("the body is no JSON: {error}")),
+            Ok(other) => return CallResponse(400, format!("expected {{\"who\":\"ID\"}}, found {other}")),
+            Err(error) => return CallResponse(400, format!("the body is not JSON: {error}")),
         };
-        let who = match body.remove("who") {
-            Some(Json::String(who)) => who,
-            Some(other) => return Word(400, format!("who: expected a text, found {other}")),
-            None => return Word(400, "who: missing".into()),
+        let uid = match body.remove("who") {
+            Some(Json::String(uid)) => uid,
+            Some(other) => return CallResponse(400, format!("who: expected a string, found {other}")),
+            None => return CallResponse(400, "who: missing".into()),
         };
-        let under = match (body.remove("lease"), body.remove("token")) {
+        let lease = match (body.remove("lease"), body.remove("token")) {
             (None, None) => None,
             (Some(Json::String(lease)), Some(Json::Number(token)))
-                if (1..=LONGEST_LEASE).contains(&lease.len()) && token.is_u64() =>
+                if (1..=MAX_LEASE_BYTES).contains(&lease.len()) && token.is_u64() =>
             {
                 token.as_u64().map(|token| (lease, token))
             }
             (lease, token) => {
                 let (lease, token) = (lease.unwrap_or(Json::Null), token.unwrap_or(Json::Null));
-                return Word(
+                return CallResponse(
                     400,
                     format!(
-                        "lease, token: expected a name of 1 to {LONGEST_LEASE} bytes and a number, found {lease} and {token}"
+                        "lease, token: expected a name of 1 to {MAX_LEASE_BYTES} bytes and a number, found {lease} and {token}"
                     ),
                 );
             }
         };
-        // A process that has yet to hear of its nodes would take each id for unknown.
-        if timeout(STARTING, self.watch.clone().reached(Phase::Serving)).await.is_err() {
-            return Word(503, "has no list yet, call again".into());
+        // Until the list of nodes has been read, every uid would be unknown.
+        if timeout(READY_TIMEOUT, self.watch.clone().reached(Phase::Serving)).await.is_err() {
+            return CallResponse(503, "has no list of nodes yet, call again".into());
         }
-        let out = call.path == "/maintenance/enter";
-        let asked = self.maintenance.ask(who.clone(), out, under).await;
-        let status = match &asked {
-            Asked::Done | Asked::Ordered(_) => 200,
-            Asked::Unknown => 404,
-            Asked::Origin | Asked::Late(..) | Asked::Refused(_) => 409,
-            Asked::Failed(_) => 500,
+        let out_of_service = call.path == "/maintenance/enter";
+        let result = self.maintenance.set_service(uid.clone(), out_of_service, lease).await;
+        let status = match &result {
+            MaintenanceResult::Done | MaintenanceResult::Replicated(_) => 200,
+            MaintenanceResult::UnknownNode => 404,
+            MaintenanceResult::IsOrigin
+            | MaintenanceResult::StaleToken(..)
+            | MaintenanceResult::Refused(_) => 409,
+            MaintenanceResult::Failed(_) => 500,
         };
-        Word(status, asked.words(&who, out))
+        CallResponse(status, result.message(&uid, out_of_service))
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,13 +1,13 @@
 //! Puts the actors together and runs them through the phases.
 
-use crate::bans::{self, Bans, Replication};
+use crate::bans::{self, MaintenanceActor, Replication};
 use crate::clients::{self, Front};
 use crate::clock::Clock;
 use crate::config::{self, Config};
 use crate::counters::Counters;
 use crate::desk::Desk;
-use crate::discovery::entries::entries;
-use crate::discovery::list::List;
+use crate::discovery::entries::parse_list;
+use crate::discovery::list::ListWatcher;
 use crate::fleet::carrier::{self, apply};
 use crate::fleet::replication::handle::Channels;
 use crate::fleet::{self, asker::Asker, replication};
@@ -15,13 +15,13 @@
 use crate::listen::listen;
 use crate::messages;
 use crate::module::Module;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorService};
 use crate::phases::{Phase, Phases, Watch};
 use crate::room::Room;
 use crate::shared::Shared;
 use crate::tuning::{Routes, Tuning};
 use crate::turns;
-use crate::upstream::pool::{self, Pool};
+use crate::upstream::pool::{self, ConnectionPool};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_accord::Fences;
 use pumicebay_carrier::Resource;
@@ -106,11 +106,15 @@
         }
         let (clock, watch, heir) = (Clock::start(), phases.watch(), Arc::new(OnceLock::new()));
         // Both processes together hold no more than one may: this one begins with half.
-        let takes_over = config.inherited && config.folder.as_deref().is_some_and(Seat::taken);
+        let takes_over = config.listener_inherited && config.folder.as_deref().is_some_and(Seat::taken);
         let part = |whole: usize| if takes_over { whole.div_ceil(2) } else { whole };
-        let upstream = Pool::new(part(config.upstream), config.idle, counters.clone());
-        let long = Arc::new(Semaphore::new(part(config.long)));
-        let ahead = Arc::new(Semaphore::new(part(config.ahead)));
+        let upstream = ConnectionPool::new(
+            part(config.max_node_connections),
+            config.node_idle_timeout,
+            counters.clone(),
+        );
+        let long = Arc::new(Semaphore::new(part(config.max_streamed_values)));
+        let ahead = Arc::new(Semaphore::new(part(config.max_pipelined_commands)));
         let mut tuning = Tuning::default();
         let (settings, routes) = tuning.take(&config.json["settings"]);
         let (tell_routes, routes) = watch::channel(Arc::new(routes));
@@ -118,7 +122,7 @@
         let config = &shared.config;
         let mut module = Module::new(shared.clone(), settings, follow, mailbox);
         let mut version = None;
-        match entries(known.as_deref().unwrap_or("{}").as_bytes(), config) {
+        match parse_list(known.as_deref().unwrap_or("{}").as_bytes(), config) {
             Ok((known, whole, named)) => {
                 version = Some(known);
                 module.listed(whole, named);
@@ -126,14 +130,14 @@
             Err(error) => tracing::warn!("known: no list to start from: {error:#}"),
         }
         drop(known);
-        let mut list = List::new(shared.clone(), followed, version);
-        if config.inherited {
+        let mut list = ListWatcher::new(shared.clone(), followed, version);
+        if config.listener_inherited {
             // What the process before knew, and what discovery knows by now.
-            match list.left(config.folder.as_deref()) {
+            match list.load_saved_list(config.folder.as_deref()) {
                 Ok(named) => module.listed(true, named),
                 Err(error) => tracing::info!("no list from a process before: {error:#}"),
             }
-            match timeout(FIRST_LIST, list.first()).await.context("silent").flatten() {
+            match timeout(FIRST_LIST, list.fetch_whole_list()).await.context("silent").flatten() {
                 Ok(named) => module.listed(true, named),
                 Err(error) => tracing::warn!("discovery: starts from the list it was given: {error:#}"),
             }
@@ -146,7 +150,7 @@
         let me = config.fleet.as_ref().map(|section| fleet::me::Me::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
-            let (maintenance, calls) = bans::maintenance();
+            let (maintenance, calls) = bans::channel();
             let (handle, replication) = match (&me, replicated) {
                 (Some(me), Some(section)) => {
                     let Channels { handle, events, tell, ordered } = replication::handle::channels();
@@ -159,7 +163,7 @@
             };
             let (watch, folder) = (shared.watch.clone(), config.folder.clone());
             let cold = Duration::from_nanos(config.settings.time("cold", 0));
-            let (out, back) = match folder.as_deref().map(|folder| bans::found(folder, cold)) {
+            let (out, back) = match folder.as_deref().map(|folder| bans::load(folder, cold)) {
                 Some(Ok(found)) => found,
                 Some(Err(error)) => {
                     tracing::warn!("maintenance: no bans taken over: {error}");
@@ -173,10 +177,12 @@
                 module.maintained(clock.now(), uid, false);
             }
             let fences = Fences::default();
-            actors.spawn(Bans { desk: desk.clone(), folder, out, fences, replication }.run(calls));
+            actors
+                .spawn(MaintenanceActor { desk: desk.clone(), folder, out, fences, replication }.run(calls));
             if let Some(listener) = operator {
                 let counters = shared.counters.clone();
-                let operator = Operator { watch, counters, maintenance, replication: handle, carrier: told };
+                let operator =
+                    OperatorService { watch, counters, maintenance, replication: handle, carrier: told };
                 actors.spawn(operator::accept(operator, listener));
             }
         }
@@ -194,13 +200,14 @@
             actors.spawn(parts);
             Some(door)
         });
-        let listener = if config.inherited { inherited()? } else { listen("listen", config.listen)? };
+        let listener =
+            if config.listener_inherited { inherited()? } else { listen("listen", config.listen)? };
         let address = listener.local_addr()?;
         let connections = TaskTracker::new();
         let front = Front {
             shared: shared.clone(),
             connections: connections.clone(),
-            room: Room::new(config.clients),
+            room: Room::new(config.max_client_connections),
             used: Arc::default(),
             ahead: ahead.clone(),
         };
@@ -208,7 +215,7 @@
         let discovery = watch::Sender::new(config.discovery);
         actors.spawn(module.run());
         actors.spawn(list.run(discovery.subscribe()));
-        let seat = config.folder.as_deref().filter(|_| config.inherited).map(Seat::take);
+        let seat = config.folder.as_deref().filter(|_| config.listener_inherited).map(Seat::take);
         let seat = seat.transpose().unwrap_or_else(|error| {
             tracing::warn!("connections can't be passed on here: {error}");
             None
@@ -221,9 +228,9 @@
             let (upstream, long, whole) = (shared.upstream.clone(), shared.long.clone(), config.clone());
             tokio::spawn(async move {
                 sleep(OVERLAP).await;
-                upstream.grow(whole.upstream / 2);
-                long.add_permits(whole.long / 2);
-                ahead.add_permits(whole.ahead / 2);
+                upstream.grow(whole.max_node_connections / 2);
+                long.add_permits(whole.max_streamed_values / 2);
+                ahead.add_permits(whole.max_pipelined_commands / 2);
             });
         }
         actors.spawn(keep_free(front.room.clone()));
@@ -259,7 +266,7 @@
     /// Takes from a new configuration what can change while it serves; one that can't be read, or lacks what the
     /// last one had, changes nothing.
     async fn reload(&mut self, file: Result<Config>) {
-        let keeps = |file: Config| config::keeps(&self.file.json, &file.json).map(|()| file);
+        let keeps = |file: Config| config::check_nothing_removed(&self.file.json, &file.json).map(|()| file);
         let what = || "checking a new configuration".into();
         match turns::noted(&self.counters, what, || file.and_then(keeps)) {
             Ok(file) => {
@@ -269,7 +276,7 @@
                 self.counters.reloads.add();
                 let config = self.lay().await.config;
                 tracing::info!("configuration read again: {}", config.summary().replace('\n', "; "));
-                let restart = config::needs_restart(&self.config.json, &config.json);
+                let restart = config::keys_needing_restart(&self.config.json, &config.json);
                 if !restart.is_empty() {
                     tracing::warn!("configuration: needs a restart: {}", restart.join(", "));
                 }
@@ -344,7 +351,7 @@
             }
         }
         let longest = self.routes.borrow().longest();
-        let mut draining = self.config.draining;
+        let mut draining = self.config.drain_period;
         if let Some(heir) = self.seat.and_then(|seat| seat.heir()) {
             tracing::info!("another process takes over: {} client connections", self.connections.len());
             // Whoever still connects meets the other one.
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -7,7 +7,7 @@
 use crate::messages::Door;
 use crate::phases::Watch;
 use crate::tuning::Routes;
-use crate::upstream::pool::Pool;
+use crate::upstream::pool::ConnectionPool;
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Semaphore, watch};
 
@@ -22,7 +22,7 @@
     /// As of the last settings that were taken.
     pub routes: watch::Receiver<Arc<Routes>>,
     /// Connections to nodes.
-    pub upstream: Pool,
+    pub upstream: ConnectionPool,
     /// For long answers of nodes that are on their way.
     pub long: Arc<Semaphore>,
     /// The process that takes over from this one, once it has.
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,12 +1,12 @@
-//! One attempt or probe, from when the decisions ask for it to its outcome. Each has a task of its own, which ends with
-//! it: a node that nothing is sent to has none.
+//! Runs one attempt or probe, from when the core asks for it to its outcome. Each has a task of its own that ends with
+//! it, so a node that gets nothing has no task.
 
 use crate::clock::MILLIS;
 use crate::long::{self, Upload, Value};
 use crate::messages::{Back, Cargo};
 use crate::phases::Phase;
 use crate::shared::Shared;
-use crate::upstream::connection::{Came, Connection, connect};
+use crate::upstream::connection::{Connection, Reply, connect};
 use pumicebay_core::{Held, Nanos, Node, Outcome, RequestId};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -16,58 +16,60 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// A client whose request came no longer ago can't have left for longer.
-const LATELY: Nanos = 20 * MILLIS;
+/// The client of a request that arrived within this time is assumed to be still connected.
+const RECENT: Nanos = 20 * MILLIS;
 
-/// What the module asks of a node; the node's address, which may change, comes with it.
-pub enum Errand {
-    /// `recall` takes it back: if its last byte isn't sent by then, it never is.
-    Try {
-        xchg: RequestId,
-        try_no: usize,
-        cargo: Arc<Cargo>,
-        until: Instant,
-        recall: CancellationToken,
-    },
-    Probe {
-        until: Instant,
+/// What the module asks of a node.
+pub enum NodeOperation {
+    /// One attempt of a request. If `cancel` is triggered before its last byte is sent, the rest is never sent.
+    Attempt {
+        request_id: RequestId,
+        /// 0 for the request's first attempt.
+        attempt_number: usize,
+        request: Arc<Cargo>,
+        deadline: Instant,
+        cancel: CancellationToken,
     },
+    /// A health check, which for a cache node may also fetch its load.
+    Probe { deadline: Instant },
 }
 
-impl Errand {
-    fn recall(&self) -> Option<&CancellationToken> {
-        if let Errand::Try { recall, .. } = self { Some(recall) } else { None }
+impl NodeOperation {
+    fn cancel_token(&self) -> Option<&CancellationToken> {
+        if let NodeOperation::Attempt { cancel, .. } = self { Some(cancel) } else { None }
     }
 
-    /// Taken back, or its client has left, of which the module may not have heard.
-    fn recalled(&self) -> bool {
-        let gone = matches!(self, Errand::Try { cargo, .. } if cargo.client_has_left());
-        gone || self.recall().is_some_and(CancellationToken::is_cancelled)
+    /// Whether the attempt was cancelled, or its client has left, which the module may not know yet.
+    fn is_cancelled(&self) -> bool {
+        let gone = matches!(self, NodeOperation::Attempt { request, .. } if request.client_has_left());
+        gone || self.cancel_token().is_some_and(CancellationToken::is_cancelled)
     }
 
-    /// Has the runtime hear first of clients that have left, where this one may have: guards nodes from attempts that
-    /// begin for nobody after a turn in which nothing was heard. Whether it did.
-    async fn hears(&self, shared: &Shared) -> bool {
+    /// Lets the runtime process disconnects first, if the request is old enough for its client to have left; returns
+    /// whether it did. After a long turn, in which the runtime polled no sockets, this keeps attempts from being sent
+    /// to nodes for clients that are gone.
+    async fn yield_to_disconnects(&self, shared: &Shared) -> bool {
         let now = shared.clock.now();
-        let long = matches!(self, Errand::Try { cargo, .. } if now.saturating_sub(cargo.at) > LATELY);
-        if long {
-            // A task that yields goes on once the sockets were looked at, behind those who are told of an end then. One
-            // of its own, as the node's may stand before these already.
+        let old =
+            matches!(self, NodeOperation::Attempt { request, .. } if now.saturating_sub(request.at) > RECENT);
+        if old {
+            // A task that yields runs again after the runtime has polled the sockets, behind the tasks that this woke.
+            // A new task does the yielding because this one may already be queued ahead of them.
             let _ = tokio::spawn(yield_now()).await;
         }
-        long
+        old
     }
 
-    /// Returns when it is taken back.
-    async fn taken_back(&self) {
-        match self.recall() {
-            Some(recall) => recall.cancelled().await,
+    /// Returns when the attempt is cancelled; never for a probe.
+    async fn cancelled(&self) {
+        match self.cancel_token() {
+            Some(cancel) => cancel.cancelled().await,
             None => std::future::pending().await,
         }
     }
 }
 
-/// Where an attempt goes.
+/// The node that an attempt or probe goes to. Its address may change between two of them.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     pub node: Node,
@@ -75,157 +77,172 @@
     pub origin: bool,
 }
 
-/// Begins an attempt or probe; the decisions are told of its outcome.
-pub fn start(shared: &Shared, target: Target, errand: Errand) {
+/// Spawns a task that runs an attempt or probe and reports its outcome to the module.
+pub fn spawn(shared: &Shared, target: Target, operation: NodeOperation) {
     let shared = shared.clone();
     tokio::spawn(async move {
         let mut leaving = shared.watch.clone();
         let (back, connection) = tokio::select! {
-            done = carry(&shared, target, &errand) => done,
+            done = run(&shared, target, &operation) => done,
             () = leaving.reached(Phase::Leaving) => (Some(Outcome::Withdrawn.into()), None),
         };
-        // The process that takes over needs the descriptors.
+        // A process that takes over needs the descriptors, so nothing is put back then.
         if let Some(connection) = connection.filter(|_| shared.heir.get().is_none()) {
-            shared.upstream.rest(target.node, connection);
+            shared.upstream.put_back(target.node, connection);
         }
         let Some(back) = back else { return };
-        match errand {
-            Errand::Try { xchg, try_no, .. } => shared.door.ended(xchg, try_no, target.node, back).await,
-            Errand::Probe { .. } => shared.door.probed(target.node, back).await,
+        match operation {
+            NodeOperation::Attempt { request_id, attempt_number, .. } => {
+                shared.door.ended(request_id, attempt_number, target.node, back).await
+            }
+            NodeOperation::Probe { .. } => shared.door.probed(target.node, back).await,
         }
     });
 }
 
-/// Carries out one try or probe, over an idle connection or a new one.
-async fn carry(shared: &Shared, target: Target, errand: &Errand) -> (Option<Back>, Option<Box<Connection>>) {
+/// Runs an attempt or probe over an idle connection or a new one. Returns what is still to be reported, and the
+/// connection if it can be reused.
+async fn run(
+    shared: &Shared,
+    target: Target,
+    operation: &NodeOperation,
+) -> (Option<Back>, Option<Box<Connection>>) {
     let Target { node, address, origin } = target;
-    // One that is taken back needs no connection.
-    let idle = if errand.recalled() { None } else { shared.upstream.take(node, address) };
-    let (Errand::Try { until, .. } | Errand::Probe { until }) = errand;
-    let mut until = *until;
-    let patience = until.saturating_duration_since(Instant::now());
-    let upload = match errand {
-        Errand::Try { cargo, .. } => cargo.upload.as_deref(),
-        Errand::Probe { .. } => None,
+    // A cancelled attempt needs no connection.
+    let idle = if operation.is_cancelled() { None } else { shared.upstream.take_idle(node, address) };
+    let (NodeOperation::Attempt { deadline, .. } | NodeOperation::Probe { deadline }) = operation;
+    let mut deadline = *deadline;
+    let time_limit = deadline.saturating_duration_since(Instant::now());
+    let upload = match operation {
+        NodeOperation::Attempt { request, .. } => request.upload.as_deref(),
+        NodeOperation::Probe { .. } => None,
     };
     let value = upload.and_then(Upload::take);
     if upload.is_some() && value.is_none() {
-        // An earlier try has sent it on already.
+        // An earlier attempt has already sent the streamed value, which is not kept.
         return (Some(Outcome::Unsent.into()), idle);
     }
-    let heard = errand.hears(shared).await;
-    // Meanwhile it may have ended, or brought what nobody asked for.
-    let idle = idle.filter(|connection| !heard || connection.alive());
-    if errand.recalled() {
+    let yielded = operation.yield_to_disconnects(shared).await;
+    // Meanwhile the connection may have been closed, or have received bytes that belong to no attempt.
+    let idle = idle.filter(|connection| !yielded || connection.is_reusable());
+    if operation.is_cancelled() {
         shared.counters.tries_taken_back.add();
         return (Some(Outcome::Unsent.into()), idle);
     }
-    let up = async {
+    let connected = async {
         if let Some(connection) = idle {
             shared.counters.connections_reused.add();
             return Ok(connection);
         }
-        // Boxed, as are other rare parts: what each attempt holds while it waits stays small.
+        // Boxed, like other rare steps, to keep the future of each waiting attempt small.
         let connection = Box::pin(connect(shared, address, origin)).await?;
-        errand.hears(shared).await;
+        operation.yield_to_disconnects(shared).await;
         Ok(connection)
     };
-    let mut connection = match unless_taken_back(shared, errand, in_time(until, up)).await {
+    let mut connection = match unless_cancelled(shared, operation, before_deadline(deadline, connected)).await
+    {
         Ok(connection) => connection,
         Err(outcome) => return (Some(outcome.into()), None),
     };
-    if errand.recalled() {
+    if operation.is_cancelled() {
         shared.counters.tries_taken_back.add();
         return (Some(Outcome::Unsent.into()), Some(connection));
     }
-    // Until the last byte is written nothing can have run.
-    let written = connection.write(shared, errand);
-    if let Err(outcome) = unless_taken_back(shared, errand, in_time(until, written)).await {
+    // Until its last byte is written, the node cannot have run the request.
+    let written = connection.write(shared, operation);
+    if let Err(outcome) = unless_cancelled(shared, operation, before_deadline(deadline, written)).await {
         return (Some(outcome.into()), None);
     }
     if let Some(value) = value {
-        if let Err(outcome) = unless_taken_back(shared, errand, Box::pin(connection.upload(value))).await {
+        if let Err(outcome) = unless_cancelled(shared, operation, Box::pin(connection.upload(value))).await {
             return (Some(outcome.into()), None);
         }
-        // The time of a request counts from its last byte.
-        until = Instant::now() + patience;
+        // The time limit of an attempt with a streamed value counts from the value's last byte.
+        deadline = Instant::now() + time_limit;
     }
-    let within = shared.config.connect / 2;
-    match timeout_at(until, connection.read(errand, within)).await {
-        Ok(Ok(Came::Whole(back, last))) => (Some(back), (!last).then_some(connection)),
-        Ok(Ok(Came::Long(length, held, last))) => {
-            let long = Begun { length, held, last, until, within };
-            Box::pin(pass_on(shared, target, errand, connection, long)).await
+    let stall_timeout = shared.config.connect_timeout / 2;
+    match timeout_at(deadline, connection.read_reply(operation, stall_timeout)).await {
+        Ok(Ok(Reply::Whole(back, last))) => (Some(back), (!last).then_some(connection)),
+        Ok(Ok(Reply::Streamed(length, held, last))) => {
+            let reply = StreamedReply { length, held, last, deadline, stall_timeout };
+            Box::pin(stream_value(shared, target, operation, connection, reply)).await
         }
-        Ok(Err(error)) => (Some(failed(address, &error).into()), None),
+        Ok(Err(error)) => (Some(failure_outcome(address, &error).into()), None),
         Err(_) => (Some(Outcome::Overdue.into()), None),
     }
 }
 
-/// A long answer that has begun to come.
-struct Begun {
+/// A reply that has begun and whose value will be streamed.
+struct StreamedReply {
+    /// The length of the value in bytes.
     length: usize,
+    /// The load that the node reports.
     held: Option<Held>,
-    /// Whether the connection carries no other after it.
+    /// Whether the connection is closed after this reply.
     last: bool,
-    /// When the first of it must be here, and how soon more after that.
-    until: Instant,
-    within: Duration,
+    /// When the first pieces must have arrived.
+    deadline: Instant,
+    /// How soon each further part of the first pieces must follow the one before.
+    stall_timeout: Duration,
 }
 
-/// Passes a long answer on as it comes.
-async fn pass_on(
+/// Streams a long value to the client as it arrives, after reporting the attempt as completed.
+async fn stream_value(
     shared: &Shared,
     target: Target,
-    errand: &Errand,
+    operation: &NodeOperation,
     mut connection: Box<Connection>,
-    begun: Begun,
+    reply: StreamedReply,
 ) -> (Option<Back>, Option<Box<Connection>>) {
-    let Begun { length, held, last, until, within } = begun;
+    let StreamedReply { length, held, last, deadline, stall_timeout } = reply;
     let address = target.address;
-    // The first of it tells whether there is a value at all: until then another try is possible.
-    let room = shared.long.clone().acquire_owned();
-    let begun = timeout_at(until, async { Ok((room.await?, connection.first(length, within).await?)) });
-    let (room, first) = match begun.await {
-        Ok(Ok(begun)) => begun,
-        Ok(Err(error)) => return (Some(failed(address, &error).into()), None),
+    // The first pieces show that the node really sends a value: until then another attempt is possible.
+    let permit = shared.long.clone().acquire_owned();
+    let started = timeout_at(deadline, async {
+        Ok((permit.await?, connection.first_pieces(length, stall_timeout).await?))
+    });
+    let (permit, first) = match started.await {
+        Ok(Ok(started)) => started,
+        Ok(Err(error)) => return (Some(failure_outcome(address, &error).into()), None),
         Err(_) => return (Some(Outcome::Overdue.into()), None),
     };
-    let (source, value) = long::long(length, Some(room));
+    let (source, value) = long::long(length, Some(permit));
     let back = Back { outcome: Outcome::Completed, value: Value::Long(value), held };
-    if let Errand::Try { xchg, try_no, .. } = errand {
-        shared.door.ended(*xchg, *try_no, target.node, back).await;
+    if let NodeOperation::Attempt { request_id, attempt_number, .. } = operation {
+        shared.door.ended(*request_id, *attempt_number, target.node, back).await;
     }
-    match connection.pass_on(first, source).await {
+    match connection.forward_value(first, source).await {
         Ok(()) => (None, (!last).then_some(connection)),
         Err(error) => {
-            tracing::info!("{address}: {error:#}");
+            tracing::info!("{address}: streaming a long value failed: {error:#}");
             shared.counters.values_broken.add();
             (None, None)
         }
     }
 }
 
-/// What an attempt came to that brought no whole answer.
-fn failed(address: SocketAddr, error: &anyhow::Error) -> Outcome {
-    let garbage = error.downcast_ref::<std::io::Error>().is_none_or(|e| e.kind() == ErrorKind::InvalidData);
-    if garbage {
-        tracing::warn!("{address}: {error:#}");
+/// The outcome of an attempt that got no whole reply: `Errored` for a malformed reply, which is logged, and `Severed`
+/// when the connection broke.
+fn failure_outcome(address: SocketAddr, error: &anyhow::Error) -> Outcome {
+    let malformed = error.downcast_ref::<std::io::Error>().is_none_or(|e| e.kind() == ErrorKind::InvalidData);
+    if malformed {
+        tracing::warn!("{address}: invalid reply: {error:#}");
     }
-    if garbage { Outcome::Errored } else { Outcome::Severed }
+    if malformed { Outcome::Errored } else { Outcome::Severed }
 }
 
-/// A step of sending, as long as the try is not taken back. Guards rules 1 and 3, and nodes, from tries that waited
-/// while what they are for was over. Looked at first whenever the step could go on, so that what is taken back before
-/// its last byte never runs.
-async fn unless_taken_back<T>(
+/// Runs a step of sending unless the attempt is cancelled, then the outcome is `Unsent`. An attempt that waited must not
+/// start once its request is answered, its client gone or its node draining: no attempt of a request may go on after
+/// its final answer, a draining node gets no new work, and nodes do no work in vain. Cancellation is checked first each
+/// time the step could go on, so that what is cancelled before its last byte never runs.
+async fn unless_cancelled<T>(
     shared: &Shared,
-    errand: &Errand,
+    operation: &NodeOperation,
     step: impl Future<Output = Result<T, Outcome>>,
 ) -> Result<T, Outcome> {
     tokio::select! {
         biased;
-        () = errand.taken_back() => {
+        () = operation.cancelled() => {
             shared.counters.tries_taken_back.add();
             Err(Outcome::Unsent)
         }
@@ -233,7 +250,11 @@
     }
 }
 
-/// A step of sending that is not done by then reached nobody.
-async fn in_time<T>(until: Instant, step: impl Future<Output = Result<T, Outcome>>) -> Result<T, Outcome> {
-    timeout_at(until, step).await.unwrap_or(Err(Outcome::Unreachable))
+/// Runs a step of sending. If it is not done by the deadline, the outcome is `Unreachable`: the node has not received
+/// the whole request.
+async fn before_deadline<T>(
+    deadline: Instant,
+    step: impl Future<Output = Result<T, Outcome>>,
+) -> Result<T, Outcome> {
+    timeout_at(deadline, step).await.unwrap_or(Err(Outcome::Unreachable))
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -6,8 +6,11 @@
 use crate::messages::{Back, Cargo};
 use crate::resp::{self, Frame, LONGEST_BULK, begun};
 use crate::shared::Shared;
-use crate::upstream::attempt::Errand;
-use crate::upstream::forms::{answered, command, labels, probed, replied, request};
+use crate::upstream::attempt::NodeOperation;
+use crate::upstream::protocol::{
+    cache_command, labels_with_time_left, origin_request, parse_cache_reply, parse_origin_response,
+    parse_probe_reply,
+};
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -24,44 +27,53 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Framed};
 
-/// Answers with a status of 1xx that may come ahead of the one that counts.
-const MOST_INTERIM: usize = 8;
+/// How many interim (1xx) responses may precede the final one.
+const MAX_INTERIM_RESPONSES: usize = 8;
 
+/// An open upstream connection, with its permit from the pool.
 pub struct Connection {
-    wire: Wire,
+    transport: Transport,
     pub address: SocketAddr,
     _permit: OwnedSemaphorePermit,
 }
 
-enum Wire {
+enum Transport {
     Cache(Framed<TcpStream, resp::Parts>),
-    Origin(Framed<TcpStream, http::Parts>),
+    Origin(Framed<TcpStream, http::StreamingClientCodec>),
 }
 
-/// What comes back: all of it, or the beginning of a long value. And whether it is the last on this connection.
-pub enum Came {
+/// What a node sent back for an attempt or a probe.
+pub enum Reply {
+    /// The whole reply, and whether the connection is closed after it.
     Whole(Back, bool),
-    Long(usize, Option<Held>, bool),
+    /// The start of a reply whose value follows: the value's length, the reported load, and whether the connection is
+    /// closed after it.
+    Streamed(usize, Option<Held>, bool),
 }
 
-/// Writes some of a long value. Until the last byte is written nothing can have run.
-async fn send(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Outcome> {
+/// Writes a piece of a streamed value. A failure is `Unreachable`: without the last byte the node cannot have run the
+/// request.
+async fn write_piece(stream: &mut TcpStream, bytes: &[u8]) -> Result<(), Outcome> {
     match timeout(SILENT, stream.write_all(bytes)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(Outcome::Unreachable),
     }
 }
 
-/// Opens a connection, in place of one that rests where there is no room for more.
+/// Opens a connection. At the pool's limit an idle one is closed for it.
+///
+/// # Errors
+/// `Unsent` when the proxy has no permit or no descriptor for it, `Unreachable` when the node does not accept it in time.
 pub async fn connect(shared: &Shared, address: SocketAddr, origin: bool) -> Result<Box<Connection>, Outcome> {
     let unsent = |_| {
-        tracing::warn!("{address}: no connection to spare");
+        tracing::warn!("{address}: not connected: the limit of upstream connections is reached");
         Outcome::Unsent
     };
-    let permit = timeout(shared.config.connect, shared.upstream.room()).await.map_err(unsent)?;
-    let stream = match timeout(shared.config.connect, TcpStream::connect(address)).await {
+    let permit =
+        timeout(shared.config.connect_timeout, shared.upstream.acquire_permit()).await.map_err(unsent)?;
+    let stream = match timeout(shared.config.connect_timeout, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        // This proxy's own want of descriptors says nothing about the node.
+        // ENFILE or EMFILE: that this proxy has no descriptor left says nothing about the node.
         Ok(Err(error)) if matches!(error.raw_os_error(), Some(23 | 24)) => return Err(Outcome::Unsent),
         Ok(Err(_)) | Err(_) => {
             shared.counters.connections_failed.add();
@@ -70,124 +82,135 @@
     };
     shared.counters.connections_opened.add();
     let _ = stream.set_nodelay(true);
-    let wire = match origin {
-        true => Wire::Origin(Framed::new(stream, http::Parts::new(LONGEST_BULK))),
-        false => Wire::Cache(Framed::new(stream, resp::Parts::default())),
+    let transport = match origin {
+        true => Transport::Origin(Framed::new(stream, http::StreamingClientCodec::new(LONGEST_BULK))),
+        false => Transport::Cache(Framed::new(stream, resp::Parts::default())),
     };
-    Ok(Box::new(Connection { wire, address, _permit: permit }))
+    Ok(Box::new(Connection { transport, address, _permit: permit }))
 }
 
 impl Connection {
-    /// May carry another try: nothing is left of the last one.
-    pub fn alive(&self) -> bool {
-        let (stream, unread) = match &self.wire {
-            Wire::Cache(framed) => (framed.get_ref(), framed.read_buffer()),
-            Wire::Origin(framed) => (framed.get_ref(), framed.read_buffer()),
+    /// Whether the connection can carry another attempt: it is open and nothing unread is left of the last one.
+    pub fn is_reusable(&self) -> bool {
+        let (stream, unread) = match &self.transport {
+            Transport::Cache(framed) => (framed.get_ref(), framed.read_buffer()),
+            Transport::Origin(framed) => (framed.get_ref(), framed.read_buffer()),
         };
-        unread.is_empty() && quiet(stream)
+        unread.is_empty() && is_open_and_empty(stream)
     }
 
-    /// Writes a probe, or an attempt but for a value that follows. `Unsent` where hardly any time is left for it.
-    pub async fn write(&mut self, shared: &Shared, errand: &Errand) -> Result<(), Outcome> {
-        let encoded = match errand {
-            Errand::Probe { .. } => self.encode_probe(shared),
-            Errand::Try { cargo, until, .. } => {
+    /// Writes a probe, or an attempt without its streamed value.
+    ///
+    /// # Errors
+    /// `Unsent` when less than a millisecond is left for the attempt, `Unreachable` when writing fails.
+    pub async fn write(&mut self, shared: &Shared, operation: &NodeOperation) -> Result<(), Outcome> {
+        let encoded = match operation {
+            NodeOperation::Probe { .. } => self.encode_probe(shared),
+            NodeOperation::Attempt { request, deadline, .. } => {
                 let clock = &shared.clock;
-                let tell = time_to_tell(clock.now(), clock.at(*until), cargo.ends).ok_or(Outcome::Unsent)?;
-                self.encode_attempt(cargo, tell)
+                let time_left_ms =
+                    time_to_tell(clock.now(), clock.at(*deadline), request.ends).ok_or(Outcome::Unsent)?;
+                self.encode_attempt(request, time_left_ms)
             }
         };
         encoded.map_err(|_| Outcome::Unreachable)?;
-        let flushed = match &mut self.wire {
-            Wire::Cache(framed) => SinkExt::<&Frame>::flush(framed).await,
-            Wire::Origin(framed) => SinkExt::<Request>::flush(framed).await,
+        let flushed = match &mut self.transport {
+            Transport::Cache(framed) => SinkExt::<&Frame>::flush(framed).await,
+            Transport::Origin(framed) => SinkExt::<Request>::flush(framed).await,
         };
         flushed.map_err(|_| Outcome::Unreachable)
     }
 
     fn encode_probe(&mut self, shared: &Shared) -> std::io::Result<()> {
-        match &mut self.wire {
-            Wire::Cache(framed) if shared.config.settings.text("reports") == "silent" => {
+        match &mut self.transport {
+            Transport::Cache(framed) if shared.config.settings.text("reports") == "silent" => {
                 framed.start_send_unpin(&Frame::command([b"PING"]))
             }
-            Wire::Cache(framed) => framed.start_send_unpin(&Frame::command([b"INFO", b"load"])),
-            Wire::Origin(framed) => framed.start_send_unpin(Request::get("/health/live".into())),
+            Transport::Cache(framed) => framed.start_send_unpin(&Frame::command([b"INFO", b"load"])),
+            Transport::Origin(framed) => framed.start_send_unpin(Request::get("/health/live".into())),
         }
     }
 
-    /// `tell`: for how many milliseconds the attempt will be waited for.
-    fn encode_attempt(&mut self, cargo: &Cargo, tell: u64) -> std::io::Result<()> {
-        match &mut self.wire {
-            Wire::Cache(framed) => {
-                let words = command(cargo, tell);
-                match &cargo.upload {
+    /// `time_left_ms`: how many milliseconds the proxy will wait for the attempt.
+    fn encode_attempt(&mut self, request: &Cargo, time_left_ms: u64) -> std::io::Result<()> {
+        match &mut self.transport {
+            Transport::Cache(framed) => {
+                let words = cache_command(request, time_left_ms);
+                match &request.upload {
                     Some(upload) => resp::encode_beginning(&words, upload.length, framed.write_buffer_mut()),
                     None => framed.start_send_unpin(&Frame::Array(words)),
                 }
             }
-            Wire::Origin(framed) => {
-                let labels = labels(&cargo.labels, tell);
-                framed.start_send_unpin(request(cargo, &labels))
+            Transport::Origin(framed) => {
+                let labels = labels_with_time_left(&request.labels, time_left_ms);
+                framed.start_send_unpin(origin_request(request, &labels))
             }
         }
     }
 
-    /// Sends a long value as it comes, up to its last byte, with what ends it.
+    /// Sends a streamed value as it arrives from the client, and the terminator after it.
+    ///
+    /// # Errors
+    /// `Unsent` when the client stops sending, `Unreachable` when writing fails.
     pub async fn upload(&mut self, mut value: Long) -> Result<(), Outcome> {
-        let (stream, end) = match &mut self.wire {
-            Wire::Cache(framed) => (framed.get_mut(), &b"\r\n"[..]),
-            Wire::Origin(framed) => (framed.get_mut(), &b""[..]),
+        let (stream, end) = match &mut self.transport {
+            Transport::Cache(framed) => (framed.get_mut(), &b"\r\n"[..]),
+            Transport::Origin(framed) => (framed.get_mut(), &b""[..]),
         };
-        // A client that stops amid its value is no fault of the node's.
+        // A client that stops in the middle of its value is no failure of the node.
         while let Some(piece) = value.next().await.map_err(|_| Outcome::Unsent)? {
-            send(stream, &piece).await?;
+            write_piece(stream, &piece).await?;
         }
-        send(stream, end).await
+        write_piece(stream, end).await
     }
 
-    /// What came back. Severed where nothing whole came.
-    pub async fn read(&mut self, errand: &Errand, within: Duration) -> Result<Came> {
-        let probe = matches!(errand, Errand::Probe { .. });
-        match &mut self.wire {
-            Wire::Cache(framed) => match part(framed, within).await? {
+    /// Reads the reply, or the start of one whose value is streamed.
+    ///
+    /// # Errors
+    /// When the connection breaks, the reply is malformed, or it starts and then stalls for `stall_timeout`.
+    pub async fn read_reply(&mut self, operation: &NodeOperation, stall_timeout: Duration) -> Result<Reply> {
+        let probe = matches!(operation, NodeOperation::Probe { .. });
+        match &mut self.transport {
+            Transport::Cache(framed) => match next_part(framed, stall_timeout).await? {
                 resp::Part::Frame(frame) => {
-                    let back = if probe { probed(frame) } else { replied(frame) }.context("cache node")?;
-                    Ok(Came::Whole(back, false))
+                    let back = if probe { parse_probe_reply(frame) } else { parse_cache_reply(frame) }
+                        .context("cache node")?;
+                    Ok(Reply::Whole(back, false))
                 }
                 resp::Part::Begin(before, length) if before.is_empty() && !probe => {
-                    Ok(Came::Long(length, None, false))
+                    Ok(Reply::Streamed(length, None, false))
                 }
                 other => bail!("cache node: unexpected {other:?}"),
             },
-            Wire::Origin(framed) => {
-                for _ in 0..=MOST_INTERIM {
-                    match part(framed, within).await? {
-                        http::Part::Whole(response) if response.interim() => {}
+            Transport::Origin(framed) => {
+                for _ in 0..=MAX_INTERIM_RESPONSES {
+                    match next_part(framed, stall_timeout).await? {
+                        http::Part::Whole(response) if response.is_interim() => {}
                         http::Part::Whole(response) => {
                             let last = response.last;
-                            return Ok(Came::Whole(answered(response), last));
+                            return Ok(Reply::Whole(parse_origin_response(response), last));
                         }
                         http::Part::Begin(response, length) if response.status == 200 && !probe => {
                             let last = response.last;
-                            return Ok(Came::Long(length, answered(response).held, last));
+                            return Ok(Reply::Streamed(length, parse_origin_response(response).held, last));
                         }
                         other => bail!("origin: unexpected {other:?}"),
                     }
                 }
-                bail!("origin: no answer behind those with 1xx")
+                bail!("origin: too many interim (1xx) responses")
             }
         }
     }
 
-    /// The next piece of a long value; none when it is over and so is all that belongs to it.
-    async fn piece(&mut self, silent: Duration) -> Result<Option<Bytes>> {
-        match &mut self.wire {
-            Wire::Cache(framed) => match timeout(silent, some(framed)).await?? {
+    /// The next piece of a streamed value; `None` at the end of the reply.
+    async fn next_piece(&mut self, stall_timeout: Duration) -> Result<Option<Bytes>> {
+        match &mut self.transport {
+            Transport::Cache(framed) => match timeout(stall_timeout, next_item(framed)).await?? {
                 resp::Part::Piece(piece) => Ok(Some(piece)),
                 resp::Part::End(_) => Ok(None),
                 other => bail!("cache node: unexpected {other:?}"),
             },
-            Wire::Origin(framed) => match timeout(silent, some(framed)).await?? {
+            Transport::Origin(framed) => match timeout(stall_timeout, next_item(framed)).await?? {
                 http::Part::Piece(piece) => Ok(Some(piece)),
                 http::Part::End => Ok(None),
                 other => bail!("origin: unexpected {other:?}"),
@@ -195,60 +218,67 @@
         }
     }
 
-    /// The first pieces of a long value of this length.
-    pub async fn first(&mut self, length: usize, within: Duration) -> Result<Vec<Bytes>> {
-        let (mut pieces, mut came) = (Vec::new(), 0);
-        while came < length.min(PIECE) {
-            let piece = self.piece(within).await?.context("a long value without an end")?;
-            came += piece.len();
+    /// Reads the first pieces of a streamed value of this length, up to [`PIECE`] bytes or a little more.
+    ///
+    /// # Errors
+    /// When the value ends early, stalls or breaks off.
+    pub async fn first_pieces(&mut self, length: usize, stall_timeout: Duration) -> Result<Vec<Bytes>> {
+        let (mut pieces, mut received) = (Vec::new(), 0);
+        while received < length.min(PIECE) {
+            let piece = self.next_piece(stall_timeout).await?.context("a long value ended early")?;
+            received += piece.len();
             pieces.push(piece);
         }
         Ok(pieces)
     }
 
-    /// Brings a long value to whoever takes it.
-    pub async fn pass_on(&mut self, first: Vec<Bytes>, source: long::Source) -> Result<()> {
+    /// Forwards a streamed value, starting with the pieces that were read already, to the task that writes it to the
+    /// client.
+    ///
+    /// # Errors
+    /// When the value breaks off or the client stops reading it.
+    pub async fn forward_value(&mut self, first: Vec<Bytes>, source: long::Source) -> Result<()> {
         for piece in first {
             source.send(piece).await?;
         }
-        while let Some(piece) = self.piece(SILENT).await? {
+        while let Some(piece) = self.next_piece(SILENT).await? {
             source.send(piece).await?;
-            // Others go on between two pieces.
+            // Lets other tasks run between two pieces.
             yield_now().await;
         }
         Ok(())
     }
 }
 
-async fn some<C: Decoder>(framed: &mut Framed<TcpStream, C>) -> Result<C::Item>
+async fn next_item<C: Decoder>(framed: &mut Framed<TcpStream, C>) -> Result<C::Item>
 where
     C::Error: Into<anyhow::Error>,
 {
-    let part = framed.next().await.ok_or_else(|| std::io::Error::from(ErrorKind::UnexpectedEof))?;
-    part.map_err(Into::into)
+    let item = framed.next().await.ok_or_else(|| std::io::Error::from(ErrorKind::UnexpectedEof))?;
+    item.map_err(Into::into)
 }
 
-/// What comes next. Once it has begun to come, more of it must follow within this time: what stops amid an answer
-/// gives none.
-async fn part<C: Decoder>(framed: &mut Framed<TcpStream, C>, within: Duration) -> Result<C::Item>
+/// The next part of a reply. It may take any time to begin; after that more bytes must arrive within each
+/// `stall_timeout`, because a node that stops in the middle of a reply will not finish it.
+async fn next_part<C: Decoder>(framed: &mut Framed<TcpStream, C>, stall_timeout: Duration) -> Result<C::Item>
 where
     C::Error: Into<anyhow::Error>,
 {
     begun(framed).await?;
-    let mut came = 0;
+    let mut received = 0;
     loop {
-        match timeout(within, some(framed)).await {
+        match timeout(stall_timeout, next_item(framed)).await {
             Ok(part) => return part,
-            // Slowly, but it comes.
-            Err(_) if framed.read_buffer().len() > came => came = framed.read_buffer().len(),
-            Err(_) => bail!("answer stopped short"),
+            // Slow, but still arriving.
+            Err(_) if framed.read_buffer().len() > received => received = framed.read_buffer().len(),
+            Err(_) => bail!("the reply stalled before its end"),
         }
     }
 }
 
-/// Open, and without a byte that nobody asked for. Asks the socket itself: the runtime hears of what came
-/// only when it next looks, and an answer's second copy would be read as the next one's.
-pub fn quiet(stream: &TcpStream) -> bool {
+/// Whether the stream is open and has no unread bytes. Asks the socket itself: the runtime learns of new bytes only
+/// when it next polls, and a second copy of the last reply would be read as the reply to the next attempt.
+pub fn is_open_and_empty(stream: &TcpStream) -> bool {
     let read = (&*SockRef::from(stream)).read(&mut [0]);
     read.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! Attempts at cache nodes and at the origin, and the connections that carry them. What this costs follows from what is
-//! sent, never from how many nodes are listed. It decides nothing: the decisions say what goes where.
+//! Attempts and probes at cache nodes and at the origin, and the connections that carry them. The cost depends on the
+//! traffic, not on the number of listed nodes. Which node gets what is decided in `pumicebay-core`, not here.
 
 pub mod attempt;
 pub mod connection;
-pub mod forms;
 pub mod pool;
+pub mod protocol;
