--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The connections that rest between attempts, to all nodes together, and the room for those there are. It keeps state
-//! for connections alone, none for nodes.
+//! The pool of upstream connections: keeps idle connections between attempts and limits their total number over all
+//! nodes. It holds state per connection only, none per node.
 
 use crate::counters::Counters;
 use crate::phases::{Phase, Watch};
@@ -14,116 +14,120 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// How often resting connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
-/// A connection is used until this part of the nodes' idle limit is left.
-const MARGIN: u32 = 10;
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// A connection is closed this fraction of the nodes' idle timeout before that timeout: one tenth.
+const IDLE_MARGIN_DIVISOR: u32 = 10;
 
+/// A handle to the pool; clones share it.
 #[derive(Clone)]
-pub struct Pool {
-    room: Arc<Semaphore>,
-    /// Attempts that wait for room.
+pub struct ConnectionPool {
+    /// One permit for each connection that may still be opened.
+    permits: Arc<Semaphore>,
+    /// The number of attempts that wait for a permit.
     waiting: Arc<AtomicUsize>,
-    /// By how long they rest, the longest first.
-    resting: Arc<Mutex<VecDeque<Resting>>>,
+    /// Idle connections, the longest idle first.
+    idle: Arc<Mutex<VecDeque<IdleConnection>>>,
     counters: Arc<Counters>,
-    /// How long a connection may rest.
-    longest: Duration,
+    /// How long a connection may stay idle.
+    max_idle: Duration,
 }
 
-struct Resting {
+struct IdleConnection {
     since: Instant,
     node: Node,
     connection: Box<Connection>,
 }
 
-/// An attempt that waits for room, as long as it does.
-struct Waits<'a>(&'a AtomicUsize);
+/// Counts an attempt as waiting for a permit until it is dropped.
+struct WaitingGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Waits<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Pool {
-    /// Room for so many connections, which nodes let rest for no longer than `idle`.
-    pub fn new(connections: usize, idle: Duration, counters: Arc<Counters>) -> Pool {
-        let room = Arc::new(Semaphore::new(connections));
-        let longest = idle - idle / MARGIN;
-        Pool { room, waiting: Arc::default(), resting: Arc::default(), counters, longest }
+impl ConnectionPool {
+    /// A pool of at most `connections` connections to nodes that close them when they were idle for `idle_timeout`.
+    pub fn new(connections: usize, idle_timeout: Duration, counters: Arc<Counters>) -> ConnectionPool {
+        let permits = Arc::new(Semaphore::new(connections));
+        let max_idle = idle_timeout - idle_timeout / IDLE_MARGIN_DIVISOR;
+        ConnectionPool { permits, waiting: Arc::default(), idle: Arc::default(), counters, max_idle }
     }
 
-    /// More connections from now on.
+    /// Raises the limit by this many connections.
     pub fn grow(&self, connections: usize) {
-        self.room.add_permits(connections);
+        self.permits.add_permits(connections);
     }
 
-    /// Room for one more connection. Where there is none, the connection that rests longest is closed, or the next
-    /// that would rest.
-    pub async fn room(&self) -> OwnedSemaphorePermit {
-        if self.room.available_permits() == 0 {
-            self.close_one();
+    /// Waits for a permit to open one more connection. At the limit the longest idle connection is closed; if none is
+    /// idle, the next one that becomes idle.
+    pub async fn acquire_permit(&self) -> OwnedSemaphorePermit {
+        if self.permits.available_permits() == 0 {
+            self.close_longest_idle();
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let _waits = Waits(&self.waiting);
-        self.room.clone().acquire_owned().await.expect("never closed")
+        let _waiting = WaitingGuard(&self.waiting);
+        self.permits.clone().acquire_owned().await.expect("never closed")
     }
 
-    /// Of the connections to this node at this address the one that rests longest, so that each is used before its
-    /// time is up. Those that can't be used any more are closed.
-    pub fn take(&self, node: Node, address: SocketAddr) -> Option<Box<Connection>> {
-        let mut resting = self.resting();
-        while let Some(place) = resting.iter().position(|resting| resting.node == node) {
-            let one = resting.remove(place)?;
-            if one.connection.address == address && self.usable(&one) {
+    /// Takes the longest idle connection to this node at this address, so that each is used before it times out.
+    /// Unusable ones found on the way are closed.
+    pub fn take_idle(&self, node: Node, address: SocketAddr) -> Option<Box<Connection>> {
+        let mut idle = self.lock_idle();
+        while let Some(place) = idle.iter().position(|idle| idle.node == node) {
+            let one = idle.remove(place)?;
+            if one.connection.address == address && self.is_usable(&one) {
                 return Some(one.connection);
             }
         }
         None
     }
 
-    /// A connection that has done its work rests, unless its room is waited for.
-    pub fn rest(&self, node: Node, connection: Box<Connection>) {
-        if self.waiting.load(Ordering::Relaxed) > 0 && self.room.available_permits() == 0 {
+    /// Returns a connection to the pool after use, or closes it if an attempt waits for its permit.
+    pub fn put_back(&self, node: Node, connection: Box<Connection>) {
+        if self.waiting.load(Ordering::Relaxed) > 0 && self.permits.available_permits() == 0 {
             return self.counters.connections_closed_for_room.add();
         }
-        self.resting().push_back(Resting { since: Instant::now(), node, connection });
+        self.lock_idle().push_back(IdleConnection { since: Instant::now(), node, connection });
     }
 
-    /// Closes those to a node that is gone.
-    pub fn forget(&self, node: Node) {
-        self.resting().retain(|resting| resting.node != node);
+    /// Closes the idle connections to a node that is gone.
+    pub fn close_idle(&self, node: Node) {
+        self.lock_idle().retain(|idle| idle.node != node);
     }
 
-    pub fn count(&self) -> usize {
-        self.resting().len()
+    /// The number of idle connections.
+    pub fn idle_count(&self) -> usize {
+        self.lock_idle().len()
     }
 
-    fn close_one(&self) {
-        if self.resting().pop_front().is_some() {
+    fn close_longest_idle(&self) {
+        if self.lock_idle().pop_front().is_some() {
             self.counters.connections_closed_for_room.add();
         }
     }
 
-    /// Rests not too long and is still open.
-    fn usable(&self, resting: &Resting) -> bool {
-        resting.since.elapsed() < self.longest && resting.connection.alive()
+    /// Whether the connection was idle for less than the limit and is still open.
+    fn is_usable(&self, idle: &IdleConnection) -> bool {
+        idle.since.elapsed() < self.max_idle && idle.connection.is_reusable()
     }
 
     fn sweep(&self) {
-        self.resting().retain(|resting| self.usable(resting));
+        self.lock_idle().retain(|idle| self.is_usable(idle));
     }
 
-    fn resting(&self) -> MutexGuard<'_, VecDeque<Resting>> {
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_idle(&self) -> MutexGuard<'_, VecDeque<IdleConnection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Closes resting connections in time, and all once another process takes over, which needs their descriptors.
+/// Closes idle connections before they time out, and all of them once another process takes over, which needs their
+/// descriptors. Runs until the task is dropped.
 pub async fn sweep(shared: Shared) {
     let (mut closing, mut closed): (Watch, bool) = (shared.watch.clone(), false);
-    let mut due = interval(SWEEP);
+    let mut due = interval(SWEEP_INTERVAL);
     due.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -131,7 +135,7 @@
             () = closing.reached(Phase::Closing), if !closed => {
                 closed = true;
                 if shared.heir.get().is_some() {
-                    shared.upstream.resting().clear();
+                    shared.upstream.lock_idle().clear();
                 }
             }
         }
--- a/crates/proxy/tests/proxy/clients.rs
+++ b/crates/proxy/tests/proxy/clients.rs
@@ -43,7 +43,7 @@
 /// Commands ahead of their answers share a bound, which connections with nothing pending do not use up.
 #[tokio::test]
 async fn only_commands_ahead_of_their_answers_count_against_the_bound() {
-    let world = World::start_with(&patient(), |config| config.ahead = 1).await;
+    let world = World::start_with(&patient(), |config| config.max_pipelined_commands = 1).await;
     let (mut idle, mut client) = (world.client().await, world.client().await);
     let mut replies = idle.ask(&["PING"]).await;
     for key in ["slow", "hit-1", "hit-2"] {
@@ -392,7 +392,7 @@
 /// connection ends, so that it can tell. What only claims to be long is tried elsewhere.
 #[tokio::test]
 async fn long_answers_pass_by_turns() {
-    let world = World::start_with(&[], |config| config.long = 1).await;
+    let world = World::start_with(&[], |config| config.max_streamed_values = 1).await;
     let mut replies = String::new();
     for key in ["huge", "huge", "miss-huge", "endless", "claims", "breaks", "hit", "huge"] {
         replies += &world.client().await.get(key).await;
@@ -522,7 +522,7 @@
 
 #[tokio::test]
 async fn a_long_write_without_a_place_is_answered_by_its_length_alone() {
-    let world = World::start_with(&[], |config| config.long = 1).await;
+    let world = World::start_with(&[], |config| config.max_streamed_values = 1).await;
     let (mut one, mut other) = (world.client().await, world.client().await);
     let value = long(100_000);
     begin_write(&mut one, "w-one", "c=put,d=3000", &value, 50_000).await;
--- a/crates/proxy/tests/proxy/config.rs
+++ b/crates/proxy/tests/proxy/config.rs
@@ -48,7 +48,7 @@
     expect![[r#"
         listen: missing
         listen: expected ADDRESS:PORT, found "localhost": invalid socket address syntax
-        discovery: expected a text, found 8500
+        discovery: expected a string, found 8500
         seed: expected 64 bits in hex, found "xyz": invalid digit found in string
         limits.sockets: expected a whole number, found "many"
         limits.sockets: expected 64 or more, found 63
@@ -59,19 +59,19 @@
         settings: expected an object, found 5
         settings.routes: expected one or more
         settings.routes[0].latency-objective-us: expected microseconds, found 0
-        settings.routes[0].name: expected a text
+        settings.routes[0].name: expected a string
         settings.routes[0].effect: expected repeatable, by_key or once, found ""
         settings.fleet-size: expected 1 or more, found 0
         settings.fleet-size: expected a whole number, found -3
-        settings.domain.origin-kind: no kind 9
+        settings.domain.origin-kind: no kind 9 in settings.skus
         settings.permissions.may-probe: expected true or false, found "yes"
         settings.permissions.conn-idle-us: expected a whole number, found 1.5
-        settings.rules.start-capacity: expected a part between 0 and 1, found 12
+        settings.rules.start-capacity: expected a fraction between 0 and 1, found 12
         settings.rules.cold-us: expected a whole number, found "24 s"
         settings.domain.origin-fall-multiple: expected 0 or more, found "three"
         settings.telemetry.via: expected silent or pull or piggyback, found "loud"
-        settings.telemetry.columns: expected a list of texts, found [1]
-        settings.skus: expected a list of texts, found "node"
+        settings.telemetry.columns: expected a list of strings, found [1]
+        settings.skus: expected a list of strings, found "node"
         settings.discovery: expected push or ask, found "pull"
         settings.orgs[0].quota-per-s: expected more than 0, found 0
         settings.rules.turn-gap-us: expected microseconds, found "300 ms"
@@ -95,10 +95,10 @@
         config.summary(),
         config.seed,
         config.origin_kind,
-        config.idle,
-        config.connect,
+        config.node_idle_timeout,
+        config.connect_timeout,
         Tuning::default().take(&json["settings"]).1.longest(),
-        config.ahead
+        config.max_pipelined_commands
     );
     expect![[r#"
         pumicebay listens on 127.0.0.1:0, discovery at 127.0.0.1:9, 0 nodes known
--- a/crates/proxy/tests/proxy/endings.rs
+++ b/crates/proxy/tests/proxy/endings.rs
@@ -10,7 +10,7 @@
 use pumicebay::clock::Clock;
 use pumicebay::config::{Config, parse};
 use pumicebay::counters::Counters;
-use pumicebay::discovery::list::List;
+use pumicebay::discovery::list::ListWatcher;
 use pumicebay::heir::Seat;
 use pumicebay::messages::{Cargo, Mailbox, door};
 use pumicebay::module::Module;
@@ -19,8 +19,8 @@
 use pumicebay::room::Room;
 use pumicebay::shared::Shared;
 use pumicebay::tuning::Routes;
-use pumicebay::upstream::attempt::{self, Errand, Target};
-use pumicebay::upstream::pool::Pool;
+use pumicebay::upstream::attempt::{self, NodeOperation, Target};
+use pumicebay::upstream::pool::ConnectionPool;
 use serde_json::{Value as Json, json};
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -381,7 +381,7 @@
 
 #[tokio::test]
 async fn a_client_leaves_while_its_try_waits_for_room_among_the_connections() {
-    let world = World::start_with(&patient(&[]), |config| config.upstream = 1).await;
+    let world = World::start_with(&patient(&[]), |config| config.max_node_connections = 1).await;
     let (mut holds, mut client) = (world.client().await, world.client().await);
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=60000"]).await;
     world.cache.until("id-holds").await;
@@ -402,7 +402,7 @@
 /// Only commands without an answer are before it on its connection, and nothing more of it is read.
 #[tokio::test]
 async fn a_client_leaves_behind_its_own_commands() {
-    let world = World::start_with(&patient(&[]), |config| config.ahead = 0).await;
+    let world = World::start_with(&patient(&[]), |config| config.max_pipelined_commands = 0).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-first", "c=read,d=60000"]).await;
     world.cache.until("id-first").await;
@@ -416,7 +416,7 @@
 /// What it asked for is whole when there is room for its connection at last.
 #[tokio::test]
 async fn a_client_leaves_while_its_connection_waits_for_room() {
-    let world = World::start_with(&patient(&[]), |config| config.clients = 1).await;
+    let world = World::start_with(&patient(&[]), |config| config.max_client_connections = 1).await;
     let mut holds = world.client().await;
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=60000"]).await;
     world.cache.until("id-holds").await;
@@ -579,9 +579,15 @@
         Arc::new(Cargo { at: 0, ends: u64::MAX, client, write: false, key, id, labels, value, upload: None })
     };
     let until = Instant::now() + Duration::from_secs(3);
-    let errand = |xchg, id, recall| Errand::Try { xchg, try_no: 0, cargo: cargo(id), until, recall };
-    attempt::start(&shared, target, errand(1, "id-left", recall.clone()));
-    attempt::start(&shared, target, errand(2, "id-stays", CancellationToken::new()));
+    let errand = |xchg, id, recall| NodeOperation::Attempt {
+        request_id: xchg,
+        attempt_number: 0,
+        request: cargo(id),
+        deadline: until,
+        cancel: recall,
+    };
+    attempt::spawn(&shared, target, errand(1, "id-left", recall.clone()));
+    attempt::spawn(&shared, target, errand(2, "id-stays", CancellationToken::new()));
     // Nothing else has run since: this task has not waited for anything.
     recall.cancel();
     trace.until("id-stays").await;
@@ -626,7 +632,7 @@
     let (moves, discovery) = watch::channel(old);
     // The module's mailbox takes nothing more.
     while timeout(Duration::from_millis(20), shared.door.list_failed()).await.is_ok() {}
-    tokio::spawn(List::new(shared.clone(), followed, None).run(discovery));
+    tokio::spawn(ListWatcher::new(shared.clone(), followed, None).run(discovery));
     while !counters.to_string().contains("list_answers 1\n") {
         sleep(Duration::from_millis(5)).await;
     }
@@ -671,7 +677,8 @@
 /// Commands that lay unread behind another when the proxy begins to close its connections are answered first.
 #[tokio::test]
 async fn what_lies_unread_is_answered_before_its_connection_closes() {
-    let soon = |config: &mut Config| (config.ahead, config.draining) = (0, Duration::ZERO);
+    let soon =
+        |config: &mut Config| (config.max_pipelined_commands, config.drain_period) = (0, Duration::ZERO);
     let mut world = World::start_with(&patient(&[]), soon).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-1", "c=read,d=60000"]).await;
@@ -724,12 +731,16 @@
     let counters = Arc::<Counters>::default();
     let shared = Shared {
         clock: Clock::start(),
-        upstream: Pool::new(config.upstream, config.idle, counters.clone()),
+        upstream: ConnectionPool::new(
+            config.max_node_connections,
+            config.node_idle_timeout,
+            counters.clone(),
+        ),
         counters,
         door,
         watch: phases.watch(),
         routes,
-        long: Arc::new(Semaphore::new(config.long)),
+        long: Arc::new(Semaphore::new(config.max_streamed_values)),
         heir: Arc::default(),
         config,
     };
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -4,7 +4,7 @@
 use expect_test::expect;
 use pumicebay::clock::Clock;
 use pumicebay::config;
-use pumicebay::discovery::entries::entries;
+use pumicebay::discovery::entries::parse_list;
 use serde_json::{Value as Json, json};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -305,7 +305,8 @@
     let config = config::parse(&configuration(&[])).unwrap();
     let list = |endpoint| json!({"rev": 1, "all": true, "targets": [target("s-5be2a07c", endpoint, "node", "active")]});
     let (here, there) = (list("127.8.1.1:6379"), list("127.9.1.1:6379"));
-    let identity = |list: &Json| entries(list.to_string().as_bytes(), &config).unwrap().2[0].listed.identity;
+    let identity =
+        |list: &Json| parse_list(list.to_string().as_bytes(), &config).unwrap().2[0].listed.identity;
     assert_eq!(identity(&here), identity(&there));
 }
 
@@ -319,7 +320,7 @@
         target("s-1", "127.0.0.1:1", "origin", "leaving"), booted,
         target("s-3", "nowhere", "node", "active"), target("s-4", "127.0.0.1:4", "node", "odd"), {}, 7
     ]});
-    let (version, whole, named) = entries(list.to_string().as_bytes(), &config).unwrap();
+    let (version, whole, named) = parse_list(list.to_string().as_bytes(), &config).unwrap();
     let mut trace = format!("{version} {whole}\n");
     for named in named {
         let listed = named.listed;
@@ -336,7 +337,7 @@
     }
     for broken in [json!({}), json!({"rev": "x", "all": true, "targets": []}), json!({"rev": 1, "all": true})]
     {
-        trace += &format!("{:#}\n", entries(broken.to_string().as_bytes(), &config).unwrap_err());
+        trace += &format!("{:#}\n", parse_list(broken.to_string().as_bytes(), &config).unwrap_err());
     }
     expect![[r#"
         9 true
--- a/crates/proxy/tests/proxy/migrate.rs
+++ b/crates/proxy/tests/proxy/migrate.rs
@@ -4,7 +4,7 @@
 use crate::{World, configuration};
 use expect_test::expect;
 use pumicebay::config;
-use pumicebay::migrate::{Answers, migrate};
+use pumicebay::migrate::{MigrationOptions, migrate};
 use serde_json::{Value as Json, json};
 
 /// A pool of three with peers in two zones, with notes and a key that nobody knows.
@@ -28,23 +28,23 @@
     json
 }
 
-fn answers() -> Answers {
-    let own = vec![("name", json!("c7")), ("seed", json!("1f")), ("me", json!(7))];
-    Answers { proxies: Some(480), probes: Some(false), zone: Some("a".into()), own }
+fn answers() -> MigrationOptions {
+    let per_proxy = vec![("name", json!("c7")), ("seed", json!("1f")), ("me", json!(7))];
+    MigrationOptions { proxies: Some(480), probes: Some(false), zone: Some("a".into()), per_proxy }
 }
 
 #[test]
 fn each_thing_that_changes_is_listed_and_nothing_is_lost() {
     let done = migrate(&pool().to_string(), &answers()).unwrap().unwrap();
-    assert!(done.asks.is_empty());
+    assert!(done.missing.is_empty());
     assert_eq!((&done.json["# rack"], &done.json["colour"]), (&json!("a note"), &json!("grey")));
     config::parse(&done.json).unwrap();
     assert_eq!(migrate(&done.json.to_string(), &answers()).unwrap(), None, "the new shape stays as it is");
     expect![[r#"
-        not carried over: peers ["127.0.0.1:7001","127.0.0.1:7002"]: proxies beside their clients tell each other nothing
-        not carried over: # peers "the other two": proxies beside their clients tell each other nothing
-        not carried over: peer_listen "127.0.0.1:7000": proxies beside their clients tell each other nothing
-        not carried over: settings.permissions.peers true: proxies beside their clients tell each other nothing
+        not carried over: peers ["127.0.0.1:7001","127.0.0.1:7002"]: proxies beside their clients do not exchange news
+        not carried over: # peers "the other two": proxies beside their clients do not exchange news
+        not carried over: peer_listen "127.0.0.1:7000": proxies beside their clients do not exchange news
+        not carried over: settings.permissions.peers true: proxies beside their clients do not exchange news
         changed: settings.failure-domains ["a","b"] -> ["a"]
         not carried over: known.targets[1] {"az":"b","endpoint":"127.0.0.1:7102","model":"node","state":"active","uid":"n2"}: "b" is not "a"
         changed: known.targets[2].az of "o" "b" -> "a"
@@ -52,22 +52,22 @@
         changed: settings.fleet-size 3 -> 480
         changed: settings.permissions.may-probe true -> false
         changed: name "n0" -> "c7"
-        look at: listen stays "127.0.0.1:0"; each proxy needs its own (--listen)
+        look at: listen stays "127.0.0.1:0"; each proxy needs its own value (--listen)
         changed: seed "8c1f30d27a5be964" -> "1f"
         changed: settings.me 0 -> 7
-        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it says what the new nodes report
-    "#]].assert_eq(&(done.lines.join("\n") + "\n"));
+        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
+    "#]].assert_eq(&(done.report.join("\n") + "\n"));
 }
 
 #[test]
 fn what_the_old_file_cannot_know_is_asked_for() {
-    let done = migrate(&pool().to_string(), &Answers::default()).unwrap().unwrap();
+    let done = migrate(&pool().to_string(), &MigrationOptions::default()).unwrap().unwrap();
     expect![[r#"
-        missing: settings.failure-domains, a, b so far: which of them is the one location, give --zone NAME
-        missing: settings.fleet-size, 3 so far: the old file can't know it, give --proxies N
-        missing: settings.permissions.may-probe, true so far: the old file can't know it, give --probes yes|no
+        missing: settings.failure-domains, currently a, b: one of them must become the one location, give --zone NAME
+        missing: settings.fleet-size, currently 3: cannot be derived from the old file, give --proxies N
+        missing: settings.permissions.may-probe, currently true: cannot be derived from the old file, give --probes yes|no
     "#]]
-    .assert_eq(&(done.asks.join("\n") + "\n"));
+    .assert_eq(&(done.missing.join("\n") + "\n"));
 }
 
 #[test]
@@ -99,20 +99,20 @@
     }
     expect![[r#"
         answers missing: Some(1)
-        missing: settings.permissions.may-probe, true so far: the old file can't know it, give --probes yes|no
-        pumicebay: 2 answers are missing: nothing written
+        missing: settings.permissions.may-probe, currently true: cannot be derived from the old file, give --probes yes|no
+        pumicebay: 2 options are missing: nothing written
         no such zone: Some(1)
         pumicebay: configuration OLD: settings.failure-domains: no zone "c" among a, b
         broken: Some(1)
         pumicebay: configuration OLD: peers: expected a list, found "x"
         there already: Some(1)
-        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it says what the new nodes report
+        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
         pumicebay: NEW: exists; --force replaces it
         itself: Some(1)
-        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it says what the new nodes report
-        pumicebay: OLD: is the old configuration
+        look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
+        pumicebay: OLD: is the file of the old configuration
         of the new shape: Some(0)
-        OLD is of the new shape already: nothing changed, nothing written
+        OLD already has the new layout: nothing changed, nothing written
     "#]]
     .assert_eq(&trace);
 }
--- a/crates/proxy/tests/proxy/nodes.rs
+++ b/crates/proxy/tests/proxy/nodes.rs
@@ -3,7 +3,7 @@
 use crate::World;
 use crate::endings::Late;
 use expect_test::expect;
-use pumicebay::upstream::connection::quiet;
+use pumicebay::upstream::connection::is_open_and_empty;
 use serde_json::json;
 use std::io::Write;
 use std::time::Duration;
@@ -132,9 +132,9 @@
     node.write_all(b"answer").unwrap();
     stream.readable().await.unwrap();
     assert_eq!(stream.try_read(&mut [0; 64]).unwrap(), 6);
-    assert!(quiet(&stream));
+    assert!(is_open_and_empty(&stream));
     node.write_all(b"answer").unwrap();
-    assert!(!quiet(&stream));
+    assert!(!is_open_and_empty(&stream));
 }
 
 /// Answers come in order, so a try that is given up takes its connection with it, and no other try.
@@ -226,7 +226,7 @@
 
 #[tokio::test]
 async fn without_a_connection_to_spare_a_try_is_not_sent() {
-    let world = World::start_with(&[], |config| config.upstream = 1).await;
+    let world = World::start_with(&[], |config| config.max_node_connections = 1).await;
     let (mut one, mut other) = (world.client().await, world.client().await);
     one.send(&["C.GET", "hang", "id-1", "c=read,d=1000"]).await;
     world.cache.until("hang").await;
@@ -251,7 +251,7 @@
 
 #[tokio::test]
 async fn an_idle_connection_makes_room_for_one_to_another_node() {
-    let world = World::start_with(&[], |config| config.upstream = 1).await;
+    let world = World::start_with(&[], |config| config.max_node_connections = 1).await;
     let mut client = world.client().await;
     let mut replies = client.get("hit").await + &client.get("miss").await;
     world.until_counted("connections_closed_for_room 1").await;
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -3,7 +3,7 @@
 use crate::cli::{File, Running, program};
 use crate::{Client, Replies, Trace, World, target};
 use expect_test::expect;
-use pumicebay::config::{keeps, parse};
+use pumicebay::config::{check_nothing_removed, parse};
 use pumicebay_names::identity;
 use serde_json::{Value as Json, json};
 use std::net::SocketAddr;
@@ -86,13 +86,13 @@
     trace += &raw(door, b"\x00\x01\x02\r\n\r\n").await;
     expect![[r#"
         200 serving
-        405 /status wants GET, found "POST"
-        405 /maintenance/enter wants POST, found "GET"
+        405 /status requires GET, found "POST"
+        405 /maintenance/enter requires POST, found "GET"
         404 no such call: "/"
-        400 the body is no JSON: EOF while parsing a value at line 1 column 0
+        400 the body is not JSON: EOF while parsing a value at line 1 column 0
         400 expected {"who":"ID"}, found [1]
         400 who: missing
-        400 who: expected a text, found 7
+        400 who: expected a string, found 7
         404 no cache node "s-nobody" is known
         409 s-origin is the origin, not a cache node
         404 no cache node "s-nobody" is known
@@ -340,19 +340,19 @@
         settings.permissions.most-upstream-tries: expected a whole number, found -2
         settings.permissions.most-upstream-tries: expected a whole number, found "3"
         settings.permissions.most-upstream-tries: expected a whole number, found 2.5
-        settings.permissions.most-upstream-tries: missing, and was there before
+        settings.permissions.most-upstream-tries: missing, but set in the configuration in force
         settings.routes[0].overall-timeout-us: expected microseconds, found 0
         settings.routes[0].overall-timeout-us: expected microseconds, found -1
         settings.routes[0].effect: expected repeatable, by_key or once, found "sometimes"
-        settings.routes[1].name: "put" is there twice
+        settings.routes[1].name: "put" is used twice
         settings.routes[0].payoff: expected 0 or more, found "much"
         settings.routes[0].window-us: expected microseconds, found 1.5
         discovery: missing
-        limits: missing, and was there before
+        limits: missing, but set in the configuration in force
         settings: missing
         settings.routes: expected a list
-        settings.rules.fall-us: missing, and was there before
-        settings.permissions.retry-after: missing, and was there before
+        settings.rules.fall-us: missing, but set in the configuration in force
+        settings.permissions.retry-after: missing, but set in the configuration in force
         settings.routes[3].payoff: missing
         hit: -ERR label 'c': unknown or missing class
         hit: value of id-hit
@@ -364,7 +364,9 @@
 async fn broken(world: &World, json: &Json, failures: u64) -> String {
     let fresh = parse(json);
     let kept = fresh.as_ref().map_err(|error| format!("{error:#}"));
-    let why = kept.and_then(|fresh| keeps(&world.json, &fresh.json).map_err(|error| format!("{error:#}")));
+    let why = kept.and_then(|fresh| {
+        check_nothing_removed(&world.json, &fresh.json).map_err(|error| format!("{error:#}"))
+    });
     world.configs.send(fresh).await.unwrap();
     world.until_counted(&format!("reloads_failed {failures}")).await;
     format!("{}\n", why.expect_err("a reason"))
--- a/crates/proxy/tests/proxy/phases.rs
+++ b/crates/proxy/tests/proxy/phases.rs
@@ -11,7 +11,7 @@
 
 #[tokio::test]
 async fn told_to_stop_it_takes_what_still_comes_and_answers_all() {
-    let mut world = World::start_with(&[], |config| config.draining = Duration::from_secs(2)).await;
+    let mut world = World::start_with(&[], |config| config.drain_period = Duration::from_secs(2)).await;
     let (mut busy, mut idle) = (world.client().await, world.client().await);
     let mut replies = idle.get("hit-1").await;
     busy.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
--- a/crates/proxy/tests/proxy/told.rs
+++ b/crates/proxy/tests/proxy/told.rs
@@ -167,7 +167,7 @@
 #[tokio::test]
 async fn a_command_left_unread_tells_what_is_left() {
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start_with(&[objective], |config| config.ahead = 0).await;
+    let world = World::start_with(&[objective], |config| config.max_pipelined_commands = 0).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-first", "c=read,d=3000"]).await;
     world.cache.until("id-first").await;
@@ -249,7 +249,7 @@
 #[tokio::test]
 async fn a_command_on_a_connection_that_waits_for_room_tells_what_is_left() {
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start_with(&[objective], |config| config.clients = 1).await;
+    let world = World::start_with(&[objective], |config| config.max_client_connections = 1).await;
     let mut holds = world.client().await;
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=3000"]).await;
     world.cache.until("id-holds").await;
--- a/crates/proxy/tests/proxy/wire.rs
+++ b/crates/proxy/tests/proxy/wire.rs
@@ -2,10 +2,13 @@
 
 use bytes::BytesMut;
 use expect_test::expect;
-use pumicebay::http::{self, Http, Request};
+use pumicebay::http::{self, ClientCodec, Request};
 use pumicebay::messages::Cargo;
 use pumicebay::resp::{self, Frame, Resp};
-use pumicebay::upstream::forms::{answered, command, labels, probed, replied, request};
+use pumicebay::upstream::protocol::{
+    cache_command, labels_with_time_left, origin_request, parse_cache_reply, parse_origin_response,
+    parse_probe_reply,
+};
 use std::fmt::Debug;
 use std::sync::Weak;
 use tokio_util::codec::{Decoder, Encoder};
@@ -110,7 +113,7 @@
         "HELLO\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n",
     ] {
-        trace += &decode(|| Http::new(1000), bytes.as_bytes());
+        trace += &decode(|| ClientCodec::new(1000), bytes.as_bytes());
     }
     expect![[r#"
         HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Pressure: a=1\r\n\r\nhiHTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n
@@ -128,11 +131,11 @@
         HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n
           error: invalid Content-Length
         HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi
-          error: two values of Content-Length
+          error: conflicting values of Content-Length
         HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n
           error: body too long
         HELLO\r\n\r\n
-          error: malformed answer
+          error: malformed response
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n
           error: malformed chunk
     "#]].assert_eq(&trace);
@@ -153,14 +156,14 @@
     };
     let mut buffer = BytesMut::new();
     for tell in [123, 1] {
-        Resp.encode(&Frame::Array(command(&cargo(false), tell)), &mut buffer).unwrap();
+        Resp.encode(&Frame::Array(cache_command(&cargo(false), tell)), &mut buffer).unwrap();
     }
-    Resp.encode(&Frame::Array(command(&cargo(true), 9)), &mut buffer).unwrap();
+    Resp.encode(&Frame::Array(cache_command(&cargo(true), 9)), &mut buffer).unwrap();
     for write in [false, true] {
-        let told = labels(&cargo(write).labels, 9);
-        Http::new(0).encode(request(&cargo(write), &told), &mut buffer).unwrap();
+        let told = labels_with_time_left(&cargo(write).labels, 9);
+        ClientCodec::new(0).encode(origin_request(&cargo(write), &told), &mut buffer).unwrap();
     }
-    Http::new(0).encode(Request::get(http::path(b"a-b._~%?#")), &mut buffer).unwrap();
+    ClientCodec::new(0).encode(Request::get(http::segment_path(b"a-b._~%?#")), &mut buffer).unwrap();
     expect![[r#"
         *4
         $5
@@ -233,8 +236,8 @@
         };
         trace += &format!(
             "{frame:?}\n  try: {}\n  probe: {}\n",
-            end(replied(frame.clone())),
-            end(probed(frame.clone()))
+            end(parse_cache_reply(frame.clone())),
+            end(parse_probe_reply(frame.clone()))
         );
     }
     for (status, header) in
@@ -242,7 +245,7 @@
     {
         let headers = vec![("x-turned-away".to_string(), header.to_string().into())];
         let response = http::Response { status, headers, ..Default::default() };
-        trace += &format!("{status} {header}: {:?}\n", answered(response).outcome);
+        trace += &format!("{status} {header}: {:?}\n", parse_origin_response(response).outcome);
     }
     expect![[r#"
         Array([Bulk(b"v"), Bulk(b"hit"), Bulk(b"util=0.5,inflight=3")])
@@ -355,7 +358,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n".into(),
     ] {
         trace += &format!("{}\n", bytes[..12].escape_debug());
-        trace += &in_parts(|| http::Parts::new(1000), bytes.as_bytes(), http);
+        trace += &in_parts(|| http::StreamingClientCodec::new(1000), bytes.as_bytes(), http);
     }
     expect![[r#"
         *3\r\n$70000\r\n
