--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -22,6 +22,7 @@
 /// The defaults of `limits.sockets` and `limits.memory_mb`.
 const DEFAULT_SOCKETS: u64 = 1024;
 const DEFAULT_MEMORY_MB: u64 = 192;
+/// The least that `limits.memory_mb` may be.
 const MIN_MEMORY_MB: u64 = 8;
 /// How long new connections are accepted after the signal to stop: a load balancer learns of the stop a little later.
 const DRAIN_PERIOD: Duration = Duration::from_millis(500);
@@ -33,6 +34,7 @@
 /// Descriptors reserved for everything but connections of clients and to nodes: the runtime, the listener, discovery,
 /// logs.
 const RESERVED_DESCRIPTORS: usize = 32;
+/// The least that `limits.sockets` may be.
 const MIN_SOCKETS: u64 = 2 * RESERVED_DESCRIPTORS as u64;
 /// Environment variables that override keys of the file.
 const VARIABLES: &[(&str, &str)] = &[
@@ -43,7 +45,9 @@
 ];
 /// The longest list of nodes in bytes; an eighth of the memory limit if that is less.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+/// The default of `settings.permissions.conn-idle-us`.
 const DEFAULT_NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The default of `settings.permissions.connect-timeout-us`.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// The top-level keys; others are ignored with a warning.
 const KEYS: &[&str] =
@@ -52,9 +56,11 @@
 /// A checked configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
+    /// The name of this proxy.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
+    /// The address of discovery, which lists the nodes.
     pub discovery: SocketAddr,
     /// Where operators call; `None` for no such listener.
     pub operator: Option<SocketAddr>,
@@ -80,6 +86,7 @@
     pub known: ConfiguredList,
     /// The longest list of nodes that is read, in bytes of JSON text.
     pub max_list_bytes: usize,
+    /// The settings, under the names that the core uses.
     pub settings: Settings,
     /// The whole configuration as it was read, without the entries of `known`.
     pub json: Json,
@@ -115,9 +122,9 @@
     let text = std::fs::read_to_string(path).with_context(|| format!("configuration {path}"))?;
     let config = parse_text(&text, &variable).with_context(|| format!("configuration {path}"))?;
     let listener_inherited = variable("PROXY_FD").is_some();
-    // Named after the proxy, because other proxies may use the same directory for theirs.
-    let own = format!("pumicebay-{:016x}", names::identity(&config.name));
-    let folder = variable("TMPDIR").map(|shared| PathBuf::from(shared).join(own));
+    // Named after the proxy, because other proxies may use the same parent folder for theirs.
+    let folder_name = format!("pumicebay-{:016x}", names::identity(&config.name));
+    let folder = variable("TMPDIR").map(|shared| PathBuf::from(shared).join(folder_name));
     Ok(Config { listener_inherited, folder, ..config })
 }
 
@@ -160,6 +167,7 @@
     build(json, known)
 }
 
+/// Checks a configuration whose list of nodes was split off as `known`.
 fn build(json: Json, known: ConfiguredList) -> Result<Config> {
     let json = &json;
     let Some(object) = json.as_object() else { bail!("expected an object") };
@@ -167,9 +175,9 @@
     for key in object.keys().filter(|key| !KEYS.contains(&key.as_str()) && !key.starts_with('#')) {
         tracing::warn!("configuration: unknown key {key} ignored");
     }
-    let wire = json.get("settings").context("settings: missing")?;
-    ensure!(wire.is_object(), "settings: expected an object, found {wire}");
-    let settings = checked_settings(json, wire)?;
+    let raw_settings = json.get("settings").context("settings: missing")?;
+    ensure!(raw_settings.is_object(), "settings: expected an object, found {raw_settings}");
+    let settings = checked_settings(json, raw_settings)?;
     let sockets = number(json, "/limits/sockets")?.unwrap_or(DEFAULT_SOCKETS);
     ensure!(sockets >= MIN_SOCKETS, "limits.sockets: expected {MIN_SOCKETS} or more, found {sockets}");
     let operator = address(json, "operator")?;
@@ -184,8 +192,8 @@
     let max_used_client_connections = (sockets + reserved) / 3 * 3 / 4;
     let max_client_connections = client_descriptors(sockets).min(memory / 2 / MAX_CLIENT_BYTES);
     let listen = address(json, "listen")?.context("listen: missing")?;
-    let machine_kinds = names::list(wire, "/skus", "");
-    let origin = wire.pointer("/domain/origin-kind").and_then(Json::as_i64).filter(|&kind| kind >= 0);
+    let machine_kinds = names::list(raw_settings, "/skus", "");
+    let origin = raw_settings.pointer("/domain/origin-kind").and_then(Json::as_i64).filter(|&kind| kind >= 0);
     let origin_kind = origin.map(|kind| {
         machine_kinds
             .get(kind as usize)
@@ -212,8 +220,8 @@
         known,
         max_list_bytes: (memory / 8).min(MAX_LIST_BYTES),
         json: json.clone(),
-        tenants: names::list(wire, "/orgs", "/name"),
-        zones: names::list(wire, "/failure-domains", ""),
+        tenants: names::list(raw_settings, "/orgs", "/name"),
+        zones: names::list(raw_settings, "/failure-domains", ""),
         origin_kind: origin_kind.transpose()?,
         machine_kinds,
         node_idle_timeout: micros("/settings/permissions/conn-idle-us", DEFAULT_NODE_IDLE_TIMEOUT)?,
@@ -228,44 +236,45 @@
     descriptors * 3 / 5
 }
 
-/// Checks the settings and translates their keys to the names that the core uses.
-fn checked_settings(json: &Json, wire: &Json) -> Result<Settings> {
-    for place in ["/settings/fleet-size", "/settings/permissions/most-upstream-tries"] {
-        ensure!(number(json, place)? != Some(0), "{}: expected 1 or more, found 0", key_path(place));
+/// Checks the settings, `raw_settings` in `json`, and translates their keys to the names that the core uses.
+fn checked_settings(json: &Json, raw_settings: &Json) -> Result<Settings> {
+    for pointer in ["/settings/fleet-size", "/settings/permissions/most-upstream-tries"] {
+        ensure!(number(json, pointer)? != Some(0), "{}: expected 1 or more, found 0", key_path(pointer));
     }
-    for place in ["/settings/rules/start-capacity", "/settings/surplus-payoff"] {
+    for pointer in ["/settings/rules/start-capacity", "/settings/surplus-payoff"] {
         let fraction = |value: &Json| value.as_f64().is_some_and(|value| (0.0..=1.0).contains(&value));
-        check_value(json, place, "a fraction between 0 and 1", fraction)?;
+        check_value(json, pointer, "a fraction between 0 and 1", fraction)?;
     }
-    for place in ["/settings/permissions/may-probe", "/settings/permissions/retry-after"] {
-        check_value(json, place, "true or false", Json::is_boolean)?;
+    for pointer in ["/settings/permissions/may-probe", "/settings/permissions/retry-after"] {
+        check_value(json, pointer, "true or false", Json::is_boolean)?;
     }
-    for place in ["/settings/skus", "/settings/failure-domains", "/settings/telemetry/columns"] {
+    for pointer in ["/settings/skus", "/settings/failure-domains", "/settings/telemetry/columns"] {
         let strings = |value: &Json| value.as_array().is_some_and(|all| all.iter().all(Json::is_string));
-        check_value(json, place, "a list of strings", strings)?;
+        check_value(json, pointer, "a list of strings", strings)?;
     }
     let choices = [
         ("/settings/discovery", &["push", "ask"][..]),
         ("/settings/telemetry/via", &["silent", "pull", "piggyback"]),
     ];
-    for (place, words) in choices {
+    for (pointer, words) in choices {
         let is_choice = |value: &Json| value.as_str().is_some_and(|value| words.contains(&value));
-        check_value(json, place, &words.join(" or "), is_choice)?;
+        check_value(json, pointer, &words.join(" or "), is_choice)?;
     }
     let multiple = |value: &Json| value.as_f64().is_some_and(|multiple| multiple >= 0.0);
     check_value(json, "/settings/domain/origin-fall-multiple", "0 or more", multiple)?;
-    for (at, tenant) in wire.get("orgs").and_then(Json::as_array).into_iter().flatten().enumerate() {
+    for (at, tenant) in raw_settings.get("orgs").and_then(Json::as_array).into_iter().flatten().enumerate() {
         let quota = tenant.get("quota-per-s").unwrap_or(&Json::Null);
         let valid = quota.is_null() || quota.as_f64().is_some_and(|quota| quota > 0.0);
         ensure!(valid, "settings.orgs[{at}].quota-per-s: expected more than 0, found {quota}");
     }
-    for place in ["/settings/rules/cold-us", "/settings/rules/fall-us", "/settings/rules/drain-grace-us"] {
-        number(json, place)?;
+    for pointer in ["/settings/rules/cold-us", "/settings/rules/fall-us", "/settings/rules/drain-grace-us"] {
+        number(json, pointer)?;
     }
-    if let Some(problem) = names::unsound(wire) {
+    if let Some(problem) = names::unsound(raw_settings) {
         bail!("settings.{problem}");
     }
-    let routes = wire.get("routes").and_then(Json::as_array).context("settings.routes: expected a list")?;
+    let routes =
+        raw_settings.get("routes").and_then(Json::as_array).context("settings.routes: expected a list")?;
     ensure!(!routes.is_empty(), "settings.routes: expected one or more");
     for (at, route) in routes.iter().enumerate() {
         ensure!(!names::text(route, "/name").is_empty(), "settings.routes[{at}].name: expected a string");
@@ -289,7 +298,7 @@
         let known = ["repeatable", "by_key", "once"].contains(&effect);
         ensure!(known, "settings.routes[{at}].effect: expected repeatable, by_key or once, found {effect:?}");
     }
-    Ok(names::translate(wire))
+    Ok(names::translate(raw_settings))
 }
 
 /// Checks that a reloaded configuration still has every key of the one in force. A file of which a part was cut off would
@@ -314,15 +323,16 @@
     Ok(())
 }
 
-fn check_has_keys_of(old: &Json, new: &Json, place: &str) -> Result<()> {
+/// Checks that `new` has every key of `old`, at any depth. Comments and null values do not count as keys.
+fn check_has_keys_of(old: &Json, new: &Json, pointer: &str) -> Result<()> {
     let Some(object) = old.as_object() else { return Ok(()) };
-    ensure!(new.is_object(), "{}: expected an object, found {new}", key_path(place));
+    ensure!(new.is_object(), "{}: expected an object, found {new}", key_path(pointer));
     for (name, old) in object.iter().filter(|(name, old)| !name.starts_with('#') && !old.is_null()) {
-        let place = format!("{place}/{name}");
+        let pointer = format!("{pointer}/{name}");
         let Some(new) = new.get(name).filter(|new| !new.is_null()) else {
-            bail!("{}: missing, but set in the configuration in force", key_path(&place))
+            bail!("{}: missing, but set in the configuration in force", key_path(&pointer))
         };
-        check_has_keys_of(old, new, &place)?;
+        check_has_keys_of(old, new, &pointer)?;
     }
     Ok(())
 }
@@ -331,28 +341,29 @@
 /// used only at the start anyway.
 pub fn keys_needing_restart(old: &Json, new: &Json) -> Vec<String> {
     let exempt = ["seed", "discovery", "settings.routes", "settings.permissions.most-upstream-tries"];
-    let is_exempt = |place: &String| exempt.contains(&place.as_str()) || place.starts_with("known");
-    let mut places = Vec::new();
-    collect_differences(old, new, "", &mut places);
-    places.into_iter().map(|place| key_path(&place)).filter(|place| !is_exempt(place)).collect()
+    let is_exempt = |key: &String| exempt.contains(&key.as_str()) || key.starts_with("known");
+    let mut pointers = Vec::new();
+    collect_differences(old, new, "", &mut pointers);
+    pointers.into_iter().map(|pointer| key_path(&pointer)).filter(|key| !is_exempt(key)).collect()
 }
 
 /// Adds the JSON pointers of all values that differ.
-fn collect_differences(old: &Json, new: &Json, place: &str, into: &mut Vec<String>) {
+fn collect_differences(old: &Json, new: &Json, pointer: &str, into: &mut Vec<String>) {
     match (old, new) {
         (Json::Object(old), Json::Object(new)) => {
             let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
             for name in names.into_iter().filter(|name| !name.starts_with('#')) {
                 let member =
                     |json: &serde_json::Map<String, Json>| json.get(name).cloned().unwrap_or_default();
-                collect_differences(&member(old), &member(new), &format!("{place}/{name}"), into);
+                collect_differences(&member(old), &member(new), &format!("{pointer}/{name}"), into);
             }
         }
-        _ if old != new => into.push(place.to_string()),
+        _ if old != new => into.push(pointer.to_string()),
         _ => {}
     }
 }
 
+/// The seed, as a number or in hex; 0 if there is none.
 fn seed(json: &Json) -> Result<u64> {
     match json.get("seed") {
         None | Some(Json::Null) => Ok(0),
@@ -363,11 +374,13 @@
     }
 }
 
+/// The socket address under this top-level key, if it is set.
 fn address(json: &Json, key: &str) -> Result<Option<SocketAddr>> {
     let Some(text) = text(json, key)? else { return Ok(None) };
     text.parse().map(Some).with_context(|| format!("{key}: expected ADDRESS:PORT, found {text:?}"))
 }
 
+/// The string under this top-level key, if it is set.
 fn text<'a>(json: &'a Json, key: &str) -> Result<Option<&'a str>> {
     match json.get(key) {
         None | Some(Json::Null) => Ok(None),
@@ -376,12 +389,13 @@
     }
 }
 
-fn number(json: &Json, place: &str) -> Result<Option<u64>> {
-    match json.pointer(place) {
+/// The whole number at this JSON pointer, if it is set.
+fn number(json: &Json, pointer: &str) -> Result<Option<u64>> {
+    match json.pointer(pointer) {
         None | Some(Json::Null) => Ok(None),
         Some(value) => match value.as_u64() {
             Some(number) => Ok(Some(number)),
-            None => bail!("{}: expected a whole number, found {value}", key_path(place)),
+            None => bail!("{}: expected a whole number, found {value}", key_path(pointer)),
         },
     }
 }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -5,7 +5,9 @@
 use std::io::{Error, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
+/// The longest head of a response, and the longest trailers, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The most headers in a response or a call.
 const MAX_HEADERS: usize = 64;
 
 /// A request to the origin or discovery.
@@ -29,7 +31,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
-    /// Names in lower case.
+    /// Names and values; the names are in lower case.
     pub headers: Vec<(String, Bytes)>,
     pub body: Bytes,
     /// Whether this is the last response on its connection.
@@ -218,7 +220,9 @@
     pending: Option<(Call, usize)>,
 }
 
+/// The longest head of a call in bytes; longer ones get status 431.
 const MAX_CALL_HEAD_BYTES: usize = 8 * 1024;
+/// The longest body of a call in bytes; longer ones get status 413.
 const MAX_CALL_BODY_BYTES: usize = 4 * 1024;
 
 impl Decoder for CallCodec {
--- a/crates/proxy/src/migrate.rs
+++ b/crates/proxy/src/migrate.rs
@@ -61,15 +61,15 @@
         options.probes.map(Json::from),
         "--probes yes|no",
     );
-    for (option, place) in PER_PROXY_OPTIONS {
+    for (option, pointer) in PER_PROXY_OPTIONS {
         let value = options.per_proxy.iter().find(|(name, _)| *name == option);
         match value {
-            Some((_, value)) => migration.set(place, value.clone()),
+            Some((_, value)) => migration.set(pointer, value.clone()),
             None => {
-                let value = migration.json.pointer(place).cloned().unwrap_or_default();
+                let value = migration.json.pointer(pointer).cloned().unwrap_or_default();
                 migration.report.push(format!(
                     "look at: {} stays {value}; each proxy needs its own value (--{option})",
-                    key_path(place)
+                    key_path(pointer)
                 ));
             }
         }
@@ -86,12 +86,12 @@
 fn has_new_layout(json: &Json) -> bool {
     let old = ["/peers", "/peer_listen", "/settings/permissions/peers"];
     let zones = json.pointer("/settings/failure-domains").and_then(Json::as_array).map_or(0, Vec::len);
-    zones <= 1 && old.iter().all(|place| json.pointer(place).is_none())
+    zones <= 1 && old.iter().all(|pointer| json.pointer(pointer).is_none())
 }
 
 impl Migration {
-    fn object(&mut self, place: &str) -> Option<&mut Map<String, Json>> {
-        self.json.pointer_mut(place).and_then(Json::as_object_mut)
+    fn object(&mut self, pointer: &str) -> Option<&mut Map<String, Json>> {
+        self.json.pointer_mut(pointer).and_then(Json::as_object_mut)
     }
 
     /// Removes a key and its comment (the key `# KEY`), and reports why.
@@ -107,11 +107,11 @@
     }
 
     /// Sets a value and reports it if it changes.
-    fn set(&mut self, place: &str, value: Json) {
-        let old = self.json.pointer(place).cloned().unwrap_or_default();
-        let (parent, key) = place.rsplit_once('/').unwrap_or_default();
+    fn set(&mut self, pointer: &str, value: Json) {
+        let old = self.json.pointer(pointer).cloned().unwrap_or_default();
+        let (parent, key) = pointer.rsplit_once('/').unwrap_or_default();
         if old != value {
-            self.report.push(format!("changed: {} {old} -> {value}", key_path(place)));
+            self.report.push(format!("changed: {} {old} -> {value}", key_path(pointer)));
         }
         // Creates a parent object that the old file does not have.
         if self.json.pointer(parent).is_none()
@@ -126,12 +126,12 @@
     }
 
     /// Sets a value from an option, or reports the option as missing.
-    fn set_from_option(&mut self, place: &str, value: Option<Json>, option: &str) {
+    fn set_from_option(&mut self, pointer: &str, value: Option<Json>, option: &str) {
         match value {
-            Some(value) => self.set(place, value),
+            Some(value) => self.set(pointer, value),
             None => {
-                let old = self.json.pointer(place).cloned().unwrap_or_default();
-                let key = key_path(place);
+                let old = self.json.pointer(pointer).cloned().unwrap_or_default();
+                let key = key_path(pointer);
                 self.missing.push(format!(
                     "missing: {key}, currently {old}: cannot be derived from the old file, give {option}"
                 ));
@@ -195,9 +195,9 @@
             self.json["known"]["targets"] = Json::Array(kept);
         }
         for at in 0..self.json["settings"]["routes"].as_array().map_or(0, Vec::len) {
-            let place = format!("/settings/routes/{at}/dedup-scope");
-            if self.json.pointer(&place).is_some_and(|scope| scope == "zone") {
-                self.set(&place, json!("all"));
+            let pointer = format!("/settings/routes/{at}/dedup-scope");
+            if self.json.pointer(&pointer).is_some_and(|scope| scope == "zone") {
+                self.set(&pointer, json!("all"));
             }
         }
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -76,8 +76,8 @@
     /// Unusable ones found on the way are closed.
     pub fn take_idle(&self, node: Node, address: SocketAddr) -> Option<Box<Connection>> {
         let mut idle = self.lock_idle();
-        while let Some(place) = idle.iter().position(|idle| idle.node == node) {
-            let one = idle.remove(place)?;
+        while let Some(index) = idle.iter().position(|idle| idle.node == node) {
+            let one = idle.remove(index)?;
             if one.connection.address == address && self.is_usable(&one) {
                 return Some(one.connection);
             }
--- a/crates/proxy/src/upstream/protocol.rs
+++ b/crates/proxy/src/upstream/protocol.rs
@@ -42,8 +42,8 @@
     };
     let time_label = &buffer[..MAX_TIME_LABEL_BYTES - free];
     let mut labels = Labels::new();
-    for (place, label) in client_labels.split(|&byte| byte == b',').enumerate() {
-        if place > 0 {
+    for (index, label) in client_labels.split(|&byte| byte == b',').enumerate() {
+        if index > 0 {
             labels.push(b',');
         }
         let is_time = label.starts_with(b"d=");
