--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -23,6 +23,7 @@
 const FENCE_FILE_PREFIX: &str = "pumicebay-fence-1-";
 /// How often the folder is read, and thus how long a call to another process may take to act here.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
+/// How many calls may wait for the actor.
 const MAILBOX: usize = 64;
 /// The longest `uid` in bytes: file names are limited to 255 bytes.
 const MAX_UID_BYTES: usize = 110;
@@ -44,6 +45,7 @@
     IsOrigin,
     /// The token is out of date: this lease has moved on to this token.
     StaleToken(String, Token),
+    /// The call failed for this reason.
     Failed(String),
 }
 
@@ -104,6 +106,7 @@
 /// The actor that keeps the nodes that are out of service. It handles calls, orders of the group and the files of other
 /// processes one at a time.
 pub struct MaintenanceActor {
+    /// The module, which is told of each change.
     pub desk: Desk,
     /// The proxy's private folder; without one the nodes are out of service for this process only.
     pub folder: Option<PathBuf>,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -72,8 +72,9 @@
     pub seed: u64,
     /// The memory limit, in units of 1,024 bytes.
     pub memory_limit_kb: u64,
-    /// How many connections of clients, and to nodes, may be open.
+    /// How many connections of clients may be open.
     pub max_client_connections: usize,
+    /// How many connections to nodes may be open.
     pub max_node_connections: usize,
     /// How many client connections that have carried a request may stay open between requests: three quarters of those
     /// that clients may hold for requests.
@@ -90,14 +91,17 @@
     pub settings: Settings,
     /// The whole configuration as it was read, without the entries of `known`.
     pub json: Json,
-    /// The names of tenants, zones and kinds of machines; the core uses their indices.
+    /// The names of the tenants; the core uses their indices.
     pub tenants: Vec<String>,
+    /// The names of the zones; the core uses their indices.
     pub zones: Vec<String>,
+    /// The names of the kinds of machines; the core uses their indices.
     pub machine_kinds: Vec<String>,
     /// The kind of machine that the origin is.
     pub origin_kind: Option<String>,
-    /// How long a node keeps an idle connection open, and how long connecting to one may take.
+    /// How long a node keeps an idle connection open.
     pub node_idle_timeout: Duration,
+    /// How long connecting to a node may take.
     pub connect_timeout: Duration,
     /// How long new connections are accepted after the signal to stop.
     pub drain_period: Duration,
--- a/crates/proxy/src/discovery/entries.rs
+++ b/crates/proxy/src/discovery/entries.rs
@@ -20,9 +20,11 @@
 /// A list of nodes, or changes to one, whose entries are not parsed yet.
 #[derive(Debug)]
 pub struct RawList<'a> {
+    /// The version of the list at discovery.
     pub version: u64,
     /// Whether these are all nodes rather than only changes.
     pub whole: bool,
+    /// The JSON text of each entry.
     pub entries: Vec<&'a RawValue>,
 }
 
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -12,9 +12,13 @@
 
 /// A request to the origin or discovery.
 pub struct Request<'a> {
+    /// The HTTP method.
     pub method: &'static str,
+    /// The path with the query, percent-encoded.
     pub path: String,
+    /// Names and values.
     pub headers: Vec<(&'static str, &'a [u8])>,
+    /// The body, if it is sent with the request.
     pub body: Option<&'a [u8]>,
     /// The length of a body that the caller sends after the request.
     pub streamed_body_length: Option<usize>,
@@ -30,9 +34,11 @@
 /// A response of the origin or discovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
     /// Names and values; the names are in lower case.
     pub headers: Vec<(String, Bytes)>,
+    /// The body; empty where a streamed body follows.
     pub body: Bytes,
     /// Whether this is the last response on its connection.
     pub last: bool,
@@ -78,6 +84,7 @@
 /// A part of the origin's response: all of it, or a piece of one whose body is streamed because it is long.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Part {
+    /// A whole response.
     Whole(Response),
     /// The head, and the length of the body that follows.
     Begin(Response, usize),
@@ -202,9 +209,11 @@
 /// An operator's HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
+    /// The HTTP method.
     pub method: String,
     /// Without the query.
     pub path: String,
+    /// The body; empty if there is none.
     pub body: Bytes,
 }
 
--- a/crates/proxy/src/migrate.rs
+++ b/crates/proxy/src/migrate.rs
@@ -28,9 +28,10 @@
 pub const PER_PROXY_OPTIONS: [(&str, &str); 4] =
     [("name", "/name"), ("listen", "/listen"), ("seed", "/seed"), ("me", "/settings/me")];
 
-/// The new configuration, with a report for the operator.
+/// The result of a migration, with a report for the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Migration {
+    /// The new configuration.
     pub json: Json,
     /// A line for each key that was changed, was not carried over, or was kept and should be reviewed.
     pub report: Vec<String>,
--- a/crates/proxy/src/nodes.rs
+++ b/crates/proxy/src/nodes.rs
@@ -12,7 +12,9 @@
 /// A node that is listed, or that is no longer listed but still has attempts under way.
 #[derive(Clone, Debug)]
 pub struct NodeEntry {
+    /// The id that discovery uses.
     pub uid: Arc<str>,
+    /// Where the node listens, as discovery last told.
     pub address: SocketAddr,
     /// Whether the node is the origin.
     pub origin: bool,
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -40,7 +40,9 @@
 pub struct OperatorService {
     /// The phase of the process.
     pub watch: Watch,
+    /// The counters that `/counters` returns.
     pub counters: Arc<Counters>,
+    /// The actor that takes nodes out of service.
     pub maintenance: Maintenance,
     /// The replica of maintenance orders, if there is one.
     pub replication: Option<Handle>,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -23,15 +23,22 @@
 pub enum NodeOperation {
     /// One attempt of a request. If `cancel` is triggered before its last byte is sent, the rest is never sent.
     Attempt {
+        /// The id of the request in this process.
         request_id: RequestId,
         /// 0 for the request's first attempt.
         attempt_number: usize,
+        /// What is sent to the node.
         request: Arc<Cargo>,
+        /// When the attempt is given up.
         deadline: Instant,
+        /// Cancels the attempt.
         cancel: CancellationToken,
     },
     /// A health check, which for a cache node may also fetch its load.
-    Probe { deadline: Instant },
+    Probe {
+        /// When the probe is given up.
+        deadline: Instant,
+    },
 }
 
 impl NodeOperation {
@@ -69,11 +76,14 @@
     }
 }
 
-/// The node that an attempt or probe goes to. Its address may change between two of them.
+/// The node that an attempt or probe goes to.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
+    /// The number of the node.
     pub node: Node,
+    /// Its current address, which discovery may change later.
     pub address: SocketAddr,
+    /// Whether the node is the origin.
     pub origin: bool,
 }
 
@@ -221,14 +231,15 @@
     }
 }
 
-/// The outcome of an attempt that got no whole reply: `Errored` for a malformed reply, which is logged, and `Severed`
-/// when the connection broke.
+/// The outcome of an attempt that got no whole reply: `Errored` if the reply was malformed or stalled, which is logged,
+/// and `Severed` if the connection broke.
 fn failure_outcome(address: SocketAddr, error: &anyhow::Error) -> Outcome {
-    let malformed = error.downcast_ref::<std::io::Error>().is_none_or(|e| e.kind() == ErrorKind::InvalidData);
-    if malformed {
-        tracing::warn!("{address}: invalid reply: {error:#}");
+    let invalid_reply =
+        error.downcast_ref::<std::io::Error>().is_none_or(|e| e.kind() == ErrorKind::InvalidData);
+    if invalid_reply {
+        tracing::warn!("{address}: no valid reply: {error:#}");
     }
-    if malformed { Outcome::Errored } else { Outcome::Severed }
+    if invalid_reply { Outcome::Errored } else { Outcome::Severed }
 }
 
 /// Runs a step of sending unless the attempt is cancelled, then the outcome is `Unsent`. An attempt that waited must not
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -33,6 +33,7 @@
 /// An open upstream connection, with its permit from the pool.
 pub struct Connection {
     transport: Transport,
+    /// The address of the node.
     pub address: SocketAddr,
     _permit: OwnedSemaphorePermit,
 }
