--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -302,7 +302,7 @@
     fn mark_used(&mut self) {
         self.used = true;
         let used = self.frontend.used_connections.fetch_add(1, Ordering::Relaxed) + 1;
-        let max_used = self.frontend.shared.config.used;
+        let max_used = self.frontend.shared.config.max_used_client_connections;
         self.frontend.limit.evict_used(used.saturating_sub(max_used));
     }
 
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -4,14 +4,14 @@
 use crate::control::{ControlCommand, NodeKind, PROBE_TIMEOUT};
 use crate::event_loop;
 use crate::fleet::prober::Prober;
-use crate::line_budget::LineBudget;
+use crate::log_limiter::LogLimiter;
 use crate::memory::MemoryMonitor;
 use crate::messages::{Answer, AttemptResult, ClientRequest, DiscoveredNode, Event, ListPart, Mailbox};
-use crate::nodes::{Known, Nodes};
+use crate::nodes::{NodeEntry, NodeTable};
 use crate::phases::Phase;
 use crate::shared::Shared;
 use crate::streaming::Value;
-use crate::upstream::attempt::{self, Errand, Target};
+use crate::upstream::attempt::{self, NodeOperation, Target};
 use bytes::Bytes;
 use hashbrown::{HashMap, HashSet};
 use pumicebay_core::{
@@ -46,8 +46,8 @@
 struct DispatcherHost {
     shared: Shared,
     follow_discovery: mpsc::Sender<()>,
-    nodes: Nodes,
-    log_budget: LineBudget,
+    nodes: NodeTable,
+    log_budget: LogLimiter,
     open_requests: HashMap<RequestId, OpenRequest>,
     /// The ids of the requests that await their answers.
     open_ids: HashSet<Bytes>,
@@ -82,8 +82,8 @@
         let host = DispatcherHost {
             shared,
             follow_discovery,
-            nodes: Nodes::default(),
-            log_budget: LineBudget::default(),
+            nodes: NodeTable::default(),
+            log_budget: LogLimiter::default(),
             open_requests: HashMap::new(),
             open_ids: HashSet::new(),
             timers: BinaryHeap::new(),
@@ -92,7 +92,7 @@
             prober: None,
         };
         let balance = Balancer::new(host, settings, config.seed, clock.now());
-        let memory_monitor = MemoryMonitor::new(config.memory_kb);
+        let memory_monitor = MemoryMonitor::new(config.memory_limit_kb);
         Dispatcher { balance, mailbox, memory_monitor, memory_check_at: 0, full_list: Vec::new() }
     }
 
@@ -133,7 +133,7 @@
             event_loop::timer_fired(&counters, Duration::from_nanos(now.saturating_sub(at)));
             self.balance.timer_fired(now, token);
         }
-        let idle_connections = self.balance.host.shared.upstream.count();
+        let idle_connections = self.balance.host.shared.upstream.idle_count();
         counters.gauges.update(&self.balance.status(), idle_connections);
         self.balance.host.log_budget.report_at(now);
         if self.memory_check_at <= now {
@@ -147,8 +147,8 @@
         match command {
             ControlCommand::LookUp(uid, answer) => {
                 let host = &self.balance.host;
-                let known = host.nodes.find(&uid).and_then(|node| host.nodes.get(node));
-                let kind = |known: &Known| if known.origin { NodeKind::Origin } else { NodeKind::Cache };
+                let known = host.nodes.find_by_uid(&uid).and_then(|node| host.nodes.get(node));
+                let kind = |known: &NodeEntry| if known.origin { NodeKind::Origin } else { NodeKind::Cache };
                 let _ = answer.send(known.map_or(NodeKind::Unknown, kind));
             }
             ControlCommand::SetMaintenance(uid, out_of_service, done) => {
@@ -157,13 +157,13 @@
             }
             ControlCommand::Probe(uid) => {
                 let host = &mut self.balance.host;
-                let sent = host.nodes.find(&uid).is_some_and(|node| host.send_probe(node));
+                let sent = host.nodes.find_by_uid(&uid).is_some_and(|node| host.send_probe(node));
                 if let Some(prober) = host.prober.as_ref().filter(|_| !sent) {
                     prober.probed(&uid, false);
                 }
             }
             ControlCommand::ProbeResult(uid, answered) => {
-                if let Some(node) = self.balance.host.nodes.find(&uid) {
+                if let Some(node) = self.balance.host.nodes.find_by_uid(&uid) {
                     let outcome = if answered { Outcome::Completed } else { Outcome::Unreachable };
                     self.balance.probe_finished(node, outcome);
                 }
@@ -323,7 +323,7 @@
 
     /// Logs a line about a node. There may be thousands of nodes, so lines beyond the budget get level debug.
     fn log_node(&mut self, line: impl std::fmt::Display) {
-        if self.log_budget.allows(self.shared.clock.now()) {
+        if self.log_budget.allow(self.shared.clock.now()) {
             tracing::info!("{line}");
         } else {
             tracing::debug!("{line}");
@@ -333,12 +333,12 @@
     /// The node's number, which is new for a node seen the first time. `None` for a node that left before it
     /// was known.
     fn node_number(&mut self, discovered_node: &DiscoveredNode) -> Option<Node> {
-        let (node, new) = self.nodes.number(discovered_node)?;
+        let (node, new) = self.nodes.upsert(discovered_node)?;
         if new {
             self.shared.counters.nodes_known.add();
-            let logged = self.log_budget.allows(self.shared.clock.now());
+            let logged = self.log_budget.allow(self.shared.clock.now());
             if let Some(known) = self.nodes.get_mut(node).filter(|_| logged) {
-                known.log(node);
+                known.log_number(node);
             }
         }
         Some(node)
@@ -346,7 +346,8 @@
 
     /// Starts a probe; false if the node is no longer known.
     fn send_probe(&mut self, node: Node) -> bool {
-        let sent = self.start_attempt(node, Errand::Probe { until: Instant::now() + PROBE_TIMEOUT });
+        let sent =
+            self.start_attempt(node, NodeOperation::Probe { deadline: Instant::now() + PROBE_TIMEOUT });
         if sent {
             self.shared.counters.probes_sent.add();
         }
@@ -354,13 +355,13 @@
     }
 
     /// Starts an attempt or probe; false if the node is no longer known.
-    fn start_attempt(&mut self, node: Node, errand: Errand) -> bool {
+    fn start_attempt(&mut self, node: Node, errand: NodeOperation) -> bool {
         let Some(known) = self.nodes.get_mut(node) else { return false };
         if !known.logged {
-            known.log(node);
+            known.log_number(node);
         }
         let target = Target { node, address: known.address, origin: known.origin };
-        attempt::start(&self.shared, target, errand);
+        attempt::spawn(&self.shared, target, errand);
         true
     }
 }
@@ -375,7 +376,8 @@
             open.recall = CancellationToken::new();
         }
         let (request, recall) = (open.request.clone(), open.recall.clone());
-        let errand = Errand::Try { xchg: request_id, try_no: attempt_number, cargo: request, until, recall };
+        let errand =
+            NodeOperation::Attempt { request_id, attempt_number, request, deadline: until, cancel: recall };
         // From `Leaving` on nothing is sent.
         if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, errand) {
             self.unsent_attempts.push((request_id, attempt_number, node));
@@ -427,10 +429,10 @@
     }
 
     fn release_node(&mut self, node: Node) {
-        if let Some(Known { uid, .. }) = self.nodes.remove(node) {
+        if let Some(NodeEntry { uid, .. }) = self.nodes.remove(node) {
             self.log_node(format_args!("node {node} is no longer {uid}: removed"));
             self.shared.counters.nodes_dismissed.add();
-            self.shared.upstream.forget(node);
+            self.shared.upstream.close_idle(node);
         }
     }
 
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,14 +1,14 @@
 //! Starts the actors of a proxy and runs them through its phases.
 
-use crate::bans::{self, Bans, Replication};
+use crate::bans::{self, MaintenanceActor, Replication};
 use crate::clients::{self, Frontend};
 use crate::clock::Clock;
 use crate::config::{self, Config};
 use crate::connection_limit::ConnectionLimit;
 use crate::control::ControlHandle;
 use crate::counters::Counters;
-use crate::discovery::entries::entries;
-use crate::discovery::list::List;
+use crate::discovery::entries::parse_list;
+use crate::discovery::list::ListWatcher;
 use crate::dispatcher::Dispatcher;
 use crate::event_loop;
 use crate::fleet::carrier::{self, apply};
@@ -16,12 +16,12 @@
 use crate::fleet::{self, asker::Asker, replication};
 use crate::listen::listen;
 use crate::messages;
-use crate::operator::{self, Operator};
+use crate::operator::{self, OperatorService};
 use crate::phases::{Phase, PhaseWatch, Phases};
 use crate::routes::{RouteRegistry, Routes};
 use crate::shared::Shared;
 use crate::takeover::{Successor, TakeoverSocket};
-use crate::upstream::pool::{self, Pool};
+use crate::upstream::pool::{self, ConnectionPool};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_accord::Fences;
 use pumicebay_carrier::Resource;
@@ -114,12 +114,16 @@
         let (clock, phase, successor) = (Clock::start(), phases.watch(), Arc::new(OnceLock::new()));
         // During a takeover both processes together must stay within the limits of one: this one starts with
         // half.
-        let taking_over =
-            config.inherited && config.folder.as_deref().is_some_and(TakeoverSocket::predecessor_exists);
+        let taking_over = config.listener_inherited
+            && config.folder.as_deref().is_some_and(TakeoverSocket::predecessor_exists);
         let share = |whole: usize| if taking_over { whole.div_ceil(2) } else { whole };
-        let upstream = Pool::new(share(config.upstream), config.idle, counters.clone());
-        let streamed_values = Arc::new(Semaphore::new(share(config.long)));
-        let pipeline_permits = Arc::new(Semaphore::new(share(config.ahead)));
+        let upstream = ConnectionPool::new(
+            share(config.max_node_connections),
+            config.node_idle_timeout,
+            counters.clone(),
+        );
+        let streamed_values = Arc::new(Semaphore::new(share(config.max_streamed_values)));
+        let pipeline_permits = Arc::new(Semaphore::new(share(config.max_pipelined_commands)));
         let mut route_registry = RouteRegistry::default();
         let (settings, routes) = route_registry.apply(&config.json["settings"]);
         let (routes_sender, routes) = watch::channel(Arc::new(routes));
@@ -137,7 +141,7 @@
         let config = &shared.config;
         let mut dispatcher = Dispatcher::new(shared.clone(), settings, follow_sender, mailbox);
         let mut version = None;
-        match entries(known_list.as_deref().unwrap_or("{}").as_bytes(), config) {
+        match parse_list(known_list.as_deref().unwrap_or("{}").as_bytes(), config) {
             Ok((list_version, full, nodes)) => {
                 version = Some(list_version);
                 dispatcher.apply_list(full, nodes);
@@ -147,14 +151,18 @@
             }
         }
         drop(known_list);
-        let mut list = List::new(shared.clone(), follow_receiver, version);
-        if config.inherited {
+        let mut list = ListWatcher::new(shared.clone(), follow_receiver, version);
+        if config.listener_inherited {
             // The list that the previous process wrote, then the one that discovery has now.
-            match list.left(config.folder.as_deref()) {
+            match list.load_saved_list(config.folder.as_deref()) {
                 Ok(nodes) => dispatcher.apply_list(true, nodes),
                 Err(error) => tracing::info!("no node list from a previous process: {error:#}"),
             }
-            match timeout(FIRST_LIST_TIMEOUT, list.first()).await.context("no answer in time").flatten() {
+            match timeout(FIRST_LIST_TIMEOUT, list.fetch_whole_list())
+                .await
+                .context("no answer in time")
+                .flatten()
+            {
                 Ok(nodes) => dispatcher.apply_list(true, nodes),
                 Err(error) => {
                     tracing::warn!("discovery: no list at the start, the known one is used: {error:#}")
@@ -170,7 +178,7 @@
         let me = config.fleet.as_ref().map(|section| fleet::me::Me::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
-            let (maintenance, calls) = bans::maintenance();
+            let (maintenance, calls) = bans::channel();
             let (handle, replication) = match (&me, replicated) {
                 (Some(me), Some(section)) => {
                     let Channels { handle, events, tell, ordered } = replication::handle::channels();
@@ -183,7 +191,7 @@
             };
             let (watch, folder) = (shared.phase.clone(), config.folder.clone());
             let cold = Duration::from_nanos(config.settings.time("cold", 0));
-            let (out, back) = match folder.as_deref().map(|folder| bans::found(folder, cold)) {
+            let (out, back) = match folder.as_deref().map(|folder| bans::load(folder, cold)) {
                 Some(Ok(found)) => found,
                 Some(Err(error)) => {
                     tracing::warn!("maintenance: reading the stored bans failed: {error}");
@@ -197,11 +205,18 @@
                 dispatcher.set_maintenance(clock.now(), uid, false);
             }
             let fences = Fences::default();
-            actors.spawn(Bans { desk: control.clone(), folder, out, fences, replication }.run(calls));
+            actors.spawn(
+                MaintenanceActor { desk: control.clone(), folder, out, fences, replication }.run(calls),
+            );
             if let Some(listener) = operator {
                 let counters = shared.counters.clone();
-                let operator =
-                    Operator { watch, counters, maintenance, replication: handle, carrier: carrier_status };
+                let operator = OperatorService {
+                    watch,
+                    counters,
+                    maintenance,
+                    replication: handle,
+                    carrier: carrier_status,
+                };
                 actors.spawn(operator::accept(operator, listener));
             }
         }
@@ -221,13 +236,13 @@
             Some(carrier_handle)
         });
         let listener =
-            if config.inherited { inherited_listener()? } else { listen("listen", config.listen)? };
+            if config.listener_inherited { inherited_listener()? } else { listen("listen", config.listen)? };
         let address = listener.local_addr()?;
         let connections = TaskTracker::new();
         let frontend = Frontend {
             shared: shared.clone(),
             connections: connections.clone(),
-            limit: ConnectionLimit::new(config.clients),
+            limit: ConnectionLimit::new(config.max_client_connections),
             used_connections: Arc::default(),
             pipeline_permits: pipeline_permits.clone(),
         };
@@ -235,7 +250,8 @@
         let discovery = watch::Sender::new(config.discovery);
         actors.spawn(dispatcher.run());
         actors.spawn(list.run(discovery.subscribe()));
-        let takeover_socket = config.folder.as_deref().filter(|_| config.inherited).map(TakeoverSocket::bind);
+        let takeover_socket =
+            config.folder.as_deref().filter(|_| config.listener_inherited).map(TakeoverSocket::bind);
         let takeover_socket = takeover_socket.transpose().unwrap_or_else(|error| {
             tracing::warn!("client connections can't be passed to this process: {error}");
             None
@@ -249,9 +265,9 @@
                 (shared.upstream.clone(), shared.streamed_values.clone(), config.clone());
             tokio::spawn(async move {
                 sleep(TAKEOVER_OVERLAP).await;
-                upstream.grow(limits.upstream / 2);
-                streamed_values.add_permits(limits.long / 2);
-                pipeline_permits.add_permits(limits.ahead / 2);
+                upstream.grow(limits.max_node_connections / 2);
+                streamed_values.add_permits(limits.max_streamed_values / 2);
+                pipeline_permits.add_permits(limits.max_pipelined_commands / 2);
             });
         }
         actors.spawn(reserve_descriptors(frontend.limit.clone()));
@@ -288,7 +304,7 @@
     /// read, or that lacks something the last one had, changes nothing.
     async fn reload(&mut self, file_config: Result<Config>) {
         let keeps = |file_config: Config| {
-            config::keeps(&self.file_config.json, &file_config.json).map(|()| file_config)
+            config::check_nothing_removed(&self.file_config.json, &file_config.json).map(|()| file_config)
         };
         let what = || "checking a new configuration".into();
         match event_loop::timed(&self.counters, what, || file_config.and_then(keeps)) {
@@ -299,7 +315,7 @@
                 self.counters.reloads.add();
                 let config = self.apply_config().await.config;
                 tracing::info!("configuration read again: {}", config.summary().replace('\n', "; "));
-                let restart = config::needs_restart(&self.config.json, &config.json);
+                let restart = config::keys_needing_restart(&self.config.json, &config.json);
                 if !restart.is_empty() {
                     tracing::warn!("configuration: needs a restart: {}", restart.join(", "));
                 }
@@ -384,7 +400,7 @@
             }
         }
         let longest_timeout = self.routes.borrow().longest_timeout();
-        let mut draining = self.config.draining;
+        let mut draining = self.config.drain_period;
         if let Some(successor) = self.takeover_socket.and_then(|socket| socket.successor()) {
             tracing::info!("another process takes over: {} client connections", self.connections.len());
             // New clients connect to the other process.
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -7,7 +7,7 @@
 use crate::phases::PhaseWatch;
 use crate::routes::Routes;
 use crate::takeover::Successor;
-use crate::upstream::pool::Pool;
+use crate::upstream::pool::ConnectionPool;
 use std::sync::{Arc, OnceLock};
 use tokio::sync::{Semaphore, watch};
 
@@ -27,7 +27,7 @@
     /// The routes of the settings in force.
     pub routes: watch::Receiver<Arc<Routes>>,
     /// Connections to nodes.
-    pub upstream: Pool,
+    pub upstream: ConnectionPool,
     /// Permits for long values that are being streamed.
     pub streamed_values: Arc<Semaphore>,
     /// The process that takes over from this one, once there is one.
