--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -222,7 +222,7 @@
         loop {
             let statuses = self.statuses().await;
             let equal = statuses.windows(2).all(|two| two[0].digest == two[1].digest);
-            let linked = statuses.iter().all(|status| !status.linked.is_empty());
+            let linked = statuses.iter().all(|status| !status.linked_peers.is_empty());
             if equal && linked && statuses.len() == self.processes.len() {
                 return Ok(());
             }
--- a/crates/lab/src/replicas/truth.rs
+++ b/crates/lab/src/replicas/truth.rs
@@ -84,7 +84,7 @@
         if let Some(status) = statuses.iter().find(lacks) {
             return Some(format!("{} lacks an order that was given", status.name));
         }
-        let out: BTreeSet<String> = statuses.first()?.out.iter().cloned().collect();
+        let out: BTreeSet<String> = statuses.first()?.out_of_service.iter().cloned().collect();
         let may = [self.out(false), self.out(true)];
         (!may.contains(&out)).then(|| format!("{out:?} are out, not {:?}", may[0]))
     }
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -4,7 +4,7 @@
 use crate::desk::{Desk, Whose};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
 use pumicebay_accord::{Fences, Passage, Token};
-use pumicebay_replication::{Lease, Refusal, Service, Stamp};
+use pumicebay_replication::{Lease, Refusal, ServiceState, Stamp};
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -160,7 +160,7 @@
     /// Carries out what holds by the orders of the group.
     async fn carry_out(&mut self, ordered: Ordered) {
         for (uid, service) in ordered.services {
-            let out = service == Service::Out;
+            let out = service == ServiceState::Out;
             if self.out.contains(&uid) == out {
                 continue;
             }
@@ -234,11 +234,11 @@
 impl Replication {
     /// Gives an order, or says why not.
     async fn give(&self, uid: &str, out: bool, lease: Option<Lease>) -> Result<Stamp, Asked> {
-        let service = if out { Service::Out } else { Service::In };
+        let service = if out { ServiceState::Out } else { ServiceState::In };
         let name = lease.as_ref().map(|lease| lease.name.clone()).unwrap_or_default();
         let order = Order { node: uid.into(), service, lease };
         self.handle.give(order).await.map_err(|not_given| match not_given {
-            NotGiven::Refused(Refusal::Late { token }) => Asked::Late(name, token),
+            NotGiven::Refused(Refusal::StaleToken { token }) => Asked::Late(name, token),
             NotGiven::Refused(refusal) => Asked::Refused(refusal.to_string()),
             NotGiven::NotOnDisk => {
                 Asked::Failed("it holds and goes on to the others, but is not on this disk".into())
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -7,8 +7,8 @@
 use crate::fleet::replication::{Parts, disk, links};
 use crate::fleet::wire::Frame;
 use pumicebay_replication::{
-    Act, Acts, Entry, Kept, LinkId, Message, Nanos, Now, Origin, Refusal, Replica, Report, SECOND, Service,
-    Stamp, Status, Terms,
+    Action, ActionQueue, Entry, LinkId, Message, Nanos, Now, Refusal, Replica, ReplicaConfig, ReplicaId,
+    Report, SECOND, ServiceState, Snapshot, Stamp, Status,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -34,17 +34,17 @@
     config: Arc<ReplicationConfig>,
     handle: Handle,
     replica: Replica,
-    acts: Acts,
+    acts: ActionQueue,
     links: HashMap<LinkId, mpsc::Sender<Message>>,
     ordered: Ordered,
     tell: watch::Sender<Ordered>,
-    keep: Option<watch::Sender<Option<Kept>>>,
+    keep: Option<watch::Sender<Option<Snapshot>>>,
     waiting: Vec<Waiting>,
 }
 
 /// By both clocks.
 fn now(me: &Me) -> Now {
-    Now { steady: me.clock.now(), unix: unix().as_nanos() as u64 }
+    Now { monotonic: me.clock.now(), unix: unix().as_nanos() as u64 }
 }
 
 /// Runs as long as the process lives.
@@ -52,7 +52,7 @@
     me: Me,
     config: Arc<ReplicationConfig>,
     parts: Parts,
-    keep: Option<watch::Sender<Option<Kept>>>,
+    keep: Option<watch::Sender<Option<Snapshot>>>,
 ) {
     let kept = match config.folder.clone() {
         Some(folder) => {
@@ -66,15 +66,15 @@
         let age = now.unix.saturating_sub(kept.as_of) as f64 / 1e9;
         tracing::info!("replication: starts with {} orders as of {age:.1} s ago", kept.entries.len());
     }
-    let mut acts = Acts::new(draw());
-    let terms = Terms {
-        me: Origin { name: me.who.name.clone(), incarnation: draw() },
+    let mut acts = ActionQueue::new(draw());
+    let terms = ReplicaConfig {
+        id: ReplicaId { name: me.who.name.clone(), incarnation: draw() },
         peers: config.peers.keys().filter(|name| **name != me.who.name).cloned().collect(),
-        links: config.links,
+        target_links: config.links,
         retention: config.retention.as_nanos() as u64,
-        most_ahead: MOST_AHEAD,
+        max_clock_skew: MOST_AHEAD,
         bytes_per_second: config.bytes_per_second,
-        part_bytes: PART_BYTES,
+        chunk_bytes: PART_BYTES,
     };
     let replica = Replica::start(now, terms, kept, &mut acts);
     let Parts { handle, events, tell, .. } = parts;
@@ -98,7 +98,7 @@
     type Event = Event;
 
     fn due(&self) -> Instant {
-        let due = self.replica.due().min(self.me.clock.now() + LOOK);
+        let due = self.replica.next_deadline().min(self.me.clock.now() + LOOK);
         Instant::now() + self.me.clock.until(due)
     }
 
@@ -110,7 +110,7 @@
                 self.replica.link_up(now, link, &peer, dialled, &mut self.acts);
             }
             Event::Heard { link, message } if self.links.contains_key(&link) => {
-                self.replica.heard(now, link, message, &mut self.acts);
+                self.replica.receive(now, link, message, &mut self.acts);
             }
             Event::LinkDown { link } if self.links.remove(&link).is_some() => {
                 self.replica.link_down(now, link, &mut self.acts);
@@ -145,7 +145,7 @@
         on_disk: oneshot::Sender<()>,
     ) {
         let Order { node, service, lease } = order;
-        let given = self.replica.give(now, &node, service, lease, &mut self.acts);
+        let given = self.replica.issue(now, &node, service, lease, &mut self.acts);
         let stamp = given.map(|Entry { order, .. }| order.stamp);
         match (&stamp, &self.keep) {
             (Ok(stamp), Some(_)) => self.waiting.push(Waiting { stamp: stamp.clone(), on_disk }),
@@ -155,13 +155,13 @@
         let _ = answer.send(stamp);
     }
 
-    fn kept(&mut self, now: Now, kept: &Kept) {
+    fn kept(&mut self, now: Now, kept: &Snapshot) {
         let written = |waiting: &mut Waiting| kept.vector.covers(&waiting.stamp);
         for Waiting { on_disk, .. } in self.waiting.extract_if(.., written) {
             let _ = on_disk.send(());
         }
         self.waiting.retain(|waiting| !waiting.on_disk.is_closed());
-        self.replica.kept(now, &mut self.acts);
+        self.replica.persisted(now, &mut self.acts);
     }
 
     /// What it shows of itself: what holds counts once it is carried out.
@@ -176,23 +176,23 @@
     /// What was asked for, until nothing more is.
     fn carry_out(&mut self) {
         let mut changed = false;
-        while let Some(act) = self.acts.acts.pop_front() {
+        while let Some(act) = self.acts.actions.pop_front() {
             match act {
-                Act::Dial(peer) => links::dial(&self.me, &self.config, &self.handle, &peer),
-                Act::Send(link, message) => self.send(link, message),
-                Act::Close(link) => _ = self.links.remove(&link),
-                Act::Apply(node, service) => {
+                Action::Dial(peer) => links::dial(&self.me, &self.config, &self.handle, &peer),
+                Action::Send(link, message) => self.send(link, message),
+                Action::Close(link) => _ = self.links.remove(&link),
+                Action::Apply(node, service) => {
                     tracing::info!("replication: {node} is {service:?} of service");
                     self.ordered.services.insert(node, service);
                     changed = true;
                 }
                 // Where there is no disk nothing comes back, and nothing more is to be kept.
-                Act::Keep(kept) => {
+                Action::Persist(kept) => {
                     if let Some(keep) = &self.keep {
                         keep.send_replace(Some(kept));
                     }
                 }
-                Act::Report(report) => log(&report),
+                Action::Report(report) => log(&report),
             }
         }
         if changed {
@@ -214,29 +214,31 @@
 
 fn log(report: &Report) {
     match report {
-        Report::Future { entry, ahead } => tracing::error!(
+        Report::FutureStamp { entry, ahead } => tracing::error!(
             "replication: an order of {} for {} is {:.1} s ahead of this clock, refused",
-            entry.order.stamp.origin.name,
+            entry.order.stamp.issuer.name,
             entry.slot.node,
             *ahead as f64 / 1e9
         ),
         Report::Conflict { entry } => tracing::error!(
             "replication: one stamp with two contents, a copied disk or corruption: {} for {}",
-            entry.order.stamp.origin.name,
+            entry.order.stamp.issuer.name,
             entry.slot.node
         ),
-        Report::WasAway { peer, ended } => {
+        Report::StaleCopy { peer, superseded: ended } => {
             tracing::warn!("replication: this copy was away; {ended} orders had ended according to {peer}");
         }
-        Report::Doubtful { entry } => tracing::warn!(
+        Report::PossiblySuperseded { entry } => tracing::warn!(
             "replication: {} of service for {} by {} is older than ended orders are remembered; it holds, look at it",
             match entry.order.service {
-                Service::Out => "out",
-                Service::In => "in",
+                ServiceState::Out => "out",
+                ServiceState::In => "in",
             },
             entry.slot.node,
-            entry.order.stamp.origin.name
+            entry.order.stamp.issuer.name
         ),
-        Report::NotUsed { why } => tracing::error!("replication: the copy on disk is not used: {why}"),
+        Report::SnapshotIgnored { reason: why } => {
+            tracing::error!("replication: the copy on disk is not used: {why}")
+        }
     }
 }
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -71,7 +71,7 @@
 }
 
 fn named(stamp: &Stamp) -> String {
-    format!("{}.{:016x}.{}", stamp.origin.name, stamp.origin.incarnation, stamp.version)
+    format!("{}.{:016x}.{}", stamp.issuer.name, stamp.issuer.incarnation, stamp.version)
 }
 
 /// The first proxy that can be reached takes the order.
@@ -136,14 +136,16 @@
         println!("{:#}", json!({"equal": equal, "proxies": shown(&statuses), "unreachable": missing}));
     } else {
         for (name, status) in &statuses {
-            let age = status.age.map_or("nothing heard".into(), |age| format!("{:.1} s", age as f64 / 1e9));
+            let age = status
+                .last_heard_age
+                .map_or("nothing heard".into(), |age| format!("{:.1} s", age as f64 / 1e9));
             println!(
                 "{name}  copy {:016x}  as of {age}  {} orders  out: {}",
                 status.digest,
-                status.orders,
-                status.out.join(" ")
+                status.order_count,
+                status.out_of_service.join(" ")
             );
-            for entry in &status.doubtful {
+            for entry in &status.possibly_superseded {
                 println!("  doubtful: {} by {}", entry.slot.node, named(&entry.order.stamp));
             }
         }
@@ -154,9 +156,20 @@
 
 fn shown(statuses: &BTreeMap<String, Status>) -> Json {
     let one = |(name, status): (&String, &Status)| {
-        let Status { out, orders, digest, age, linked, differing, bytes_sent, future, conflicts, .. } =
-            status;
-        let doubtful: Vec<&String> = status.doubtful.iter().map(|entry| &entry.slot.node).collect();
+        let Status {
+            out_of_service: out,
+            order_count: orders,
+            digest,
+            last_heard_age: age,
+            linked_peers: linked,
+            differing_peers: differing,
+            bytes_sent,
+            future_stamps: future,
+            conflicts,
+            ..
+        } = status;
+        let doubtful: Vec<&String> =
+            status.possibly_superseded.iter().map(|entry| &entry.slot.node).collect();
         json!({
             "name": name, "out": out, "orders": orders, "digest": format!("{digest:016x}"),
             "age_s": age.map(|age| age as f64 / 1e9), "linked": linked, "differing": differing,
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -3,7 +3,7 @@
 use crate::fleet::replication::handle::{Event, Handle};
 use crate::fleet::sealed::Sealed;
 use anyhow::{Context, Result};
-use pumicebay_replication::Kept;
+use pumicebay_replication::Snapshot;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
@@ -17,7 +17,7 @@
 
 /// The copy that was kept there. One that can't be read, or that is another process's, is set aside with a line in the
 /// log.
-pub fn read(folder: &Path, name: &str) -> Option<Kept> {
+pub fn read(folder: &Path, name: &str) -> Option<Snapshot> {
     let found = FILE.read(folder).and_then(|bytes| bytes.map(|bytes| whose(&bytes, name)).transpose());
     match found {
         Ok(kept) => kept,
@@ -31,15 +31,15 @@
     }
 }
 
-fn whose(bytes: &[u8], name: &str) -> Result<Kept> {
-    let kept: Kept = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
+fn whose(bytes: &[u8], name: &str) -> Result<Snapshot> {
+    let kept: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
     anyhow::ensure!(kept.name == name, "it is {}'s", kept.name);
     Ok(kept)
 }
 
 /// Writes what comes, the newest only, as long as the process lives.
-pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Kept>>, handle: Handle) {
-    let written = |kept: Kept| {
+pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, handle: Handle) {
+    let written = |kept: Snapshot| {
         let handle = handle.clone();
         async move { _ = handle.say(Event::Kept(Box::new(kept))).await }
     };
--- a/crates/proxy/src/fleet/replication/handle.rs
+++ b/crates/proxy/src/fleet/replication/handle.rs
@@ -1,7 +1,7 @@
 //! The way to the replica's actor, and what holds by the orders.
 
 use crate::fleet::wire::Frame;
-use pumicebay_replication::{Kept, Lease, LinkId, Message, Refusal, Service, Stamp, Status};
+use pumicebay_replication::{Lease, LinkId, Message, Refusal, ServiceState, Snapshot, Stamp, Status};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     pub node: String,
-    pub service: Service,
+    pub service: ServiceState,
     pub lease: Option<Lease>,
 }
 
@@ -38,7 +38,7 @@
         link: LinkId,
     },
     DialFailed,
-    Kept(Box<Kept>),
+    Kept(Box<Snapshot>),
     Give {
         order: Order,
         answer: oneshot::Sender<Result<Stamp, Refusal>>,
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ordered {
     pub revision: u64,
-    pub services: BTreeMap<String, Service>,
+    pub services: BTreeMap<String, ServiceState>,
 }
 
 /// Why an order was not given.
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -110,12 +110,13 @@
         };
         if let Some(status) = status {
             let age = status
-                .age
+                .last_heard_age
                 .map_or("nothing heard yet".into(), |age| format!("as of {:.1} s ago", age as f64 / 1e9));
-            let (linked, differing, out) = (status.linked.len(), status.differing.len(), status.out.len());
+            let (linked, differing, out) =
+                (status.linked_peers.len(), status.differing_peers.len(), status.out_of_service.len());
             words += &format!(
                 ", replication: {} orders {age}, {out} nodes out, {linked} peers linked, {differing} differ",
-                status.orders
+                status.order_count
             );
         }
         words
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -5,26 +5,26 @@
 //! Each process drives a [`Replica`]: one method for each thing that can happen, which acts by calls to its [`Host`].
 //! Replication is eventually consistent: it must never be leaned on by a rule that needs something to be true at once.
 
-mod acts;
+mod actions;
+mod fault_injection;
 mod link;
 mod map;
 mod message;
 mod order;
 mod peers;
-mod planted;
 mod replica;
 mod status;
 mod vector;
 
-pub use acts::{Act, Acts};
+pub use actions::{Action, ActionQueue};
+pub use fault_injection::{Fault, inject};
 pub use link::LinkId;
-pub use map::{Joined, Kept, Map};
-pub use message::{Knowledge, Message, Part, Summary};
-pub use order::{Entry, Lease, Order, Origin, Refusal, Service, Slot, Stamp, holds};
-pub use planted::{Fault, plant};
-pub use replica::{Host, Now, Replica, Report, Terms};
+pub use map::{JoinOutcome, OrderMap, Snapshot};
+pub use message::{Chunk, Knowledge, Message, Summary};
+pub use order::{Entry, Lease, Order, Refusal, ReplicaId, ServiceState, Slot, Stamp, effective_state};
+pub use replica::{Host, Now, Replica, ReplicaConfig, Report};
 pub use status::Status;
-pub use vector::Vector;
+pub use vector::VersionVector;
 
 /// Whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -5,9 +5,11 @@
 //! how a copy which was away for longer than dropped orders are kept learns of their end.
 
 use crate::Nanos;
-use crate::order::{Entry, LONGEST_NAME, Lease, Order, Origin, Refusal, Service, Slot, Stamp, holds};
-use crate::planted::{Fault, planted};
-use crate::vector::Vector;
+use crate::fault_injection::{Fault, is_injected};
+use crate::order::{
+    Entry, Lease, MAX_NAME_BYTES, Order, Refusal, ReplicaId, ServiceState, Slot, Stamp, effective_state,
+};
+use crate::vector::VersionVector;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::cmp::Ordering;
@@ -15,14 +17,14 @@
 use std::hash::{Hash, Hasher};
 
 /// Orders that a replica keeps at most, and leases that may speak for one node.
-pub const MOST_ORDERS: usize = 1 << 14;
-const MOST_LEASES: usize = 16;
+pub const MAX_ORDERS: usize = 1 << 14;
+const MAX_LEASES_PER_NODE: usize = 16;
 /// Dropped orders that are remembered, the newest: what comes late and loses to one of them has ended.
-const MOST_REMEMBERED: usize = 4096;
+const MAX_RECENTLY_DROPPED: usize = 4096;
 
 /// What became of an order that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joined {
+pub enum JoinOutcome {
     /// It is kept, or it ended one that was.
     Changed,
     /// One that wins over it, or the same, is known.
@@ -30,223 +32,247 @@
     /// The same stamp with other contents; the one that wins is kept.
     Conflict,
     /// Its stamp is too far ahead of this clock.
-    Future,
+    FutureStamp,
     /// There is no room for more.
-    Full,
+    LimitReached,
 }
 
 /// What a replica keeps over a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Snapshot {
     /// Whose copy it is.
     pub name: String,
     /// Unix time when another replica was heard last.
     pub as_of: Nanos,
     pub entries: Vec<Entry>,
-    pub vector: Vector,
-    pub horizon: Vector,
+    pub vector: VersionVector,
+    pub gc_horizon: VersionVector,
     /// Orders that were dropped, and what they had ended comes no more.
-    pub remembered: Vec<Entry>,
+    pub recently_dropped: Vec<Entry>,
     /// What others are known to cover.
-    pub seen_elsewhere: Vector,
+    pub seen_elsewhere: VersionVector,
 }
 
 /// Orders by slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Map {
+pub struct OrderMap {
     orders: BTreeMap<Slot, Order>,
-    pub vector: Vector,
+    pub vector: VersionVector,
     /// By origin, the highest version of an order that was dropped because it had expired.
-    pub horizon: Vector,
+    pub gc_horizon: VersionVector,
     /// Dropped orders, by slot. They are not sent; a copy that forgot them only takes longer to learn what has ended.
-    remembered: BTreeMap<Slot, Order>,
+    recently_dropped: BTreeMap<Slot, Order>,
     /// The newest time of any stamp that came: the next one given here is later.
-    newest: Nanos,
+    newest_time: Nanos,
     /// Of all orders, joined by exclusive or.
     digest: u64,
 }
 
 /// The same number for the same value in every process and build of one version.
-pub fn digest_of(value: &impl Hash) -> u64 {
+pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7075_6d69, 0x6365_6261);
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-impl Map {
+impl OrderMap {
     /// From what was kept.
-    pub fn restored(kept: &Kept) -> Map {
-        let mut map = Map { vector: kept.vector.clone(), horizon: kept.horizon.clone(), ..Map::default() };
-        for entry in kept.entries.iter().filter(|entry| entry.is_sound()) {
-            map.put(entry.slot.clone(), entry.order.clone());
+    pub fn from_snapshot(snapshot: &Snapshot) -> OrderMap {
+        let mut map = OrderMap {
+            vector: snapshot.vector.clone(),
+            gc_horizon: snapshot.gc_horizon.clone(),
+            ..OrderMap::default()
+        };
+        for entry in snapshot.entries.iter().filter(|entry| entry.is_valid()) {
+            map.insert(entry.slot.clone(), entry.order.clone());
         }
-        for entry in &kept.remembered {
-            map.remember(entry.slot.clone(), entry.order.clone());
+        for entry in &snapshot.recently_dropped {
+            map.record_dropped(entry.slot.clone(), entry.order.clone());
         }
         map
     }
 
     /// Joins an order that came, and covers it if it is taken or known. `now` is Unix time; an order that puts a node back
     /// expires after `retention`.
-    pub fn join(&mut self, now: Nanos, entry: &Entry, most_ahead: Nanos, retention: Nanos) -> Joined {
-        let joined = self.join_order(now, entry, most_ahead, retention);
-        if !matches!(joined, Joined::Future | Joined::Full) {
-            self.newest = self.newest.max(entry.order.stamp.time);
+    pub fn join(
+        &mut self,
+        now: Nanos,
+        entry: &Entry,
+        max_clock_skew: Nanos,
+        retention: Nanos,
+    ) -> JoinOutcome {
+        let outcome = self.join_order(now, entry, max_clock_skew, retention);
+        if !matches!(outcome, JoinOutcome::FutureStamp | JoinOutcome::LimitReached) {
+            self.newest_time = self.newest_time.max(entry.order.stamp.time);
             self.vector.add(&entry.order.stamp);
         }
-        joined
+        outcome
     }
 
-    fn join_order(&mut self, now: Nanos, entry: &Entry, most_ahead: Nanos, retention: Nanos) -> Joined {
+    fn join_order(
+        &mut self,
+        now: Nanos,
+        entry: &Entry,
+        max_clock_skew: Nanos,
+        retention: Nanos,
+    ) -> JoinOutcome {
         let Entry { slot, order } = entry;
-        if order.stamp.time > now.saturating_add(most_ahead) && !planted(Fault::AcceptsFuture) {
-            return Joined::Future;
+        if order.stamp.time > now.saturating_add(max_clock_skew) && !is_injected(Fault::AcceptsFutureStamps) {
+            return JoinOutcome::FutureStamp;
         }
         let known = self.orders.get(slot);
-        let conflict = known.is_some_and(|known| known.stamp == order.stamp && known != order);
-        if known.is_some_and(|known| order.wins_over(known) != Ordering::Greater) {
-            return if conflict { Joined::Conflict } else { Joined::Known };
+        let conflicting = known.is_some_and(|known| known.stamp == order.stamp && known != order);
+        if known.is_some_and(|known| order.cmp_precedence(known) != Ordering::Greater) {
+            return if conflicting { JoinOutcome::Conflict } else { JoinOutcome::Known };
         }
-        if known.is_none() && self.has_ended(slot, order) {
-            return Joined::Known;
+        if known.is_none() && self.is_superseded(slot, order) {
+            return JoinOutcome::Known;
         }
         if expired(order, now, retention) {
             // It has ended all that it won over, here too.
-            let ended = self.take(slot).is_some();
-            self.remember(slot.clone(), order.clone());
-            self.horizon.raise(&order.stamp.origin, order.stamp.version);
-            return if ended { Joined::Changed } else { Joined::Known };
+            let superseded = self.remove(slot).is_some();
+            self.record_dropped(slot.clone(), order.clone());
+            self.gc_horizon.raise(&order.stamp.issuer, order.stamp.version);
+            return if superseded { JoinOutcome::Changed } else { JoinOutcome::Known };
         }
-        if known.is_none() && self.orders.len() >= MOST_ORDERS {
-            return Joined::Full;
+        if known.is_none() && self.orders.len() >= MAX_ORDERS {
+            return JoinOutcome::LimitReached;
         }
-        self.put(slot.clone(), order.clone());
-        if conflict { Joined::Conflict } else { Joined::Changed }
+        self.insert(slot.clone(), order.clone());
+        if conflicting { JoinOutcome::Conflict } else { JoinOutcome::Changed }
     }
 
     /// Whether an order whose slot is empty here was ended by one that was dropped since.
-    fn has_ended(&self, slot: &Slot, order: &Order) -> bool {
-        let loses = |dropped: &Order| order.wins_over(dropped) != Ordering::Greater;
-        let ended = self.vector.covers(&order.stamp) || self.remembered.get(slot).is_some_and(loses);
-        ended && !planted(Fault::KeepsStaleCopy)
+    fn is_superseded(&self, slot: &Slot, order: &Order) -> bool {
+        let does_not_win = |dropped: &Order| order.cmp_precedence(dropped) != Ordering::Greater;
+        let superseded =
+            self.vector.covers(&order.stamp) || self.recently_dropped.get(slot).is_some_and(does_not_win);
+        superseded && !is_injected(Fault::KeepsStaleCopy)
     }
 
-    fn remember(&mut self, slot: Slot, order: Order) {
-        let known = self.remembered.get(&slot);
-        if known.is_some_and(|known| order.wins_over(known) != Ordering::Greater) {
+    fn record_dropped(&mut self, slot: Slot, order: Order) {
+        let known = self.recently_dropped.get(&slot);
+        if known.is_some_and(|known| order.cmp_precedence(known) != Ordering::Greater) {
             return;
         }
-        self.remembered.insert(slot, order);
-        if self.remembered.len() > MOST_REMEMBERED {
-            let oldest = self.remembered.iter().min_by_key(|(_, order)| order.stamp.time);
+        self.recently_dropped.insert(slot, order);
+        if self.recently_dropped.len() > MAX_RECENTLY_DROPPED {
+            let oldest = self.recently_dropped.iter().min_by_key(|(_, order)| order.stamp.time);
             let oldest = oldest.map(|(slot, _)| slot.clone());
-            oldest.into_iter().for_each(|slot| _ = self.remembered.remove(&slot));
+            oldest.into_iter().for_each(|slot| _ = self.recently_dropped.remove(&slot));
         }
     }
 
     /// Orders that were dropped and are remembered.
-    pub fn remembered(&self) -> impl Iterator<Item = Entry> + '_ {
-        self.remembered.iter().map(|(slot, order)| Entry { slot: slot.clone(), order: order.clone() })
+    pub fn recently_dropped(&self) -> impl Iterator<Item = Entry> + '_ {
+        self.recently_dropped.iter().map(|(slot, order)| Entry { slot: slot.clone(), order: order.clone() })
     }
 
     /// Drops what has ended according to another copy, all of which is given: orders that its vector covers and whose
     /// slots are empty there.
-    pub fn drop_ended(&mut self, slots: &BTreeSet<Slot>, vector: &Vector) -> usize {
-        if planted(Fault::KeepsStaleCopy) {
+    pub fn drop_superseded(&mut self, slots: &BTreeSet<Slot>, vector: &VersionVector) -> usize {
+        if is_injected(Fault::KeepsStaleCopy) {
             return 0;
         }
-        let has_ended =
+        let is_superseded =
             |(slot, order): &(&Slot, &Order)| !slots.contains(*slot) && vector.covers(&order.stamp);
-        let ended: Vec<Slot> = self.orders.iter().filter(has_ended).map(|(slot, _)| slot.clone()).collect();
-        for slot in &ended {
-            if let Some(order) = self.take(slot) {
-                self.remember(slot.clone(), order);
+        let superseded: Vec<Slot> =
+            self.orders.iter().filter(is_superseded).map(|(slot, _)| slot.clone()).collect();
+        for slot in &superseded {
+            if let Some(order) = self.remove(slot) {
+                self.record_dropped(slot.clone(), order);
             }
         }
-        ended.len()
+        superseded.len()
     }
 
     /// Orders older than dropped ones are kept that this vector does not cover.
-    pub fn doubtful(&self, now: Nanos, retention: Nanos, vector: &Vector) -> Vec<Entry> {
-        let old = |entry: &Entry| entry.order.stamp.time.saturating_add(retention) <= now;
-        self.entries().filter(|entry| old(entry) && !vector.covers(&entry.order.stamp)).collect()
+    pub fn possibly_superseded(&self, now: Nanos, retention: Nanos, vector: &VersionVector) -> Vec<Entry> {
+        let past_retention = |entry: &Entry| entry.order.stamp.time.saturating_add(retention) <= now;
+        self.entries().filter(|entry| past_retention(entry) && !vector.covers(&entry.order.stamp)).collect()
     }
 
     /// Gives an order here. `now` is Unix time.
-    pub fn give(
+    pub fn issue(
         &mut self,
         now: Nanos,
-        me: &Origin,
+        issuer: &ReplicaId,
         node: &str,
-        service: Service,
+        service: ServiceState,
         lease: Option<Lease>,
     ) -> Result<Entry, Refusal> {
-        let sound = |name: &str| (1..=LONGEST_NAME).contains(&name.len());
-        if !sound(node) || lease.as_ref().is_some_and(|lease| !sound(&lease.name)) {
-            return Err(Refusal::Name);
+        let valid_name = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
+        if !valid_name(node) || lease.as_ref().is_some_and(|lease| !valid_name(&lease.name)) {
+            return Err(Refusal::InvalidName);
         }
         let slot = Slot { node: node.into(), lease: lease.as_ref().map(|lease| lease.name.clone()) };
         let token = lease.as_ref().map_or(0, |lease| lease.token);
-        let spoken = self.slots(node).find_map(|(slot, _)| slot.lease.clone());
-        if let (None, Some(lease)) = (&lease, spoken) {
-            return Err(Refusal::UnderLease { lease });
+        let governing_lease = self.orders_of_node(node).find_map(|(slot, _)| slot.lease.clone());
+        if let (None, Some(lease)) = (&lease, governing_lease) {
+            return Err(Refusal::LeaseRequired { lease });
         }
         let known = self.orders.get(&slot);
-        let highest = known.or(self.remembered.get(&slot)).map_or(0, |order| order.token);
+        let highest = known.or(self.recently_dropped.get(&slot)).map_or(0, |order| order.token);
         if token < highest {
-            return Err(Refusal::Late { token: highest });
+            return Err(Refusal::StaleToken { token: highest });
         }
-        let full = self.orders.len() >= MOST_ORDERS || self.slots(node).count() >= MOST_LEASES;
+        let full =
+            self.orders.len() >= MAX_ORDERS || self.orders_of_node(node).count() >= MAX_LEASES_PER_NODE;
         if known.is_none() && full {
-            return Err(Refusal::Full);
+            return Err(Refusal::LimitReached);
         }
-        let version = self.vector.get(me) + 1;
-        let stamp = Stamp { time: now.max(self.newest + 1), origin: me.clone(), version };
+        let version = self.vector.get(issuer) + 1;
+        let stamp = Stamp { time: now.max(self.newest_time + 1), issuer: issuer.clone(), version };
         let order = Order { service, token, stamp };
-        self.put(slot.clone(), order.clone());
-        self.vector.raise(me, version);
+        self.insert(slot.clone(), order.clone());
+        self.vector.raise(issuer, version);
         Ok(Entry { slot, order })
     }
 
     /// Drops orders that put nodes back, once they have expired. Gives how many.
     pub fn drop_expired(&mut self, now: Nanos, retention: Nanos) -> usize {
-        let gone = |order: &Order| {
-            let at_once = planted(Fault::NoTombstones) && order.service == Service::In;
-            at_once || expired(order, now, retention)
+        let should_drop = |order: &Order| {
+            let drop_at_once = is_injected(Fault::NoTombstones) && order.service == ServiceState::In;
+            drop_at_once || expired(order, now, retention)
         };
-        let expired: Vec<Slot> =
-            self.orders.iter().filter(|(_, order)| gone(order)).map(|(slot, _)| slot.clone()).collect();
+        let expired: Vec<Slot> = self
+            .orders
+            .iter()
+            .filter(|(_, order)| should_drop(order))
+            .map(|(slot, _)| slot.clone())
+            .collect();
         for slot in &expired {
-            if let Some(order) = self.take(slot)
-                && !planted(Fault::NoTombstones)
+            if let Some(order) = self.remove(slot)
+                && !is_injected(Fault::NoTombstones)
             {
-                self.horizon.raise(&order.stamp.origin, order.stamp.version);
-                self.remember(slot.clone(), order);
+                self.gc_horizon.raise(&order.stamp.issuer, order.stamp.version);
+                self.record_dropped(slot.clone(), order);
             }
         }
         expired.len()
     }
 
-    fn put(&mut self, slot: Slot, order: Order) {
-        self.newest = self.newest.max(order.stamp.time);
-        self.digest ^= digest_of(&(&slot, &order));
+    fn insert(&mut self, slot: Slot, order: Order) {
+        self.newest_time = self.newest_time.max(order.stamp.time);
+        self.digest ^= stable_hash(&(&slot, &order));
         if let Some(before) = self.orders.insert(slot.clone(), order) {
-            self.digest ^= digest_of(&(&slot, &before));
+            self.digest ^= stable_hash(&(&slot, &before));
         }
     }
 
-    fn take(&mut self, slot: &Slot) -> Option<Order> {
+    fn remove(&mut self, slot: &Slot) -> Option<Order> {
         let order = self.orders.remove(slot)?;
-        self.digest ^= digest_of(&(slot, &order));
+        self.digest ^= stable_hash(&(slot, &order));
         Some(order)
     }
 
     /// Orders that a vector does not cover, the newest first.
-    pub fn beyond(&self, vector: &Vector) -> Vec<Slot> {
-        let beyond = self.orders.iter().filter(|(_, order)| !vector.covers(&order.stamp));
-        let mut beyond: Vec<(&Stamp, &Slot)> = beyond.map(|(slot, order)| (&order.stamp, slot)).collect();
-        beyond.sort_by(|one, other| other.cmp(one));
-        beyond.into_iter().map(|(_, slot)| slot.clone()).collect()
+    pub fn not_covered_by(&self, vector: &VersionVector) -> Vec<Slot> {
+        let uncovered = self.orders.iter().filter(|(_, order)| !vector.covers(&order.stamp));
+        let mut uncovered: Vec<(&Stamp, &Slot)> =
+            uncovered.map(|(slot, order)| (&order.stamp, slot)).collect();
+        uncovered.sort_by(|one, other| other.cmp(one));
+        uncovered.into_iter().map(|(_, slot)| slot.clone()).collect()
     }
 
     pub fn get(&self, slot: &Slot) -> Option<Entry> {
@@ -254,14 +280,14 @@
         Some(Entry { slot: slot.clone(), order })
     }
 
-    fn slots<'a>(&'a self, node: &'a str) -> impl Iterator<Item = (&'a Slot, &'a Order)> {
+    fn orders_of_node<'a>(&'a self, node: &'a str) -> impl Iterator<Item = (&'a Slot, &'a Order)> {
         let first = Slot { node: node.into(), lease: None };
         self.orders.range(first..).take_while(move |(slot, _)| slot.node == node)
     }
 
     /// What holds for a node; `None` where no order is known.
-    pub fn holds(&self, node: &str) -> Option<Service> {
-        holds(self.slots(node))
+    pub fn effective_state(&self, node: &str) -> Option<ServiceState> {
+        effective_state(self.orders_of_node(node))
     }
 
     /// All nodes that orders are known for.
@@ -289,5 +315,5 @@
 
 /// Whether an order puts its node back and is older than tombstones are kept.
 fn expired(order: &Order, now: Nanos, retention: Nanos) -> bool {
-    order.service == Service::In && order.stamp.time.saturating_add(retention) <= now
+    order.service == ServiceState::In && order.stamp.time.saturating_add(retention) <= now
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,15 +1,15 @@
 //! What two replicas say to each other over a link.
 
 use crate::order::Entry;
-use crate::vector::Vector;
+use crate::vector::VersionVector;
 use serde::{Deserialize, Serialize};
 
 /// How far a replica knows what was ordered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Knowledge {
-    pub vector: Vector,
+    pub vector: VersionVector,
     /// By origin, the highest version that was dropped because it had expired.
-    pub horizon: Vector,
+    pub gc_horizon: VersionVector,
 }
 
 /// What a replica has, in short.
@@ -22,14 +22,14 @@
 
 /// Some of the orders that the other lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Chunk {
     /// Counts on a link; the answer bears it.
     pub number: u64,
     /// Together with its other parts all that the sender has: what it lacks and covers has ended.
-    pub whole: bool,
+    pub full_copy: bool,
     pub entries: Vec<Entry>,
     /// With the last part: what the sender knew when it began, beyond what the receiver covered then; of a whole one all.
-    pub last: Option<Knowledge>,
+    pub sender_knowledge: Option<Knowledge>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,11 +37,11 @@
     /// A digest of orders and knowledge: who has the same says nothing, else its summary.
     Heartbeat(u64),
     Summary(Summary),
-    Part(Part),
+    Chunk(Chunk),
     /// The answer to the part of this number: the next may come. `taken` says that its orders are known here.
-    Took {
+    Ack {
         number: u64,
-        taken: bool,
+        accepted: bool,
     },
 }
 
--- a/crates/replication/src/order.rs
+++ b/crates/replication/src/order.rs
@@ -3,17 +3,17 @@
 //! from all its slots.
 
 use crate::Nanos;
-use crate::planted::{Fault, planted};
+use crate::fault_injection::{Fault, is_injected};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
 /// The longest name of a node, of a lease or of a process, in bytes.
-pub const LONGEST_NAME: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 
 /// One start of a process. Each start is another origin, so that no number is ever used twice, whatever its disk says.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Origin {
+pub struct ReplicaId {
     pub name: String,
     /// A number that no other start draws.
     pub incarnation: u64,
@@ -24,14 +24,14 @@
 pub struct Stamp {
     /// Unix time, or one more than the newest that its origin had seen, if that is later.
     pub time: Nanos,
-    pub origin: Origin,
+    pub issuer: ReplicaId,
     /// The origin's orders count from 1.
     pub version: u64,
 }
 
 /// What an order says of its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Service {
+pub enum ServiceState {
     In,
     /// Nothing new is sent there.
     Out,
@@ -54,7 +54,7 @@
 /// An order as a slot keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    pub service: Service,
+    pub service: ServiceState,
     /// 0 without a lease.
     pub token: u64,
     pub stamp: Stamp,
@@ -71,46 +71,47 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The lease has gone on to this token.
-    Late { token: u64 },
+    StaleToken { token: u64 },
     /// A lease has spoken for this node: only an order under a lease may change that.
-    UnderLease { lease: String },
+    LeaseRequired { lease: String },
     /// A name is empty or longer than it may be.
-    Name,
+    InvalidName,
     /// There are as many orders, or leases for one node, as may be.
-    Full,
+    LimitReached,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Late { token } => write!(f, "the lease has gone on to token {token}"),
-            Refusal::UnderLease { lease } => {
+            Refusal::StaleToken { token } => write!(f, "the lease has gone on to token {token}"),
+            Refusal::LeaseRequired { lease } => {
                 write!(f, "lease {lease:?} has spoken for it: an order needs a lease and its token")
             }
-            Refusal::Name => write!(f, "expected names of 1 to {LONGEST_NAME} bytes"),
-            Refusal::Full => write!(f, "too many orders or leases are known"),
+            Refusal::InvalidName => write!(f, "expected names of 1 to {MAX_NAME_BYTES} bytes"),
+            Refusal::LimitReached => write!(f, "too many orders or leases are known"),
         }
     }
 }
 
 impl Order {
     /// A total order within a slot: a higher token wins, then the later time, then out of service.
-    pub fn wins_over(&self, other: &Order) -> Ordering {
-        let token = self.token.cmp(&other.token);
-        let time = self.stamp.time.cmp(&other.stamp.time);
-        let first = if planted(Fault::TimeBeforeToken) { time.then(token) } else { token.then(time) };
-        first.then(self.service.cmp(&other.service)).then_with(|| self.stamp.cmp(&other.stamp))
+    pub fn cmp_precedence(&self, other: &Order) -> Ordering {
+        let by_token = self.token.cmp(&other.token);
+        let by_time = self.stamp.time.cmp(&other.stamp.time);
+        let by_token_and_time =
+            if is_injected(Fault::TimeBeforeToken) { by_time.then(by_token) } else { by_token.then(by_time) };
+        by_token_and_time.then(self.service.cmp(&other.service)).then_with(|| self.stamp.cmp(&other.stamp))
     }
 }
 
 impl Entry {
     /// Whether all its names may be used.
-    pub fn is_sound(&self) -> bool {
-        let sound = |name: &str| (1..=LONGEST_NAME).contains(&name.len());
+    pub fn is_valid(&self) -> bool {
+        let valid_name = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
         let lease = self.slot.lease.as_deref();
-        sound(&self.slot.node)
-            && sound(&self.order.stamp.origin.name)
-            && lease.is_none_or(sound)
+        valid_name(&self.slot.node)
+            && valid_name(&self.order.stamp.issuer.name)
+            && lease.is_none_or(valid_name)
             && (lease.is_some() || self.order.token == 0)
             && self.order.stamp.version > 0
     }
@@ -118,9 +119,9 @@
 
 /// What holds for a node, given the orders of all its slots: the latest of those given under a lease, out of service where
 /// two are as late; without any of those the one without a lease. `None` where there is no order at all.
-pub fn holds<'a>(slots: impl Iterator<Item = (&'a Slot, &'a Order)>) -> Option<Service> {
-    let latest = |(slot, order): (&'a Slot, &'a Order)| {
+pub fn effective_state<'a>(orders: impl Iterator<Item = (&'a Slot, &'a Order)>) -> Option<ServiceState> {
+    let precedence = |(slot, order): (&'a Slot, &'a Order)| {
         (slot.lease.is_some(), order.stamp.time, order.service, &order.stamp)
     };
-    slots.map(latest).max().map(|(_, _, service, _)| service)
+    orders.map(precedence).max().map(|(_, _, service, _)| service)
 }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -5,93 +5,94 @@
 use std::collections::BTreeSet;
 
 /// A peer is drawn anew after half of this up to all of it.
-const REDRAW: Nanos = 6 * SECOND;
+const ROTATION_PERIOD: Nanos = 6 * SECOND;
 /// The wait before another peer is dialled after one that could not be reached, by chance up to this, twice as much each
 /// time, up to the other.
-const REDIAL: [Nanos; 2] = [50 * MILLISECOND, 2 * SECOND];
+const REDIAL_BACKOFF: [Nanos; 2] = [50 * MILLISECOND, 2 * SECOND];
 /// A dial that has not come to anything by then is given up.
-const DIALLING: Nanos = 2 * SECOND;
+const DIAL_TIMEOUT: Nanos = 2 * SECOND;
 
 /// Draws peers and paces dials.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peers {
     names: Vec<String>,
     /// Links that are wanted.
-    wanted: usize,
+    target_links: usize,
     dialling: Option<(String, Nanos)>,
     next_dial: Nanos,
     failures: u32,
-    redraw_at: Nanos,
+    rotate_at: Nanos,
 }
 
 impl Peers {
-    pub fn new(now: Nanos, names: Vec<String>, wanted: usize, chance: f64) -> Peers {
-        let redraw_at = now + REDRAW / 2 + part(REDRAW / 2, chance);
-        Peers { names, wanted, dialling: None, next_dial: now, failures: 0, redraw_at }
+    pub fn new(now: Nanos, names: Vec<String>, target_links: usize, random: f64) -> Peers {
+        let rotate_at = now + ROTATION_PERIOD / 2 + random_fraction(ROTATION_PERIOD / 2, random);
+        Peers { names, target_links, dialling: None, next_dial: now, failures: 0, rotate_at }
     }
 
     /// Whom to dial now, if anybody: `linked` are those that there is a link to, `dialled` how many of them were dialled
     /// here.
-    pub fn draw(
+    pub fn choose(
         &mut self,
         now: Nanos,
         linked: &BTreeSet<&str>,
         dialled: usize,
-        chance: &mut impl FnMut() -> f64,
+        random: &mut impl FnMut() -> f64,
     ) -> Option<String> {
-        if self.dialling.as_ref().is_some_and(|(_, since)| now >= since + DIALLING) {
-            self.failed(now, chance());
+        if self.dialling.as_ref().is_some_and(|(_, since)| now >= since + DIAL_TIMEOUT) {
+            self.dial_failed(now, random());
         }
-        let redraw = now >= self.redraw_at;
-        let lacks = dialled < self.wanted || redraw;
-        if self.dialling.is_some() || now < self.next_dial || !lacks {
+        let rotate = now >= self.rotate_at;
+        let below_target = dialled < self.target_links || rotate;
+        if self.dialling.is_some() || now < self.next_dial || !below_target {
             return None;
         }
-        if redraw {
-            self.redraw_at = now + REDRAW / 2 + part(REDRAW / 2, chance());
+        if rotate {
+            self.rotate_at = now + ROTATION_PERIOD / 2 + random_fraction(ROTATION_PERIOD / 2, random());
         }
-        let others: Vec<&String> = self.names.iter().filter(|name| !linked.contains(name.as_str())).collect();
-        let drawn = (others.len() as f64 * chance()) as usize;
-        let name = others.get(drawn.min(others.len().saturating_sub(1)))?.to_string();
+        let candidates: Vec<&String> =
+            self.names.iter().filter(|name| !linked.contains(name.as_str())).collect();
+        let index = (candidates.len() as f64 * random()) as usize;
+        let name = candidates.get(index.min(candidates.len().saturating_sub(1)))?.to_string();
         self.dialling = Some((name.clone(), now));
         Some(name)
     }
 
     /// The dial came to a link.
-    pub fn reached(&mut self, peer: &str) {
+    pub fn dial_succeeded(&mut self, peer: &str) {
         if self.dialling.as_ref().is_some_and(|(name, _)| name == peer) {
             (self.dialling, self.failures) = (None, 0);
         }
     }
 
     /// The dial came to nothing.
-    pub fn failed(&mut self, now: Nanos, chance: f64) {
+    pub fn dial_failed(&mut self, now: Nanos, random: f64) {
         if self.dialling.take().is_some() {
-            let most = (REDIAL[0] << self.failures.min(10)).min(REDIAL[1]);
+            let max = (REDIAL_BACKOFF[0] << self.failures.min(10)).min(REDIAL_BACKOFF[1]);
             self.failures += 1;
-            self.next_dial = now + part(most, chance);
+            self.next_dial = now + random_fraction(max, random);
         }
     }
 
     /// Whether more were dialled than are wanted.
-    pub fn too_many(&self, dialled: usize) -> bool {
-        dialled > self.wanted
+    pub fn exceeds_target(&self, dialled: usize) -> bool {
+        dialled > self.target_links
     }
 
     /// When to look again. `lacks` says that fewer links are up than wanted and somebody is left to be dialled.
-    pub fn due(&self, lacks: bool) -> Nanos {
+    pub fn next_deadline(&self, below_target: bool) -> Nanos {
         match &self.dialling {
-            Some((_, since)) => since + DIALLING,
-            None if lacks => self.next_dial,
-            None => self.redraw_at.max(self.next_dial),
+            Some((_, since)) => since + DIAL_TIMEOUT,
+            None if below_target => self.next_dial,
+            None => self.rotate_at.max(self.next_dial),
         }
     }
 
-    pub fn wanted(&self) -> usize {
-        self.wanted.min(self.names.len())
+    pub fn target_links(&self) -> usize {
+        self.target_links.min(self.names.len())
     }
 }
 
-fn part(most: Nanos, chance: f64) -> Nanos {
-    (most as f64 * chance) as Nanos
+fn random_fraction(max: Nanos, random: f64) -> Nanos {
+    (max as f64 * random) as Nanos
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -4,66 +4,66 @@
 mod receiving;
 mod sending;
 
+use crate::fault_injection::{Fault, is_injected};
 use crate::link::{Link, LinkId};
-use crate::map::{Kept, Map, digest_of};
+use crate::map::{OrderMap, Snapshot, stable_hash};
 use crate::message::Message;
-use crate::order::{Entry, Lease, Origin, Refusal, Service};
+use crate::order::{Entry, Lease, Refusal, ReplicaId, ServiceState};
 use crate::peers::Peers;
-use crate::planted::{Fault, planted};
 use crate::status::Status;
-use crate::vector::Vector;
+use crate::vector::VersionVector;
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A change is followed by a heartbeat on each link after this: the orders themselves have come by then.
-const SETTLED: Nanos = SECOND;
+const HEARTBEAT_AFTER_CHANGE: Nanos = SECOND;
 /// The copy goes to disk this soon after the last time, and without orders as late as the other.
-const KEEP: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
+const PERSIST_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
 /// Expired orders are looked for this often.
-const SWEEP: Nanos = SECOND;
+const EXPIRY_CHECK_INTERVAL: Nanos = SECOND;
 /// Links that others may have dialled; more are closed.
-const MOST_TAKEN: usize = 64;
+const MAX_ACCEPTED_LINKS: usize = 64;
 
 /// Both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
     /// Never steps back; spans are measured by it.
-    pub steady: Nanos,
+    pub monotonic: Nanos,
     /// Unix time, for stamps.
     pub unix: Nanos,
 }
 
 /// What a replica is, and its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
-    pub me: Origin,
+pub struct ReplicaConfig {
+    pub id: ReplicaId,
     /// All others of the group.
     pub peers: Vec<String>,
     /// Links that it keeps to peers of its choice.
-    pub links: usize,
+    pub target_links: usize,
     /// An order that puts a node back is kept for so long.
     pub retention: Nanos,
     /// A stamp may be so far ahead of this replica's clock.
-    pub most_ahead: Nanos,
+    pub max_clock_skew: Nanos,
     /// To all peers together, in any second.
     pub bytes_per_second: usize,
     /// In one part.
-    pub part_bytes: usize,
+    pub chunk_bytes: usize,
 }
 
 /// What the process should log or count.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// A stamp is too far ahead; said once an origin.
-    Future { entry: Entry, ahead: Nanos },
+    FutureStamp { entry: Entry, ahead: Nanos },
     /// One stamp with two contents.
     Conflict { entry: Entry },
     /// This copy missed orders that this peer has dropped since; so many of its own had ended by them.
-    WasAway { peer: String, ended: usize },
+    StaleCopy { peer: String, superseded: usize },
     /// An order older than ended ones are remembered, of a copy that was away: whether it had ended can't be told.
-    Doubtful { entry: Entry },
+    PossiblySuperseded { entry: Entry },
     /// The disk's copy is not used.
-    NotUsed { why: String },
+    SnapshotIgnored { reason: String },
 }
 
 /// What a replica asks of the process that it lives in.
@@ -74,96 +74,101 @@
     /// Ends a link; nothing comes back for it.
     fn close(&mut self, link: LinkId);
     /// From now on this holds for the node.
-    fn apply(&mut self, node: &str, service: Service);
+    fn apply(&mut self, node: &str, service: ServiceState);
     /// To disk; comes back as `kept` once it is synced, and none is asked for before.
-    fn keep(&mut self, kept: Kept);
+    fn persist(&mut self, snapshot: Snapshot);
     fn report(&mut self, report: Report);
     /// Between 0 and 1.
-    fn chance(&mut self) -> f64;
+    fn random(&mut self) -> f64;
 }
 
 /// When the disk is written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Disk {
-    writing: bool,
-    wrote: Option<Nanos>,
+struct Persistence {
+    write_in_progress: bool,
+    last_write_started: Option<Nanos>,
     due: Option<Nanos>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Counts {
-    future: u64,
+struct Counters {
+    future_stamps: u64,
     conflicts: u64,
-    bytes: u64,
+    bytes_sent: u64,
 }
 
 /// One process's copy of the orders, and its part in bringing it to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    terms: Terms,
-    map: Map,
+    config: ReplicaConfig,
+    map: OrderMap,
     /// What holds for each node that orders are known for.
-    applied: BTreeMap<String, Service>,
+    applied: BTreeMap<String, ServiceState>,
     links: BTreeMap<LinkId, Link>,
     peers: Peers,
     /// What others are known to cover.
-    seen_elsewhere: Vector,
+    seen_elsewhere: VersionVector,
     /// Unix time when another was heard last.
     as_of: Nanos,
-    doubtful: Vec<Entry>,
-    future_origins: BTreeSet<Origin>,
-    disk: Disk,
-    sweep_at: Nanos,
+    possibly_superseded: Vec<Entry>,
+    future_stamp_issuers: BTreeSet<ReplicaId>,
+    persistence: Persistence,
+    expiry_check_at: Nanos,
     /// Bytes sent in the last second, and when.
-    spent: VecDeque<(Nanos, usize)>,
-    counts: Counts,
+    recent_sends: VecDeque<(Nanos, usize)>,
+    counters: Counters,
 }
 impl Replica {
     /// From what was on the disk; what holds by it is applied at once.
-    pub fn start(now: Now, mut terms: Terms, kept: Option<Kept>, host: &mut impl Host) -> Replica {
-        if planted(Fault::ReusesOrigin) {
-            terms.me.incarnation = 1;
+    pub fn start(
+        now: Now,
+        mut config: ReplicaConfig,
+        snapshot: Option<Snapshot>,
+        host: &mut impl Host,
+    ) -> Replica {
+        if is_injected(Fault::ReusesIncarnation) {
+            config.id.incarnation = 1;
         }
-        let foreign = kept.as_ref().filter(|kept| kept.name != terms.me.name);
-        if let Some(kept) = foreign {
-            host.report(Report::NotUsed { why: format!("it is {}'s", kept.name) });
+        let other_replica = snapshot.as_ref().filter(|snapshot| snapshot.name != config.id.name);
+        if let Some(snapshot) = other_replica {
+            host.report(Report::SnapshotIgnored { reason: format!("it is {}'s", snapshot.name) });
         }
-        let kept = kept.filter(|kept| kept.name == terms.me.name).unwrap_or_default();
-        let chance = host.chance();
+        let snapshot = snapshot.filter(|snapshot| snapshot.name == config.id.name).unwrap_or_default();
+        let random = host.random();
         let mut replica = Replica {
-            map: Map::restored(&kept),
+            map: OrderMap::from_snapshot(&snapshot),
             applied: BTreeMap::new(),
             links: BTreeMap::new(),
-            peers: Peers::new(now.steady, terms.peers.clone(), terms.links, chance),
-            seen_elsewhere: kept.seen_elsewhere,
-            as_of: kept.as_of,
-            doubtful: Vec::new(),
-            future_origins: BTreeSet::new(),
-            disk: Disk::default(),
-            sweep_at: now.steady,
-            spent: VecDeque::new(),
-            counts: Counts::default(),
-            terms,
+            peers: Peers::new(now.monotonic, config.peers.clone(), config.target_links, random),
+            seen_elsewhere: snapshot.seen_elsewhere,
+            as_of: snapshot.as_of,
+            possibly_superseded: Vec::new(),
+            future_stamp_issuers: BTreeSet::new(),
+            persistence: Persistence::default(),
+            expiry_check_at: now.monotonic,
+            recent_sends: VecDeque::new(),
+            counters: Counters::default(),
+            config,
         };
-        if planted(Fault::ReusesOrigin) {
-            replica.map.vector = Vector::default();
+        if is_injected(Fault::ReusesIncarnation) {
+            replica.map.vector = VersionVector::default();
         }
-        replica.apply(host);
+        replica.apply_changes(host);
         replica.tick(now, host);
         replica
     }
 
     /// An operator's order, given at this process.
-    pub fn give(
+    pub fn issue(
         &mut self,
         now: Now,
         node: &str,
-        service: Service,
+        service: ServiceState,
         lease: Option<Lease>,
         host: &mut impl Host,
     ) -> Result<Entry, Refusal> {
-        let entry = self.map.give(now.unix, &self.terms.me, node, service, lease)?;
-        self.changed(now, host);
+        let entry = self.map.issue(now.unix, &self.config.id, node, service, lease)?;
+        self.on_change(now, host);
         self.tick(now, host);
         Ok(entry)
     }
@@ -171,24 +176,24 @@
     /// A link came up, dialled here or by the peer.
     pub fn link_up(&mut self, now: Now, link: LinkId, peer: &str, dialled: bool, host: &mut impl Host) {
         if dialled {
-            self.peers.reached(peer);
+            self.peers.dial_succeeded(peer);
         }
-        let taken = self.links.values().filter(|link| !link.dialled).count();
-        if !dialled && taken >= MOST_TAKEN {
+        let accepted = self.links.values().filter(|link| !link.dialled).count();
+        if !dialled && accepted >= MAX_ACCEPTED_LINKS {
             return host.close(link);
         }
-        self.links.insert(link, Link::new(now.steady, peer, dialled));
-        self.close_surplus(host);
+        self.links.insert(link, Link::new(now.monotonic, peer, dialled));
+        self.close_surplus_link(host);
         self.tick(now, host);
     }
 
     /// One more than wanted was dialled so that another takes its place: the one that is there longest goes.
-    fn close_surplus(&mut self, host: &mut impl Host) {
-        if !self.peers.too_many(self.dialled()) {
+    fn close_surplus_link(&mut self, host: &mut impl Host) {
+        if !self.peers.exceeds_target(self.dialled_links()) {
             return;
         }
         let dialled = self.links.iter().filter(|(_, link)| link.dialled);
-        let oldest = dialled.min_by_key(|(id, link)| (link.since, **id)).map(|(id, _)| *id);
+        let oldest = dialled.min_by_key(|(id, link)| (link.established_at, **id)).map(|(id, _)| *id);
         if let Some(oldest) = oldest {
             self.links.remove(&oldest);
             host.close(oldest);
@@ -197,7 +202,7 @@
 
     /// A dial came to nothing.
     pub fn dial_failed(&mut self, now: Now, host: &mut impl Host) {
-        self.peers.failed(now.steady, host.chance());
+        self.peers.dial_failed(now.monotonic, host.random());
         self.tick(now, host);
     }
 
@@ -208,23 +213,26 @@
     }
 
     /// What is known has changed: what holds is applied, peers are told, the disk is written.
-    fn changed(&mut self, now: Now, host: &mut impl Host) {
-        self.apply(host);
-        let due = self.disk.wrote.map_or(now.steady, |wrote| now.steady.max(wrote + KEEP[0]));
-        self.disk.due = Some(self.disk.due.map_or(due, |other| other.min(due)));
+    fn on_change(&mut self, now: Now, host: &mut impl Host) {
+        self.apply_changes(host);
+        let due = self
+            .persistence
+            .last_write_started
+            .map_or(now.monotonic, |started| now.monotonic.max(started + PERSIST_INTERVAL[0]));
+        self.persistence.due = Some(self.persistence.due.map_or(due, |other| other.min(due)));
         for link in self.links.values_mut() {
-            link.beat_at = link.beat_at.min(now.steady + SETTLED);
+            link.heartbeat_due = link.heartbeat_due.min(now.monotonic + HEARTBEAT_AFTER_CHANGE);
         }
     }
 
-    fn apply(&mut self, host: &mut impl Host) {
+    fn apply_changes(&mut self, host: &mut impl Host) {
         let mut nodes = self.map.nodes();
         nodes.extend(self.applied.keys().cloned());
         for node in nodes {
-            let service = self.map.holds(&node);
+            let service = self.map.effective_state(&node);
             let before = self.applied.get(&node).copied();
-            let known = service.unwrap_or(Service::In);
-            if before.unwrap_or(Service::In) != known {
+            let known = service.unwrap_or(ServiceState::In);
+            if before.unwrap_or(ServiceState::In) != known {
                 host.apply(&node, known);
             }
             match service {
@@ -236,105 +244,112 @@
 
     /// Some time has passed, or something happened.
     pub fn tick(&mut self, now: Now, host: &mut impl Host) {
-        if now.steady >= self.sweep_at {
-            self.sweep_at = now.steady + SWEEP;
-            if self.map.drop_expired(now.unix, self.terms.retention) > 0 {
-                self.changed(now, host);
+        if now.monotonic >= self.expiry_check_at {
+            self.expiry_check_at = now.monotonic + EXPIRY_CHECK_INTERVAL;
+            if self.map.drop_expired(now.unix, self.config.retention) > 0 {
+                self.on_change(now, host);
             }
         }
-        self.dial(now, host);
+        self.dial_if_due(now, host);
         let digest = self.digest();
         for id in self.links.keys().copied().collect::<Vec<_>>() {
-            self.serve(now, id, digest, host);
+            self.send_due_messages(now, id, digest, host);
         }
-        self.keep(now, host);
+        self.persist_if_due(now, host);
     }
 
-    fn dial(&mut self, now: Now, host: &mut impl Host) {
+    fn dial_if_due(&mut self, now: Now, host: &mut impl Host) {
         let linked: BTreeSet<&str> = self.links.values().map(|link| link.peer.as_str()).collect();
-        let dialled = self.dialled();
-        let drawn = self.peers.draw(now.steady, &linked, dialled, &mut || host.chance());
-        if let Some(peer) = drawn {
+        let dialled = self.dialled_links();
+        let chosen = self.peers.choose(now.monotonic, &linked, dialled, &mut || host.random());
+        if let Some(peer) = chosen {
             host.dial(&peer);
         }
     }
 
-    fn dialled(&self) -> usize {
+    fn dialled_links(&self) -> usize {
         self.links.values().filter(|link| link.dialled).count()
     }
 
-    fn keep(&mut self, now: Now, host: &mut impl Host) {
-        let regularly = self.disk.wrote.map_or(now.steady, |wrote| wrote + KEEP[1]);
-        let due = self.disk.due.unwrap_or(Nanos::MAX).min(regularly);
-        if self.disk.writing || now.steady < due {
+    fn persist_if_due(&mut self, now: Now, host: &mut impl Host) {
+        let periodic = self
+            .persistence
+            .last_write_started
+            .map_or(now.monotonic, |started| started + PERSIST_INTERVAL[1]);
+        let due = self.persistence.due.unwrap_or(Nanos::MAX).min(periodic);
+        if self.persistence.write_in_progress || now.monotonic < due {
             return;
         }
-        self.disk = Disk { writing: true, wrote: Some(now.steady), due: None };
-        host.keep(self.kept_copy());
+        self.persistence =
+            Persistence { write_in_progress: true, last_write_started: Some(now.monotonic), due: None };
+        host.persist(self.snapshot());
     }
 
     /// What goes to disk.
-    pub fn kept_copy(&self) -> Kept {
-        Kept {
-            name: self.terms.me.name.clone(),
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot {
+            name: self.config.id.name.clone(),
             as_of: self.as_of,
             entries: self.map.entries().collect(),
             vector: self.map.vector.clone(),
-            horizon: self.map.horizon.clone(),
-            remembered: self.map.remembered().collect(),
+            gc_horizon: self.map.gc_horizon.clone(),
+            recently_dropped: self.map.recently_dropped().collect(),
             seen_elsewhere: self.seen_elsewhere.clone(),
         }
     }
 
     /// The disk has what was last given to it.
-    pub fn kept(&mut self, now: Now, host: &mut impl Host) {
-        self.disk.writing = false;
+    pub fn persisted(&mut self, now: Now, host: &mut impl Host) {
+        self.persistence.write_in_progress = false;
         self.tick(now, host);
     }
 
     /// When `tick` wants to be called next, at the latest; anything that happens may move it.
-    pub fn due(&self) -> Nanos {
+    pub fn next_deadline(&self) -> Nanos {
         let linked: BTreeSet<&str> = self.links.values().map(|link| link.peer.as_str()).collect();
-        let lacks = self.dialled() < self.peers.wanted() && linked.len() < self.terms.peers.len();
-        let keep = match (self.disk.writing, self.disk.wrote) {
+        let below_target =
+            self.dialled_links() < self.peers.target_links() && linked.len() < self.config.peers.len();
+        let persist = match (self.persistence.write_in_progress, self.persistence.last_write_started) {
             (true, _) => Nanos::MAX,
-            (false, wrote) => {
-                self.disk.due.unwrap_or(Nanos::MAX).min(wrote.map_or(0, |wrote| wrote + KEEP[1]))
-            }
+            (false, last_write_started) => self
+                .persistence
+                .due
+                .unwrap_or(Nanos::MAX)
+                .min(last_write_started.map_or(0, |started| started + PERSIST_INTERVAL[1])),
         };
-        let links = self.links.values().map(|link| self.link_due(link)).min().unwrap_or(Nanos::MAX);
-        self.peers.due(lacks).min(keep).min(links).min(self.sweep_at)
+        let links = self.links.values().map(|link| self.link_deadline(link)).min().unwrap_or(Nanos::MAX);
+        self.peers.next_deadline(below_target).min(persist).min(links).min(self.expiry_check_at)
     }
 
     /// Equal where orders and knowledge are.
     pub fn digest(&self) -> u64 {
-        digest_of(&(&self.map.vector, self.map.digest()))
+        stable_hash(&(&self.map.vector, self.map.digest()))
     }
 
     /// The orders that it has.
-    pub fn map(&self) -> &Map {
+    pub fn map(&self) -> &OrderMap {
         &self.map
     }
 
     /// What it shows of itself.
     pub fn status(&self, now: Now) -> Status {
-        let out = self.applied.iter().filter(|(_, service)| **service == Service::Out);
+        let out_of_service = self.applied.iter().filter(|(_, service)| **service == ServiceState::Out);
         let linked: BTreeSet<String> = self.links.values().map(|link| link.peer.clone()).collect();
         let differing: BTreeSet<String> =
-            self.links.values().filter(|link| !link.equal).map(|link| link.peer.clone()).collect();
+            self.links.values().filter(|link| !link.digests_equal).map(|link| link.peer.clone()).collect();
         Status {
-            name: self.terms.me.name.clone(),
-            out: out.map(|(node, _)| node.clone()).collect(),
-            orders: self.map.len() as u64,
+            name: self.config.id.name.clone(),
+            out_of_service: out_of_service.map(|(node, _)| node.clone()).collect(),
+            order_count: self.map.len() as u64,
             vector: self.map.vector.clone(),
             digest: self.digest(),
-            age: (self.as_of > 0).then(|| now.unix.saturating_sub(self.as_of)),
-            linked: linked.into_iter().collect(),
-            differing: differing.into_iter().collect(),
-            bytes_sent: self.counts.bytes,
-            future: self.counts.future,
-            conflicts: self.counts.conflicts,
-            doubtful: self.doubtful.clone(),
+            last_heard_age: (self.as_of > 0).then(|| now.unix.saturating_sub(self.as_of)),
+            linked_peers: linked.into_iter().collect(),
+            differing_peers: differing.into_iter().collect(),
+            bytes_sent: self.counters.bytes_sent,
+            future_stamps: self.counters.future_stamps,
+            conflicts: self.counters.conflicts,
+            possibly_superseded: self.possibly_superseded.clone(),
         }
     }
 }
--- a/crates/replication/src/replica/receiving.rs
+++ b/crates/replication/src/replica/receiving.rs
@@ -1,123 +1,132 @@
 //! What comes over a link: digests and summaries of the other end, its orders in parts, and answers to own parts.
 
-use super::sending::RESEND;
-use super::{Host, Now, Replica, Report, Terms};
+use super::sending::RESEND_DELAY;
+use super::{Host, Now, Replica, ReplicaConfig, Report};
+use crate::fault_injection::{Fault, is_injected};
 use crate::link::{InFlight, Incoming, LinkId};
-use crate::map::{Joined, digest_of};
-use crate::message::{Knowledge, Message, Part, Summary};
+use crate::map::{JoinOutcome, stable_hash};
+use crate::message::{Chunk, Knowledge, Message, Summary};
 use crate::order::{Entry, Slot};
-use crate::planted::{Fault, planted};
-use crate::vector::Vector;
+use crate::vector::VersionVector;
 use std::collections::BTreeSet;
 
 /// Entries of a whole copy that is on its way, at most: more is no copy.
-const MOST_INCOMING: usize = 1 << 15;
+const MAX_INCOMING_ENTRIES: usize = 1 << 15;
 /// Doubtful orders that are remembered.
-const MOST_DOUBTFUL: usize = 256;
+const MAX_POSSIBLY_SUPERSEDED: usize = 256;
 
 impl Replica {
     /// The other end of a link said this.
-    pub fn heard(&mut self, now: Now, id: LinkId, message: Message, host: &mut impl Host) {
+    pub fn receive(&mut self, now: Now, id: LinkId, message: Message, host: &mut impl Host) {
         if !self.links.contains_key(&id) {
             return;
         }
         self.as_of = now.unix;
         match message {
-            Message::Heartbeat(digest) => self.heartbeat(now, id, digest),
-            Message::Summary(summary) => self.summary(now, id, summary),
-            Message::Part(part) => self.part(now, id, part, host),
-            Message::Took { number, taken } => self.took(now, id, number, taken),
+            Message::Heartbeat(digest) => self.handle_heartbeat(now, id, digest),
+            Message::Summary(summary) => self.handle_summary(now, id, summary),
+            Message::Chunk(chunk) => self.handle_chunk(now, id, chunk, host),
+            Message::Ack { number, accepted } => self.handle_ack(now, id, number, accepted),
         }
         self.tick(now, host);
     }
 
-    fn heartbeat(&mut self, now: Now, id: LinkId, digest: u64) {
-        let own = self.digest();
+    fn handle_heartbeat(&mut self, now: Now, id: LinkId, digest: u64) {
+        let own_digest = self.digest();
         let vector = self.map.vector.clone();
         let Some(link) = self.links.get_mut(&id) else { return };
-        link.hears(now.steady, digest == own);
-        if link.equal {
-            link.covers.join(&vector);
+        link.record_peer_digest(now.monotonic, digest == own_digest);
+        if link.digests_equal {
+            link.peer_covers.join(&vector);
             self.seen_elsewhere.join(&vector);
         } else {
             // Both say what they have: this end does now.
-            (link.said, link.say_at) = (None, link.say_at.min(now.steady));
+            (link.last_summary_digest, link.summary_due) = (None, link.summary_due.min(now.monotonic));
         }
     }
 
-    fn summary(&mut self, now: Now, id: LinkId, summary: Summary) {
-        let own = self.digest();
+    fn handle_summary(&mut self, now: Now, id: LinkId, summary: Summary) {
+        let own_digest = self.digest();
         self.seen_elsewhere.join(&summary.knowledge.vector);
         let Some(link) = self.links.get_mut(&id) else { return };
-        link.hears(now.steady, digest_of(&(&summary.knowledge.vector, summary.digest)) == own);
+        link.record_peer_digest(
+            now.monotonic,
+            stable_hash(&(&summary.knowledge.vector, summary.digest)) == own_digest,
+        );
         // What was sent a short while ago may be on its way still.
-        if now.steady >= link.not_before && link.in_flight.is_none() {
-            link.covers = Vector::default();
+        if now.monotonic >= link.resend_after && link.in_flight.is_none() {
+            link.peer_covers = VersionVector::default();
         }
-        link.covers.join(&summary.knowledge.vector);
+        link.peer_covers.join(&summary.knowledge.vector);
         // What others have dropped, and is covered here, counts as dropped here too: so that all know who was away.
-        if self.map.vector.covers_all(&summary.knowledge.horizon) {
-            self.map.horizon.join(&summary.knowledge.horizon);
+        if self.map.vector.covers_all(&summary.knowledge.gc_horizon) {
+            self.map.gc_horizon.join(&summary.knowledge.gc_horizon);
         }
-        link.summary = Some(summary);
+        link.peer_summary = Some(summary);
     }
 
-    fn took(&mut self, now: Now, id: LinkId, number: u64, taken: bool) {
+    fn handle_ack(&mut self, now: Now, id: LinkId, number: u64, accepted: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let answered = link.in_flight.take_if(|in_flight| in_flight.number == number);
-        let Some(InFlight { covers, .. }) = answered else { return };
-        if let Some(covers) = covers.filter(|_| taken) {
-            link.covers.join(&covers);
+        let acknowledged = link.in_flight.take_if(|in_flight| in_flight.number == number);
+        let Some(InFlight { covers_after_ack, .. }) = acknowledged else { return };
+        if let Some(covers) = covers_after_ack.filter(|_| accepted) {
+            link.peer_covers.join(&covers);
         }
-        if !taken {
-            (link.transfer, link.refused_until) = (None, now.steady + RESEND);
+        if !accepted {
+            (link.transfer, link.backoff_until) = (None, now.monotonic + RESEND_DELAY);
         }
     }
 
-    fn part(&mut self, now: Now, id: LinkId, part: Part, host: &mut impl Host) {
-        let Part { number, whole, entries, last } = part;
+    fn handle_chunk(&mut self, now: Now, id: LinkId, chunk: Chunk, host: &mut impl Host) {
+        let Chunk { number, full_copy, entries, sender_knowledge } = chunk;
         let Some(link) = self.links.get_mut(&id) else { return };
         let incoming = link.incoming.entries.len() + entries.len();
-        if !entries.iter().all(Entry::is_sound) || incoming > MOST_INCOMING {
+        if !entries.iter().all(Entry::is_valid) || incoming > MAX_INCOMING_ENTRIES {
             // Nobody who keeps to this protocol says that.
             self.links.remove(&id);
             return host.close(id);
         }
-        if whole != link.incoming.whole {
-            link.incoming = Incoming { whole, ..Incoming::default() };
+        if full_copy != link.incoming.full_copy {
+            link.incoming = Incoming { full_copy, ..Incoming::default() };
         }
-        if whole {
+        if full_copy {
             link.incoming.entries.extend(entries);
         } else {
-            self.join(now, id, &entries, host);
+            self.join_entries(now, id, &entries, host);
         }
-        let taken = match last {
-            Some(knowledge) => self.last_part(now, id, knowledge, host),
+        let accepted = match sender_knowledge {
+            Some(knowledge) => self.complete_transfer(now, id, knowledge, host),
             None => true,
         };
-        self.send(now, id, Message::Took { number, taken }, host);
-        let summary = self.links.get(&id).and_then(|link| link.summary.clone());
-        if let Some(summary) = summary.filter(|_| planted(Fault::VectorWithFirstPart)) {
+        self.send(now, id, Message::Ack { number, accepted }, host);
+        let summary = self.links.get(&id).and_then(|link| link.peer_summary.clone());
+        if let Some(summary) = summary.filter(|_| is_injected(Fault::VectorWithFirstChunk)) {
             self.map.vector.join(&summary.knowledge.vector);
         }
     }
 
     /// All parts are here: whether what their sender knew is known here now.
-    fn last_part(&mut self, now: Now, id: LinkId, knowledge: Knowledge, host: &mut impl Host) -> bool {
+    fn complete_transfer(
+        &mut self,
+        now: Now,
+        id: LinkId,
+        knowledge: Knowledge,
+        host: &mut impl Host,
+    ) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
-        let Incoming { entries, whole, refused } = std::mem::take(&mut link.incoming);
-        if whole {
-            return self.join_whole(now, id, &entries, knowledge, host);
+        let Incoming { entries, full_copy, rejected } = std::mem::take(&mut link.incoming);
+        if full_copy {
+            return self.join_full_copy(now, id, &entries, knowledge, host);
         }
-        if !refused {
+        if !rejected {
             self.map.vector.join(&knowledge.vector);
         }
-        self.changed(now, host);
-        !refused
+        self.on_change(now, host);
+        !rejected
     }
 
     /// Joins all that a peer has. This copy missed orders that the peer has dropped: what had ended by them ends here.
-    fn join_whole(
+    fn join_full_copy(
         &mut self,
         now: Now,
         id: LinkId,
@@ -125,61 +134,61 @@
         knowledge: Knowledge,
         host: &mut impl Host,
     ) -> bool {
-        let retention = self.terms.retention;
+        let retention = self.config.retention;
         let slots: BTreeSet<Slot> = entries.iter().map(|entry| entry.slot.clone()).collect();
-        let ended = self.map.drop_ended(&slots, &knowledge.vector);
-        let doubtful = self.map.doubtful(now.unix, retention, &knowledge.vector);
+        let superseded = self.map.drop_superseded(&slots, &knowledge.vector);
+        let possibly_superseded = self.map.possibly_superseded(now.unix, retention, &knowledge.vector);
         if let Some(link) = self.links.get(&id) {
-            host.report(Report::WasAway { peer: link.peer.clone(), ended });
+            host.report(Report::StaleCopy { peer: link.peer.clone(), superseded });
         }
-        for entry in doubtful {
-            host.report(Report::Doubtful { entry: entry.clone() });
-            self.doubtful.push(entry);
-            self.doubtful.truncate(MOST_DOUBTFUL);
+        for entry in possibly_superseded {
+            host.report(Report::PossiblySuperseded { entry: entry.clone() });
+            self.possibly_superseded.push(entry);
+            self.possibly_superseded.truncate(MAX_POSSIBLY_SUPERSEDED);
         }
-        self.join(now, id, entries, host);
+        self.join_entries(now, id, entries, host);
         let incoming = self.links.get_mut(&id).map(|link| std::mem::take(&mut link.incoming));
-        let taken = incoming.is_some_and(|incoming| !incoming.refused);
-        if taken {
+        let accepted = incoming.is_some_and(|incoming| !incoming.rejected);
+        if accepted {
             self.map.vector.join(&knowledge.vector);
-            self.map.horizon.join(&knowledge.horizon);
+            self.map.gc_horizon.join(&knowledge.gc_horizon);
         }
-        self.changed(now, host);
-        taken
+        self.on_change(now, host);
+        accepted
     }
 
-    fn join(&mut self, now: Now, id: LinkId, entries: &[Entry], host: &mut impl Host) {
-        let Terms { most_ahead, retention, .. } = self.terms;
-        let (mut refused, mut changed) = (false, false);
+    fn join_entries(&mut self, now: Now, id: LinkId, entries: &[Entry], host: &mut impl Host) {
+        let ReplicaConfig { max_clock_skew, retention, .. } = self.config;
+        let (mut rejected, mut changed) = (false, false);
         for entry in entries {
-            match self.map.join(now.unix, entry, most_ahead, retention) {
-                Joined::Changed => changed = true,
-                Joined::Known => {}
-                Joined::Full => refused = true,
-                Joined::Future => {
-                    refused = true;
-                    self.future(now, entry, host);
+            match self.map.join(now.unix, entry, max_clock_skew, retention) {
+                JoinOutcome::Changed => changed = true,
+                JoinOutcome::Known => {}
+                JoinOutcome::LimitReached => rejected = true,
+                JoinOutcome::FutureStamp => {
+                    rejected = true;
+                    self.report_future_stamp(now, entry, host);
                 }
-                Joined::Conflict => {
+                JoinOutcome::Conflict => {
                     changed = true;
-                    self.counts.conflicts += 1;
+                    self.counters.conflicts += 1;
                     host.report(Report::Conflict { entry: entry.clone() });
                 }
             }
         }
         if let Some(link) = self.links.get_mut(&id) {
-            link.incoming.refused |= refused;
+            link.incoming.rejected |= rejected;
         }
         if changed {
-            self.changed(now, host);
+            self.on_change(now, host);
         }
     }
 
-    fn future(&mut self, now: Now, entry: &Entry, host: &mut impl Host) {
-        self.counts.future += 1;
-        if self.future_origins.insert(entry.order.stamp.origin.clone()) {
+    fn report_future_stamp(&mut self, now: Now, entry: &Entry, host: &mut impl Host) {
+        self.counters.future_stamps += 1;
+        if self.future_stamp_issuers.insert(entry.order.stamp.issuer.clone()) {
             let ahead = entry.order.stamp.time.saturating_sub(now.unix);
-            host.report(Report::Future { entry: entry.clone(), ahead });
+            host.report(Report::FutureStamp { entry: entry.clone(), ahead });
         }
     }
 }
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -11,214 +11,219 @@
 /// Unix time when the world begins.
 const EPOCH: Nanos = 1_000_000 * SECOND;
 pub const RETENTION: Nanos = 60 * SECOND;
-pub const MOST_AHEAD: Nanos = 10 * SECOND;
+pub const MAX_CLOCK_SKEW: Nanos = 10 * SECOND;
 /// Silence is noticed by both ends of a link after this.
-const SILENT: Nanos = 2 * SECOND;
+const LINK_TIMEOUT: Nanos = 2 * SECOND;
 pub const BYTES_PER_SECOND: usize = 4_000;
 /// A play that calls replicas more often than this has one that asks for it without end.
-const MOST_TICKS: u64 = 2_000_000;
+const MAX_TICKS: u64 = 2_000_000;
 
 /// The rule for two orders of one slot, written once more: by token, time, out of service, origin and number.
-pub fn rank(order: &Order) -> (u64, Nanos, Service, Stamp) {
+pub fn rank(order: &Order) -> (u64, Nanos, ServiceState, Stamp) {
     (order.token, order.stamp.time, order.service, order.stamp.clone())
 }
 
 /// The rule for a node, written once more.
-pub fn expected(entries: &[Entry], node: &str) -> Service {
-    let of_node: Vec<&Entry> = entries.iter().filter(|entry| entry.slot.node == node).collect();
-    let leased: Vec<&Entry> = of_node.iter().filter(|entry| entry.slot.lease.is_some()).copied().collect();
-    let candidates = if leased.is_empty() { of_node } else { leased };
+pub fn expected(entries: &[Entry], node: &str) -> ServiceState {
+    let orders_of_node: Vec<&Entry> = entries.iter().filter(|entry| entry.slot.node == node).collect();
+    let leased: Vec<&Entry> =
+        orders_of_node.iter().filter(|entry| entry.slot.lease.is_some()).copied().collect();
+    let candidates = if leased.is_empty() { orders_of_node } else { leased };
     let latest = candidates.iter().map(|entry| entry.order.stamp.time).max();
     let at_latest = candidates.iter().filter(|entry| Some(entry.order.stamp.time) == latest);
-    at_latest.map(|entry| entry.order.service).max().unwrap_or(Service::In)
+    at_latest.map(|entry| entry.order.service).max().unwrap_or(ServiceState::In)
 }
 
 #[derive(Debug)]
 enum Event {
     Tick(usize, u64),
-    Answered(usize, u64, String),
+    DialCompleted(usize, u64, String),
     Deliver(LinkId, usize, Message),
-    Gone(LinkId, usize),
-    Kept(usize, u64, Kept),
+    LinkDown(LinkId, usize),
+    Persisted(usize, u64, Snapshot),
     Start(usize),
 }
 
 pub struct Process {
     pub name: String,
     pub replica: Option<Replica>,
-    pub life: u64,
-    host: Acts,
-    pub disk: Option<Kept>,
-    pub older: Option<Kept>,
+    pub incarnation: u64,
+    host: ActionQueue,
+    pub disk: Option<Snapshot>,
+    pub older_disk: Option<Snapshot>,
     /// How far its clock is ahead, in nanoseconds.
-    pub ahead: Nanos,
+    pub clock_ahead: Nanos,
     /// Nobody reaches it, and it nobody, before this.
-    pub island: Nanos,
-    wakes: Nanos,
+    pub isolated_until: Nanos,
+    next_tick: Nanos,
     /// By slot the greatest order that this life has had.
-    seen: BTreeMap<Slot, Order>,
-    applied: BTreeMap<String, Service>,
+    greatest_seen: BTreeMap<Slot, Order>,
+    applied: BTreeMap<String, ServiceState>,
 }
 
-struct Wire {
-    ends: [(usize, u64); 2],
+struct Connection {
+    endpoints: [(usize, u64); 2],
     open: [bool; 2],
     /// What this end sends vanishes.
-    mute: [bool; 2],
+    muted: [bool; 2],
     /// When the last message to each end arrives.
-    last: [Nanos; 2],
+    last_arrival: [Nanos; 2],
 }
 
 /// An order that was given.
-pub struct Given {
+pub struct IssuedOrder {
     pub entry: Entry,
     /// It was listed for the operators as one that may have ended.
-    pub doubtful: bool,
+    pub possibly_superseded: bool,
     /// Its replica lost its disk before others had it.
     pub may_be_lost: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Nanos,
     pub random: oorandom::Rand64,
     queue: BTreeMap<(Nanos, u64), Event>,
-    order: u64,
+    sequence: u64,
     pub processes: Vec<Process>,
-    wires: BTreeMap<LinkId, Wire>,
+    connections: BTreeMap<LinkId, Connection>,
     next_link: LinkId,
-    pub longest: Nanos,
-    pub links: usize,
+    pub max_delay: Nanos,
+    pub target_links: usize,
     pub bytes_per_second: usize,
-    pub given: Vec<Given>,
-    pub was_away: u64,
+    pub issued: Vec<IssuedOrder>,
+    pub stale_copies: u64,
     pub conflicts: u64,
-    pub fault: Option<String>,
+    pub failure: Option<String>,
     /// How often replicas asked to be called.
     pub ticks: u64,
     pub name: String,
     /// Bytes sent by each process in each second.
-    pub bytes: BTreeMap<(usize, Nanos), usize>,
+    pub bytes_sent: BTreeMap<(usize, Nanos), usize>,
 }
 
-impl World {
-    pub fn new(seed: u64, processes: usize) -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn new(seed: u64, processes: usize) -> Simulation {
+        let mut simulation = Simulation {
             now: 0,
             random: oorandom::Rand64::new(u128::from(seed)),
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             processes: Vec::new(),
-            wires: BTreeMap::new(),
+            connections: BTreeMap::new(),
             next_link: 1,
-            longest: 20 * MS,
-            links: 2,
+            max_delay: 20 * MS,
+            target_links: 2,
             bytes_per_second: BYTES_PER_SECOND,
-            given: Vec::new(),
-            was_away: 0,
+            issued: Vec::new(),
+            stale_copies: 0,
             conflicts: 0,
-            fault: None,
+            failure: None,
             ticks: 0,
             name: format!("seed {seed}"),
-            bytes: BTreeMap::new(),
+            bytes_sent: BTreeMap::new(),
         };
-        for at in 0..processes {
-            world.processes.push(Process {
-                name: format!("p{at}"),
+        for index in 0..processes {
+            simulation.processes.push(Process {
+                name: format!("p{index}"),
                 replica: None,
-                life: 0,
-                host: Acts::new(seed ^ (at as u64 + 1) << 20),
+                incarnation: 0,
+                host: ActionQueue::new(seed ^ (index as u64 + 1) << 20),
                 disk: None,
-                older: None,
-                ahead: 0,
-                island: 0,
-                wakes: Nanos::MAX,
-                seen: BTreeMap::new(),
+                older_disk: None,
+                clock_ahead: 0,
+                isolated_until: 0,
+                next_tick: Nanos::MAX,
+                greatest_seen: BTreeMap::new(),
                 applied: BTreeMap::new(),
             });
-            world.later(0, Event::Start(at));
+            simulation.schedule(0, Event::Start(index));
         }
-        world
+        simulation
     }
 
-    pub fn below(&mut self, most: u64) -> u64 {
-        self.random.rand_range(0..most)
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound)
     }
 
-    pub fn one_in(&mut self, most: u64) -> bool {
-        self.below(most) == 0
+    pub fn one_in(&mut self, bound: u64) -> bool {
+        self.random_below(bound) == 0
     }
 
-    fn later(&mut self, after: Nanos, event: Event) {
-        self.order += 1;
-        self.queue.insert((self.now + after, self.order), event);
+    fn schedule(&mut self, after: Nanos, event: Event) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
-    pub fn wrong(&mut self, what: String) {
-        if self.fault.is_none() {
-            self.fault = Some(format!("{}, at {} ms: {what}", self.name, self.now / MS));
+    pub fn fail(&mut self, description: String) {
+        if self.failure.is_none() {
+            self.failure = Some(format!("{}, at {} ms: {description}", self.name, self.now / MS));
         }
     }
 
-    pub fn run(&mut self, until: Nanos) {
-        while self.fault.is_none() {
-            let Some((&(at, order), _)) = self.queue.first_key_value() else { break };
-            if at > until {
+    pub fn run_until(&mut self, until: Nanos) {
+        while self.failure.is_none() {
+            let Some((&(time, sequence), _)) = self.queue.first_key_value() else { break };
+            if time > until {
                 break;
             }
-            let Some(event) = self.queue.remove(&(at, order)) else { break };
-            self.now = at;
-            self.happen(event);
+            let Some(event) = self.queue.remove(&(time, sequence)) else { break };
+            self.now = time;
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn times(&self, at: usize) -> Now {
-        Now { steady: self.now, unix: EPOCH + self.now + self.processes[at].ahead }
+    fn clocks(&self, index: usize) -> Now {
+        Now { monotonic: self.now, unix: EPOCH + self.now + self.processes[index].clock_ahead }
     }
 
     fn delay(&mut self) -> Nanos {
-        MS + self.random.rand_range(0..self.longest)
+        MS + self.random.rand_range(0..self.max_delay)
     }
 
-    pub fn with<T>(&mut self, at: usize, how: impl FnOnce(&mut Replica, Now, &mut Acts) -> T) -> Option<T> {
-        let now = self.times(at);
-        let process = &mut self.processes[at];
+    pub fn with_replica<T>(
+        &mut self,
+        index: usize,
+        call: impl FnOnce(&mut Replica, Now, &mut ActionQueue) -> T,
+    ) -> Option<T> {
+        let now = self.clocks(index);
+        let process = &mut self.processes[index];
         let replica = process.replica.as_mut()?;
-        let result = how(replica, now, &mut process.host);
-        self.after(at);
+        let result = call(replica, now, &mut process.host);
+        self.carry_out_actions(index);
         Some(result)
     }
 
     /// Carries out what a replica asked for, and looks at what must hold.
-    fn after(&mut self, at: usize) {
-        let acts = std::mem::take(&mut self.processes[at].host.acts);
-        for act in acts {
-            self.act(at, act);
+    fn carry_out_actions(&mut self, index: usize) {
+        let actions = std::mem::take(&mut self.processes[index].host.actions);
+        for action in actions {
+            self.carry_out(index, action);
         }
-        self.check(at);
-        let process = &mut self.processes[at];
+        self.check_invariants(index);
+        let process = &mut self.processes[index];
         let Some(replica) = &process.replica else { return };
-        let due = replica.due().max(self.now + 1);
-        if due < process.wakes {
-            process.wakes = due;
-            let (life, after) = (process.life, due - self.now);
-            self.later(after, Event::Tick(at, life));
+        let due = replica.next_deadline().max(self.now + 1);
+        if due < process.next_tick {
+            process.next_tick = due;
+            let (incarnation, after) = (process.incarnation, due - self.now);
+            self.schedule(after, Event::Tick(index, incarnation));
         }
     }
 
-    fn check(&mut self, at: usize) {
-        let process = &mut self.processes[at];
+    fn check_invariants(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         let Some(replica) = &process.replica else { return };
-        let mut wrong = None;
+        let mut violation = None;
         let entries: Vec<Entry> = replica.map().entries().collect();
         for Entry { slot, order } in &entries {
-            let seen = process.seen.entry(slot.clone()).or_insert_with(|| order.clone());
+            let seen = process.greatest_seen.entry(slot.clone()).or_insert_with(|| order.clone());
             match rank(order).cmp(&rank(seen)) {
                 Ordering::Less if order.token < seen.token => {
-                    wrong = Some(format!("{}: a lower token won: {order:?} over {seen:?}", process.name));
+                    violation = Some(format!("{}: a lower token won: {order:?} over {seen:?}", process.name));
                 }
                 Ordering::Less => {
-                    wrong = Some(format!(
+                    violation = Some(format!(
                         "{}: an ended order came back: {order:?} ended by {seen:?}",
                         process.name
                     ));
@@ -228,244 +233,259 @@
         }
         for node in entries.iter().map(|entry| &entry.slot.node) {
             let expected = expected(&entries, node);
-            let applied = process.applied.get(node).copied().unwrap_or(Service::In);
+            let applied = process.applied.get(node).copied().unwrap_or(ServiceState::In);
             if applied != expected {
-                wrong = Some(format!("{}: {node} is {applied:?}, not {expected:?}", process.name));
+                violation = Some(format!("{}: {node} is {applied:?}, not {expected:?}", process.name));
             }
         }
-        if let Some(wrong) = wrong {
-            self.wrong(wrong);
+        if let Some(violation) = violation {
+            self.fail(violation);
         }
     }
 
-    fn act(&mut self, at: usize, act: Act) {
-        let life = self.processes[at].life;
-        match act {
-            Act::Dial(peer) => {
+    fn carry_out(&mut self, index: usize, action: Action) {
+        let incarnation = self.processes[index].incarnation;
+        match action {
+            Action::Dial(peer) => {
                 let after = self.delay();
-                self.later(after, Event::Answered(at, life, peer));
+                self.schedule(after, Event::DialCompleted(index, incarnation, peer));
             }
-            Act::Send(link, message) => self.send(at, link, message),
-            Act::Close(link) => self.end(link, at),
-            Act::Apply(node, service) => _ = self.processes[at].applied.insert(node, service),
-            Act::Keep(kept) => self.later(30 * MS, Event::Kept(at, life, kept)),
-            Act::Report(Report::WasAway { .. }) => self.was_away += 1,
-            Act::Report(Report::Conflict { .. }) => self.conflicts += 1,
-            Act::Report(Report::Doubtful { entry }) => {
-                let same = |given: &&mut Given| given.entry == entry;
-                self.given.iter_mut().filter(same).for_each(|given| given.doubtful = true);
+            Action::Send(link, message) => self.send(index, link, message),
+            Action::Close(link) => self.end_link(link, index),
+            Action::Apply(node, service) => _ = self.processes[index].applied.insert(node, service),
+            Action::Persist(snapshot) => {
+                self.schedule(30 * MS, Event::Persisted(index, incarnation, snapshot))
             }
-            Act::Report(_) => {}
+            Action::Report(Report::StaleCopy { .. }) => self.stale_copies += 1,
+            Action::Report(Report::Conflict { .. }) => self.conflicts += 1,
+            Action::Report(Report::PossiblySuperseded { entry }) => {
+                let same = |issued: &&mut IssuedOrder| issued.entry == entry;
+                self.issued.iter_mut().filter(same).for_each(|issued| issued.possibly_superseded = true);
+            }
+            Action::Report(_) => {}
         }
     }
 
-    fn send(&mut self, at: usize, link: LinkId, message: Message) {
-        *self.bytes.entry((at, self.now / SECOND)).or_default() += message.size();
+    fn send(&mut self, index: usize, link: LinkId, message: Message) {
+        *self.bytes_sent.entry((index, self.now / SECOND)).or_default() += message.size();
         let after = self.delay();
-        let (now, life) = (self.now, self.processes[at].life);
-        let Some(wire) = self.wires.get_mut(&link) else { return };
-        let end = usize::from(wire.ends[0] != (at, life));
-        let arrives = (now + after).max(wire.last[1 - end] + 1);
-        wire.last[1 - end] = arrives;
-        if wire.open[end] && !wire.mute[end] {
-            self.later(arrives - now, Event::Deliver(link, 1 - end, message));
+        let (now, incarnation) = (self.now, self.processes[index].incarnation);
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let end = usize::from(connection.endpoints[0] != (index, incarnation));
+        let arrives = (now + after).max(connection.last_arrival[1 - end] + 1);
+        connection.last_arrival[1 - end] = arrives;
+        if connection.open[end] && !connection.muted[end] {
+            self.schedule(arrives - now, Event::Deliver(link, 1 - end, message));
         }
     }
 
     /// This process has ended a link; the other end learns it, late where nothing passes.
-    fn end(&mut self, link: LinkId, at: usize) {
+    fn end_link(&mut self, link: LinkId, index: usize) {
         let after = self.delay();
-        let life = self.processes[at].life;
-        let Some(wire) = self.wires.get_mut(&link) else { return };
-        let end = usize::from(wire.ends[0] != (at, life));
-        wire.open[end] = false;
-        let after = if wire.mute[end] { after + SILENT } else { after };
-        let arrives = (self.now + after).max(wire.last[1 - end] + 1);
-        self.later(arrives - self.now, Event::Gone(link, 1 - end));
+        let incarnation = self.processes[index].incarnation;
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let end = usize::from(connection.endpoints[0] != (index, incarnation));
+        connection.open[end] = false;
+        let after = if connection.muted[end] { after + LINK_TIMEOUT } else { after };
+        let arrives = (self.now + after).max(connection.last_arrival[1 - end] + 1);
+        self.schedule(arrives - self.now, Event::LinkDown(link, 1 - end));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(at, life) => {
+            Event::Tick(index, incarnation) => {
                 self.ticks += 1;
-                if self.ticks > MOST_TICKS {
-                    self.wrong("a replica asks to be called again and again".into());
+                if self.ticks > MAX_TICKS {
+                    self.fail("a replica asks to be called again and again".into());
                 }
-                if self.processes[at].life == life && self.processes[at].wakes <= self.now {
-                    self.processes[at].wakes = Nanos::MAX;
-                    self.with(at, |replica, now, host| replica.tick(now, host));
+                if self.processes[index].incarnation == incarnation
+                    && self.processes[index].next_tick <= self.now
+                {
+                    self.processes[index].next_tick = Nanos::MAX;
+                    self.with_replica(index, |replica, now, host| replica.tick(now, host));
                 }
             }
-            Event::Answered(at, life, peer) => self.answered(at, life, &peer),
+            Event::DialCompleted(index, incarnation, peer) => self.complete_dial(index, incarnation, &peer),
             Event::Deliver(link, end, message) => {
-                let Some(wire) = self.wires.get(&link) else { return };
-                let (at, life) = wire.ends[end];
-                if wire.open[end] && self.processes[at].life == life {
-                    let future = self.future(at, &message);
-                    self.with(at, |replica, now, host| replica.heard(now, link, message, host));
+                let Some(connection) = self.connections.get(&link) else { return };
+                let (index, incarnation) = connection.endpoints[end];
+                if connection.open[end] && self.processes[index].incarnation == incarnation {
+                    let from_future = self.future_entries(index, &message);
+                    self.with_replica(index, |replica, now, host| replica.receive(now, link, message, host));
                     let has = |entry: &Entry| {
-                        let replica = self.processes[at].replica.as_ref();
+                        let replica = self.processes[index].replica.as_ref();
                         replica.is_some_and(|replica| replica.map().get(&entry.slot).as_ref() == Some(entry))
                     };
-                    if let Some(entry) = future.into_iter().find(has) {
-                        self.wrong(format!("p{at} took an order from the future: {entry:?}"));
+                    if let Some(entry) = from_future.into_iter().find(has) {
+                        self.fail(format!("p{index} took an order from the future: {entry:?}"));
                     }
                 }
             }
-            Event::Gone(link, end) => {
-                let Some(wire) = self.wires.get_mut(&link) else { return };
-                let (at, life) = wire.ends[end];
-                if std::mem::replace(&mut wire.open[end], false) && self.processes[at].life == life {
-                    self.with(at, |replica, now, host| replica.link_down(now, link, host));
+            Event::LinkDown(link, end) => {
+                let Some(connection) = self.connections.get_mut(&link) else { return };
+                let (index, incarnation) = connection.endpoints[end];
+                if std::mem::replace(&mut connection.open[end], false)
+                    && self.processes[index].incarnation == incarnation
+                {
+                    self.with_replica(index, |replica, now, host| replica.link_down(now, link, host));
                 }
             }
-            Event::Kept(at, life, kept) => {
-                let process = &mut self.processes[at];
-                if process.life == life && process.replica.is_some() {
-                    process.older = process.disk.replace(kept);
-                    self.with(at, |replica, now, host| replica.kept(now, host));
+            Event::Persisted(index, incarnation, snapshot) => {
+                let process = &mut self.processes[index];
+                if process.incarnation == incarnation && process.replica.is_some() {
+                    process.older_disk = process.disk.replace(snapshot);
+                    self.with_replica(index, |replica, now, host| replica.persisted(now, host));
                 }
             }
-            Event::Start(at) => self.start(at),
+            Event::Start(index) => self.start(index),
         }
     }
 
     /// Orders of a part that are too far ahead of this process's clock, and not known there yet.
-    fn future(&self, at: usize, message: &Message) -> Vec<Entry> {
-        let (now, Message::Part(part)) = (self.times(at), message) else { return Vec::new() };
+    fn future_entries(&self, index: usize, message: &Message) -> Vec<Entry> {
+        let (now, Message::Chunk(chunk)) = (self.clocks(index), message) else { return Vec::new() };
         let known = |entry: &Entry| {
-            let replica = self.processes[at].replica.as_ref();
+            let replica = self.processes[index].replica.as_ref();
             replica.is_some_and(|replica| replica.map().get(&entry.slot).as_ref() == Some(entry))
         };
-        let ahead = |entry: &&Entry| entry.order.stamp.time > now.unix + MOST_AHEAD && !known(entry);
-        part.entries.iter().filter(ahead).cloned().collect()
+        let too_far_ahead =
+            |entry: &&Entry| entry.order.stamp.time > now.unix + MAX_CLOCK_SKEW && !known(entry);
+        chunk.entries.iter().filter(too_far_ahead).cloned().collect()
     }
 
-    fn answered(&mut self, at: usize, life: u64, peer: &str) {
-        if self.processes[at].life != life || self.processes[at].replica.is_none() {
+    fn complete_dial(&mut self, index: usize, incarnation: u64, peer: &str) {
+        if self.processes[index].incarnation != incarnation || self.processes[index].replica.is_none() {
             return;
         }
         let other = self.processes.iter().position(|process| process.name == peer);
         let reached = other.filter(|other| {
             let process = &self.processes[*other];
-            process.replica.is_some() && process.island <= self.now && self.processes[at].island <= self.now
+            process.replica.is_some()
+                && process.isolated_until <= self.now
+                && self.processes[index].isolated_until <= self.now
         });
         let Some(other) = reached else {
-            self.with(at, |replica, now, host| replica.dial_failed(now, host));
+            self.with_replica(index, |replica, now, host| replica.dial_failed(now, host));
             return;
         };
         let link = self.next_link;
         self.next_link += 1;
-        let ends = [(at, life), (other, self.processes[other].life)];
-        let wire = Wire { ends, open: [true; 2], mute: [false; 2], last: [self.now; 2] };
-        self.wires.insert(link, wire);
-        let name = self.processes[at].name.clone();
-        self.with(other, |replica, now, host| replica.link_up(now, link, &name, false, host));
-        self.with(at, |replica, now, host| replica.link_up(now, link, peer, true, host));
+        let endpoints = [(index, incarnation), (other, self.processes[other].incarnation)];
+        let connection =
+            Connection { endpoints, open: [true; 2], muted: [false; 2], last_arrival: [self.now; 2] };
+        self.connections.insert(link, connection);
+        let name = self.processes[index].name.clone();
+        self.with_replica(other, |replica, now, host| replica.link_up(now, link, &name, false, host));
+        self.with_replica(index, |replica, now, host| replica.link_up(now, link, peer, true, host));
     }
 
-    pub fn start_later(&mut self, at: usize, after: Nanos) {
-        self.later(after, Event::Start(at));
+    pub fn schedule_start(&mut self, index: usize, after: Nanos) {
+        self.schedule(after, Event::Start(index));
     }
 
-    fn start(&mut self, at: usize) {
-        if self.processes[at].replica.is_some() {
+    fn start(&mut self, index: usize) {
+        if self.processes[index].replica.is_some() {
             return;
         }
         let names: Vec<String> = self.processes.iter().map(|process| process.name.clone()).collect();
-        let now = self.times(at);
-        let links = self.links;
-        let process = &mut self.processes[at];
-        process.life += 1;
-        process.wakes = Nanos::MAX;
-        (process.seen, process.applied) = Default::default();
-        let terms = Terms {
-            me: Origin { name: process.name.clone(), incarnation: process.life },
+        let now = self.clocks(index);
+        let target_links = self.target_links;
+        let process = &mut self.processes[index];
+        process.incarnation += 1;
+        process.next_tick = Nanos::MAX;
+        (process.greatest_seen, process.applied) = Default::default();
+        let config = ReplicaConfig {
+            id: ReplicaId { name: process.name.clone(), incarnation: process.incarnation },
             peers: names.into_iter().filter(|name| *name != process.name).collect(),
-            links,
+            target_links,
             retention: RETENTION,
-            most_ahead: MOST_AHEAD,
+            max_clock_skew: MAX_CLOCK_SKEW,
             bytes_per_second: self.bytes_per_second,
-            part_bytes: 1024,
+            chunk_bytes: 1024,
         };
-        process.replica = Some(Replica::start(now, terms, process.disk.clone(), &mut process.host));
-        self.after(at);
+        process.replica = Some(Replica::start(now, config, process.disk.clone(), &mut process.host));
+        self.carry_out_actions(index);
     }
 
     /// Without a word; its links break.
-    pub fn crash(&mut self, at: usize) {
-        let life = self.processes[at].life;
-        if self.processes[at].replica.take().is_none() {
+    pub fn crash(&mut self, index: usize) {
+        let incarnation = self.processes[index].incarnation;
+        if self.processes[index].replica.take().is_none() {
             return;
         }
-        let links: Vec<LinkId> = self.wires.keys().copied().collect();
+        let links: Vec<LinkId> = self.connections.keys().copied().collect();
         for link in links {
-            if self.wires[&link].ends.contains(&(at, life)) {
-                self.end(link, at);
+            if self.connections[&link].endpoints.contains(&(index, incarnation)) {
+                self.end_link(link, index);
             }
         }
-        self.note_lost();
+        self.mark_lost_orders();
     }
 
     /// Orders that nobody has any more, in memory or on a disk that it can use, may be lost.
-    fn note_lost(&mut self) {
+    fn mark_lost_orders(&mut self) {
         let has = |process: &Process, stamp: &Stamp| {
-            let own = process.disk.as_ref().filter(|kept| kept.name == process.name);
-            own.is_some_and(|kept| kept.vector.covers(stamp))
+            let own_disk = process.disk.as_ref().filter(|snapshot| snapshot.name == process.name);
+            own_disk.is_some_and(|snapshot| snapshot.vector.covers(stamp))
                 || process.replica.as_ref().is_some_and(|replica| replica.map().vector.covers(stamp))
         };
-        for given in &mut self.given {
-            let stamp = &given.entry.order.stamp;
-            given.may_be_lost |= !self.processes.iter().any(|process| has(process, stamp));
+        for issued in &mut self.issued {
+            let stamp = &issued.entry.order.stamp;
+            issued.may_be_lost |= !self.processes.iter().any(|process| has(process, stamp));
         }
     }
 
     /// Its disk is this from now on; orders that only it had may be lost.
-    pub fn set_disk(&mut self, at: usize, disk: Option<Kept>) {
-        self.processes[at].disk = disk;
-        self.note_lost();
+    pub fn set_disk(&mut self, index: usize, disk: Option<Snapshot>) {
+        self.processes[index].disk = disk;
+        self.mark_lost_orders();
     }
 
     /// Cut off from all others for a while, without a word to anybody.
-    pub fn isolate(&mut self, at: usize, time: Nanos) {
-        self.processes[at].island = self.now + time;
-        let links: Vec<LinkId> = self.wires.keys().copied().collect();
+    pub fn isolate(&mut self, index: usize, duration: Nanos) {
+        self.processes[index].isolated_until = self.now + duration;
+        let links: Vec<LinkId> = self.connections.keys().copied().collect();
         for link in links {
-            if self.wires[&link].ends.iter().any(|(end, _)| *end == at) {
-                self.silence(link, [true, true]);
+            if self.connections[&link].endpoints.iter().any(|(end, _)| *end == index) {
+                self.mute_link(link, [true, true]);
             }
         }
     }
 
     /// What these ends of a link send vanishes from now on; the link ends when that is noticed.
-    fn silence(&mut self, link: LinkId, mute: [bool; 2]) {
-        if let Some(wire) = self.wires.get_mut(&link) {
-            wire.mute = [wire.mute[0] || mute[0], wire.mute[1] || mute[1]];
-            self.later(SILENT, Event::Gone(link, 0));
-            self.later(SILENT + SILENT / 4, Event::Gone(link, 1));
+    fn mute_link(&mut self, link: LinkId, muted: [bool; 2]) {
+        if let Some(connection) = self.connections.get_mut(&link) {
+            connection.muted = [connection.muted[0] || muted[0], connection.muted[1] || muted[1]];
+            self.schedule(LINK_TIMEOUT, Event::LinkDown(link, 0));
+            self.schedule(LINK_TIMEOUT + LINK_TIMEOUT / 4, Event::LinkDown(link, 1));
         }
     }
 
     /// A link drawn by chance falls silent, one way or both.
-    pub fn silence_one(&mut self) {
-        let open: Vec<LinkId> =
-            self.wires.iter().filter(|(_, wire)| wire.open == [true; 2]).map(|(link, _)| *link).collect();
+    pub fn mute_random_link(&mut self) {
+        let open: Vec<LinkId> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.open == [true; 2])
+            .map(|(link, _)| *link)
+            .collect();
         if !open.is_empty() {
-            let link = open[self.below(open.len() as u64) as usize];
-            let mute = [[true, true], [true, false], [false, true]][self.below(3) as usize];
-            self.silence(link, mute);
+            let link = open[self.random_below(open.len() as u64) as usize];
+            let muted = [[true, true], [true, false], [false, true]][self.random_below(3) as usize];
+            self.mute_link(link, muted);
         }
     }
 
-    pub fn give(&mut self, at: usize, node: &str, service: Service, lease: Option<Lease>) {
-        let given = self.with(at, |replica, now, host| replica.give(now, node, service, lease, host));
-        if let Some(Ok(entry)) = given {
-            self.given.push(Given { entry, doubtful: false, may_be_lost: false });
+    pub fn issue(&mut self, index: usize, node: &str, service: ServiceState, lease: Option<Lease>) {
+        let issued =
+            self.with_replica(index, |replica, now, host| replica.issue(now, node, service, lease, host));
+        if let Some(Ok(entry)) = issued {
+            self.issued.push(IssuedOrder { entry, possibly_superseded: false, may_be_lost: false });
         }
     }
 
     /// Whether all that live have the same orders; else who differs.
-    pub fn agreed(&self) -> Result<Vec<Entry>, String> {
+    pub fn agreed_entries(&self) -> Result<Vec<Entry>, String> {
         let mut first: Option<(&str, Vec<Entry>)> = None;
         for process in &self.processes {
             let Some(replica) = &process.replica else { continue };
@@ -485,7 +505,7 @@
         Ok(first.map(|(_, entries)| entries).unwrap_or_default())
     }
 
-    pub fn unix(&self) -> Nanos {
+    pub fn unix_time(&self) -> Nanos {
         EPOCH + self.now
     }
 }
--- a/crates/replication/tests/laws.rs
+++ b/crates/replication/tests/laws.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MOST_AHEAD, RETENTION, SECOND, expected, rank};
+use common::{MAX_CLOCK_SKEW, RETENTION, SECOND, expected, rank};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use pumicebay_replication::*;
@@ -12,9 +12,9 @@
 /// Before all stamps, so that none has expired.
 const NOW: Nanos = 100 * SECOND;
 
-fn order(service: Service, token: u64, time: Nanos, origin: u64, version: u64) -> Order {
-    let origin = Origin { name: format!("p{origin}"), incarnation: 1 };
-    Order { service, token, stamp: Stamp { time, origin, version } }
+fn order(service: ServiceState, token: u64, time: Nanos, issuer: u64, version: u64) -> Order {
+    let issuer = ReplicaId { name: format!("p{issuer}"), incarnation: 1 };
+    Order { service, token, stamp: Stamp { time, issuer, version } }
 }
 
 fn slot(node: u64, lease: u64) -> Slot {
@@ -23,59 +23,59 @@
 }
 
 /// A history: each order of an origin has a version of its own, so no stamp comes twice.
-fn history() -> impl Strategy<Value = Vec<Entry>> {
-    let one = (0..3u64, 0..3u64, any::<bool>(), 0..4u64, 0..6u64, 0..3u64);
-    vec(one, 0..14).prop_map(|drawn| {
+fn arbitrary_history() -> impl Strategy<Value = Vec<Entry>> {
+    let fields = (0..3u64, 0..3u64, any::<bool>(), 0..4u64, 0..6u64, 0..3u64);
+    vec(fields, 0..14).prop_map(|drawn| {
         let mut versions = BTreeMap::new();
-        let entry = |(node, lease, out, token, time, origin): (u64, u64, bool, u64, u64, u64)| {
-            let version = versions.entry(origin).and_modify(|version| *version += 1).or_insert(1);
-            let service = if out { Service::Out } else { Service::In };
+        let entry = |(node, lease, out, token, time, issuer): (u64, u64, bool, u64, u64, u64)| {
+            let version = versions.entry(issuer).and_modify(|version| *version += 1).or_insert(1);
+            let service = if out { ServiceState::Out } else { ServiceState::In };
             let token = if lease > 0 { token } else { 0 };
-            let order = order(service, token, NOW + time, origin, *version);
+            let order = order(service, token, NOW + time, issuer, *version);
             Entry { slot: slot(node, lease), order }
         };
         drawn.into_iter().map(entry).collect()
     })
 }
 
-fn joined(entries: &[Entry]) -> Map {
-    let mut map = Map::default();
+fn join_all(entries: &[Entry]) -> OrderMap {
+    let mut map = OrderMap::default();
     for entry in entries {
-        map.join(NOW, entry, MOST_AHEAD, RETENTION);
+        map.join(NOW, entry, MAX_CLOCK_SKEW, RETENTION);
     }
     map
 }
 
 /// All that both have.
-fn merged(one: &Map, other: &Map) -> Map {
+fn merge(one: &OrderMap, other: &OrderMap) -> OrderMap {
     let mut map = one.clone();
     for entry in other.entries() {
-        map.join(NOW, &entry, MOST_AHEAD, RETENTION);
+        map.join(NOW, &entry, MAX_CLOCK_SKEW, RETENTION);
     }
     map.vector.join(&other.vector);
     map
 }
 
 /// What is known: all but the clock of stamps given next.
-fn known(map: &Map) -> (Vec<Entry>, Vector, u64) {
+fn comparable_state(map: &OrderMap) -> (Vec<Entry>, VersionVector, u64) {
     (map.entries().collect(), map.vector.clone(), map.digest())
 }
 
 proptest! {
     #[test]
-    fn any_order_and_any_repetition_comes_to_the_same(
-        entries in history().prop_flat_map(|entries| (Just(entries.clone()), Just(entries).prop_shuffle())),
-        again in 0..14usize,
+    fn joining_is_independent_of_order_and_repetition(
+        entries in arbitrary_history().prop_flat_map(|entries| (Just(entries.clone()), Just(entries).prop_shuffle())),
+        repeated in 0..14usize,
     ) {
         let (entries, mut shuffled) = entries;
-        shuffled.extend(entries.iter().take(again).cloned().collect::<Vec<_>>());
-        let (one, other) = (joined(&entries), joined(&shuffled));
-        prop_assert_eq!(known(&one), known(&other));
+        shuffled.extend(entries.iter().take(repeated).cloned().collect::<Vec<_>>());
+        let (one, other) = (join_all(&entries), join_all(&shuffled));
+        prop_assert_eq!(comparable_state(&one), comparable_state(&other));
     }
 
     #[test]
     fn merging_is_commutative_associative_and_idempotent(
-        (one, two, three) in history().prop_flat_map(|all| {
+        (one, two, three) in arbitrary_history().prop_flat_map(|all| {
             let cut = 0..=all.len();
             (Just(all), cut.clone(), cut).prop_map(|(all, one, two)| {
                 let (low, high) = (one.min(two), one.max(two));
@@ -83,22 +83,22 @@
             })
         }),
     ) {
-        let (one, two, three) = (joined(&one), joined(&two), joined(&three));
-        prop_assert_eq!(known(&merged(&one, &two)), known(&merged(&two, &one)));
-        let grouped = merged(&one, &merged(&two, &three));
-        prop_assert_eq!(known(&merged(&merged(&one, &two), &three)), known(&grouped));
-        prop_assert_eq!(known(&merged(&one, &one)), known(&one));
+        let (one, two, three) = (join_all(&one), join_all(&two), join_all(&three));
+        prop_assert_eq!(comparable_state(&merge(&one, &two)), comparable_state(&merge(&two, &one)));
+        let grouped = merge(&one, &merge(&two, &three));
+        prop_assert_eq!(comparable_state(&merge(&merge(&one, &two), &three)), comparable_state(&grouped));
+        prop_assert_eq!(comparable_state(&merge(&one, &one)), comparable_state(&one));
     }
 
     #[test]
-    fn the_greatest_of_each_slot_stays_and_what_holds_follows_from_them(entries in history()) {
-        let map = joined(&entries);
-        let kept: Vec<Entry> = map.entries().collect();
+    fn each_slot_keeps_its_greatest_order_and_slots_determine_the_effective_state(entries in arbitrary_history()) {
+        let map = join_all(&entries);
+        let kept_entries: Vec<Entry> = map.entries().collect();
         for entry in &entries {
             let greatest = entries.iter().filter(|other| other.slot == entry.slot).map(|other| rank(&other.order));
             prop_assert_eq!(map.get(&entry.slot).map(|entry| rank(&entry.order)), greatest.max());
-            let holds = map.holds(&entry.slot.node);
-            prop_assert_eq!(holds, Some(expected(&kept, &entry.slot.node)));
+            let effective_state = map.effective_state(&entry.slot.node);
+            prop_assert_eq!(effective_state, Some(expected(&kept_entries, &entry.slot.node)));
         }
     }
 }
@@ -106,57 +106,63 @@
 /// Token 5 of lease L at time 1, lease M at time 2, token 4 of L at time 3: comparing by token within a lease and by time
 /// otherwise goes round in a circle. Slots do not.
 #[test]
-fn comparing_by_token_or_time_is_a_circle_and_slots_are_none() {
+fn slots_avoid_the_cycle_of_comparing_by_token_or_time() {
     let [first, second, third] = [(1, 5, 1), (2, 7, 2), (1, 4, 3)].map(|(lease, token, time)| Entry {
         slot: slot(0, lease),
-        order: order(if token == 7 { Service::In } else { Service::Out }, token, NOW + time, time, 1),
+        order: order(
+            if token == 7 { ServiceState::In } else { ServiceState::Out },
+            token,
+            NOW + time,
+            time,
+            1,
+        ),
     });
-    let beats = |one: &Entry, other: &Entry| match one.slot == other.slot {
+    let supersedes = |one: &Entry, other: &Entry| match one.slot == other.slot {
         true => one.order.token > other.order.token,
         false => one.order.stamp.time > other.order.stamp.time,
     };
-    assert!(beats(&second, &first) && beats(&third, &second) && beats(&first, &third));
+    assert!(supersedes(&second, &first) && supersedes(&third, &second) && supersedes(&first, &third));
     let all = [&first, &second, &third];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
-        let entries = order.map(|at| all[at].clone());
+        let entries = order.map(|index| all[index].clone());
         // Token 4 of L counts for nothing beside token 5; of the two leases M was the later.
-        assert_eq!(joined(&entries).holds("n0"), Some(Service::In));
+        assert_eq!(join_all(&entries).effective_state("n0"), Some(ServiceState::In));
     }
-    assert_eq!(third.order.wins_over(&first.order), Ordering::Less);
+    assert_eq!(third.order.cmp_precedence(&first.order), Ordering::Less);
 }
 
 /// An order without a token never undoes one with a token, and a lower token none with a higher.
 #[test]
-fn who_may_not_is_refused_in_words() {
-    let me = Origin { name: "p0".into(), incarnation: 1 };
+fn unauthorized_and_invalid_orders_are_refused_with_a_reason() {
+    let issuer = ReplicaId { name: "p0".into(), incarnation: 1 };
     let lease = |token| Some(Lease { name: "repair".into(), token });
-    let mut map = Map::default();
-    let mut give = |node: &str, service, lease| map.give(NOW, &me, node, service, lease).map(|_| ());
-    assert_eq!(give("n0", Service::Out, None), Ok(()));
-    assert_eq!(give("n0", Service::Out, lease(5)), Ok(()));
-    assert_eq!(give("n0", Service::In, None), Err(Refusal::UnderLease { lease: "repair".into() }));
-    assert_eq!(give("n0", Service::In, lease(4)), Err(Refusal::Late { token: 5 }));
-    assert_eq!(give("", Service::In, None), Err(Refusal::Name));
-    assert_eq!(give(&"n".repeat(300), Service::In, None), Err(Refusal::Name));
-    assert_eq!(give("n0", Service::In, lease(5)), Ok(()));
+    let mut map = OrderMap::default();
+    let mut issue = |node: &str, service, lease| map.issue(NOW, &issuer, node, service, lease).map(|_| ());
+    assert_eq!(issue("n0", ServiceState::Out, None), Ok(()));
+    assert_eq!(issue("n0", ServiceState::Out, lease(5)), Ok(()));
+    assert_eq!(issue("n0", ServiceState::In, None), Err(Refusal::LeaseRequired { lease: "repair".into() }));
+    assert_eq!(issue("n0", ServiceState::In, lease(4)), Err(Refusal::StaleToken { token: 5 }));
+    assert_eq!(issue("", ServiceState::In, None), Err(Refusal::InvalidName));
+    assert_eq!(issue(&"n".repeat(300), ServiceState::In, None), Err(Refusal::InvalidName));
+    assert_eq!(issue("n0", ServiceState::In, lease(5)), Ok(()));
     for number in 0..14 {
         let other = Some(Lease { name: format!("lease{number}"), token: 1 });
-        assert_eq!(give("n0", Service::In, other), Ok(()));
+        assert_eq!(issue("n0", ServiceState::In, other), Ok(()));
     }
     let one_more = Some(Lease { name: "one-more".into(), token: 1 });
-    assert_eq!(give("n0", Service::In, one_more), Err(Refusal::Full));
-    assert_eq!(map.holds("n0"), Some(Service::In));
+    assert_eq!(issue("n0", ServiceState::In, one_more), Err(Refusal::LimitReached));
+    assert_eq!(map.effective_state("n0"), Some(ServiceState::In));
 }
 
 /// The same stamp with other contents is a conflict; out of service is kept, whichever came first.
 #[test]
-fn one_stamp_with_two_contents_keeps_the_safe_side() {
-    let [out, back] = [Service::Out, Service::In]
+fn one_stamp_with_two_contents_keeps_the_node_out_of_service() {
+    let [out, back] = [ServiceState::Out, ServiceState::In]
         .map(|service| Entry { slot: slot(0, 0), order: order(service, 0, NOW, 1, 1) });
     for (one, other) in [(&out, &back), (&back, &out)] {
-        let mut map = Map::default();
-        map.join(NOW, one, MOST_AHEAD, RETENTION);
-        assert_eq!(map.join(NOW, other, MOST_AHEAD, RETENTION), Joined::Conflict);
-        assert_eq!(map.holds("n0"), Some(Service::Out));
+        let mut map = OrderMap::default();
+        map.join(NOW, one, MAX_CLOCK_SKEW, RETENTION);
+        assert_eq!(map.join(NOW, other, MAX_CLOCK_SKEW, RETENTION), JoinOutcome::Conflict);
+        assert_eq!(map.effective_state("n0"), Some(ServiceState::Out));
     }
 }
--- a/crates/replication/tests/schedules.rs
+++ b/crates/replication/tests/schedules.rs
@@ -5,201 +5,218 @@
 
 mod common;
 
-use common::{MS, RETENTION, SECOND, World, rank};
+use common::{MS, RETENTION, SECOND, Simulation, rank};
 use pumicebay_replication::*;
 use std::collections::BTreeMap;
 
 const PHASES: usize = 3;
-const FAULTS: Nanos = 20 * SECOND;
-const BOUND: Nanos = 40 * SECOND;
+const FAULT_PHASE: Nanos = 20 * SECOND;
+const CONVERGENCE_BOUND: Nanos = 40 * SECOND;
 /// The furthest that a clock is ahead.
-const AHEAD: Nanos = 30 * SECOND;
+const MAX_CLOCK_AHEAD: Nanos = 30 * SECOND;
 const SEEDS: u64 = 150;
 
-fn give_one(world: &mut World) {
-    let (at, node) = (world.below(world.processes.len() as u64) as usize, world.below(4));
-    let service = if world.one_in(2) { Service::Out } else { Service::In };
-    let lease = match world.below(3) {
+fn issue_random_order(simulation: &mut Simulation) {
+    let (index, node) =
+        (simulation.random_below(simulation.processes.len() as u64) as usize, simulation.random_below(4));
+    let service = if simulation.one_in(2) { ServiceState::Out } else { ServiceState::In };
+    let lease = match simulation.random_below(3) {
         0 => None,
-        number => Some(Lease { name: format!("lease{number}"), token: 1 + world.below(6) }),
+        number => Some(Lease { name: format!("lease{number}"), token: 1 + simulation.random_below(6) }),
     };
-    world.give(at, &format!("n{node}"), service, lease);
+    simulation.issue(index, &format!("n{node}"), service, lease);
 }
 
 /// Something goes wrong, or is ordered.
-fn strike(world: &mut World) {
-    let at = world.below(world.processes.len() as u64) as usize;
-    match world.below(10) {
-        0 => world.silence_one(),
+fn inject_random_event(simulation: &mut Simulation) {
+    let index = simulation.random_below(simulation.processes.len() as u64) as usize;
+    match simulation.random_below(10) {
+        0 => simulation.mute_random_link(),
         1 => {
-            let time = world.below(20) * SECOND;
-            world.isolate(at, time);
+            let duration = simulation.random_below(20) * SECOND;
+            simulation.isolate(index, duration);
         }
-        2 | 3 => restart(world, at),
-        4 if world.one_in(4) => world.processes[at].ahead = [0, 5 * SECOND, AHEAD][world.below(3) as usize],
-        _ => give_one(world),
+        2 | 3 => restart_with_random_disk(simulation, index),
+        4 if simulation.one_in(4) => {
+            simulation.processes[index].clock_ahead =
+                [0, 5 * SECOND, MAX_CLOCK_AHEAD][simulation.random_below(3) as usize]
+        }
+        _ => issue_random_order(simulation),
     }
 }
 
-fn restart(world: &mut World, at: usize) {
-    world.crash(at);
-    match world.below(6) {
-        0 => world.set_disk(at, None),
+fn restart_with_random_disk(simulation: &mut Simulation, index: usize) {
+    simulation.crash(index);
+    match simulation.random_below(6) {
+        0 => simulation.set_disk(index, None),
         1 => {
-            let older = world.processes[at].older.clone();
-            world.set_disk(at, older);
+            let older = simulation.processes[index].older_disk.clone();
+            simulation.set_disk(index, older);
         }
         2 => {
-            let other = world.below(world.processes.len() as u64) as usize;
-            let copied = world.processes[other].disk.clone();
-            world.set_disk(at, copied);
+            let other = simulation.random_below(simulation.processes.len() as u64) as usize;
+            let copied = simulation.processes[other].disk.clone();
+            simulation.set_disk(index, copied);
         }
         _ => {}
     }
-    let after = world.below(8) * SECOND;
-    world.start_later(at, after);
+    let delay = simulation.random_below(8) * SECOND;
+    simulation.schedule_start(index, delay);
 }
 
-fn faults(world: &mut World) {
-    let (until, pace) = (world.now + FAULTS, [100 * MS, SECOND][world.below(2) as usize]);
-    while world.now < until && world.fault.is_none() {
-        let next = world.now + MS + world.below(pace);
-        world.run(next);
-        strike(world);
+fn run_fault_phase(simulation: &mut Simulation) {
+    let (until, max_pause) =
+        (simulation.now + FAULT_PHASE, [100 * MS, SECOND][simulation.random_below(2) as usize]);
+    while simulation.now < until && simulation.failure.is_none() {
+        let next = simulation.now + MS + simulation.random_below(max_pause);
+        simulation.run_until(next);
+        inject_random_event(simulation);
     }
 }
 
 /// One stays away, dead or cut off, for longer than tombstones are kept, while the others go on; then it comes back.
-fn one_stays_away(world: &mut World) {
-    let at = world.below(world.processes.len() as u64) as usize;
-    let dead = world.one_in(2);
-    if dead {
-        world.crash(at);
+fn one_process_stays_away(simulation: &mut Simulation) {
+    let index = simulation.random_below(simulation.processes.len() as u64) as usize;
+    let crashed = simulation.one_in(2);
+    if crashed {
+        simulation.crash(index);
     } else {
-        world.isolate(at, RETENTION + 30 * SECOND);
+        simulation.isolate(index, RETENTION + 30 * SECOND);
     }
     for _ in 0..6 {
-        let next = world.now + SECOND;
-        world.run(next);
-        give_one(world);
+        let next = simulation.now + SECOND;
+        simulation.run_until(next);
+        issue_random_order(simulation);
     }
-    let back = world.now + RETENTION + 25 * SECOND;
-    world.run(back);
-    world.start_later(at, 0);
+    let return_at = simulation.now + RETENTION + 25 * SECOND;
+    simulation.run_until(return_at);
+    simulation.schedule_start(index, 0);
 }
 
 /// From the last fault until all that live agree.
-fn converges(world: &mut World) -> (Nanos, Vec<Entry>) {
-    for process in 0..world.processes.len() {
-        world.processes[process].ahead = 0;
-        world.start_later(process, 0);
+fn run_until_converged(simulation: &mut Simulation) -> (Nanos, Vec<Entry>) {
+    for process in 0..simulation.processes.len() {
+        simulation.processes[process].clock_ahead = 0;
+        simulation.schedule_start(process, 0);
     }
-    let begin = world.now;
+    let start = simulation.now;
     let mut agreed = Vec::new();
-    while world.fault.is_none() {
-        match world.agreed() {
-            Ok(entries) if world.now > begin + SECOND => {
+    while simulation.failure.is_none() {
+        match simulation.agreed_entries() {
+            Ok(entries) if simulation.now > start + SECOND => {
                 agreed = entries;
                 break;
             }
-            Err(why) if world.now > begin + BOUND => world.wrong(format!("not agreed: {why}")),
-            _ => world.run(world.now + 100 * MS),
+            Err(difference) if simulation.now > start + CONVERGENCE_BOUND => {
+                simulation.fail(format!("not agreed: {difference}"))
+            }
+            _ => simulation.run_until(simulation.now + 100 * MS),
         }
     }
-    (world.now - begin, agreed)
+    (simulation.now - start, agreed)
 }
 
 /// Nothing that was agreed on is undone by something lower, and no order that wins was lost without a word.
-fn nothing_ended_is_back(world: &mut World, settled: &mut BTreeMap<Slot, Order>, agreed: &[Entry]) {
-    let now: BTreeMap<Slot, Order> =
+fn check_agreed_orders(
+    simulation: &mut Simulation,
+    previously_agreed: &mut BTreeMap<Slot, Order>,
+    agreed: &[Entry],
+) {
+    let current: BTreeMap<Slot, Order> =
         agreed.iter().map(|entry| (entry.slot.clone(), entry.order.clone())).collect();
-    let (unix, mut wrong) = (world.unix(), None);
-    let expired =
-        |order: &Order| order.service == Service::In && order.stamp.time + RETENTION <= unix + AHEAD + SECOND;
+    let (unix_time, mut violation) = (simulation.unix_time(), None);
+    let expired = |order: &Order| {
+        order.service == ServiceState::In
+            && order.stamp.time + RETENTION <= unix_time + MAX_CLOCK_AHEAD + SECOND
+    };
     // Whether an order that wins over it was given, and dropped since.
-    let ended = |slot: &Slot, order: &Order| {
-        world.given.iter().any(|other| {
+    let superseded = |slot: &Slot, order: &Order| {
+        simulation.issued.iter().any(|other| {
             let later = other.entry.slot == *slot && rank(&other.entry.order) > rank(order);
             later && expired(&other.entry.order)
         })
     };
-    let lost =
-        |order: &Order| world.given.iter().any(|given| given.entry.order == *order && given.may_be_lost);
-    for (slot, before) in settled.iter().filter(|(_, before)| !lost(before)) {
-        match now.get(slot) {
-            Some(order) if rank(order) < rank(before) && !expired(before) && !ended(slot, before) => {
-                wrong = Some(format!("an agreed order was undone: {before:?} by {order:?}"));
+    let lost = |order: &Order| {
+        simulation.issued.iter().any(|issued| issued.entry.order == *order && issued.may_be_lost)
+    };
+    for (slot, before) in previously_agreed.iter().filter(|(_, before)| !lost(before)) {
+        match current.get(slot) {
+            Some(order) if rank(order) < rank(before) && !expired(before) && !superseded(slot, before) => {
+                violation = Some(format!("an agreed order was undone: {before:?} by {order:?}"));
             }
-            None if !expired(before) && !ended(slot, before) => {
-                wrong = Some(format!("agreed and gone: {before:?}"));
+            None if !expired(before) && !superseded(slot, before) => {
+                violation = Some(format!("agreed and gone: {before:?}"));
             }
             _ => {}
         }
     }
-    for (slot, order) in &now {
-        let ender = world.given.iter().find(|other| {
-            let Entry { slot: of, order: ender } = &other.entry;
-            let wins = rank(ender) > rank(order) && ender.stamp.time > order.stamp.time;
-            of == slot && wins && expired(ender) && !other.may_be_lost
+    for (slot, order) in &current {
+        let superseding = simulation.issued.iter().find(|other| {
+            let Entry { slot: of, order: superseding } = &other.entry;
+            let wins = rank(superseding) > rank(order) && superseding.stamp.time > order.stamp.time;
+            of == slot && wins && expired(superseding) && !other.may_be_lost
         });
-        let listed = world.given.iter().any(|given| given.entry.order == *order && given.doubtful);
-        if let Some(ender) = ender.filter(|_| !listed) {
-            wrong = Some(format!("an ended order came back: {order:?} ended by {:?}", ender.entry));
+        let listed =
+            simulation.issued.iter().any(|issued| issued.entry.order == *order && issued.possibly_superseded);
+        if let Some(superseding) = superseding.filter(|_| !listed) {
+            violation = Some(format!("an ended order came back: {order:?} ended by {:?}", superseding.entry));
         }
     }
-    for given in world.given.iter().filter(|given| !given.may_be_lost) {
-        let Entry { slot, order } = &given.entry;
-        let won = now.get(slot).or(settled.get(slot)).is_some_and(|known| rank(known) >= rank(order))
-            || ended(slot, order);
+    for issued in simulation.issued.iter().filter(|issued| !issued.may_be_lost) {
+        let Entry { slot, order } = &issued.entry;
+        let won =
+            current.get(slot).or(previously_agreed.get(slot)).is_some_and(|known| rank(known) >= rank(order))
+                || superseded(slot, order);
         if !won && !expired(order) {
-            wrong = Some(format!("given and gone without a word: {:?}", given.entry));
+            violation = Some(format!("given and gone without a word: {:?}", issued.entry));
         }
     }
-    if let Some(wrong) = wrong {
-        world.wrong(wrong);
+    if let Some(violation) = violation {
+        simulation.fail(violation);
     }
-    settled.extend(now);
+    previously_agreed.extend(current);
 }
 
-fn play(seed: u64) -> (World, Vec<Nanos>) {
-    let mut world = World::new(seed, 0);
-    let count = 2 + world.below(4) as usize;
-    let mut world = World::new(seed, count);
-    world.longest = [5 * MS, 50 * MS, 300 * MS][world.below(3) as usize];
-    let (mut settled, mut took) = (BTreeMap::new(), Vec::new());
-    world.run(SECOND);
+fn run_schedule(seed: u64) -> (Simulation, Vec<Nanos>) {
+    let mut simulation = Simulation::new(seed, 0);
+    let count = 2 + simulation.random_below(4) as usize;
+    let mut simulation = Simulation::new(seed, count);
+    simulation.max_delay = [5 * MS, 50 * MS, 300 * MS][simulation.random_below(3) as usize];
+    let (mut previously_agreed, mut convergence_times) = (BTreeMap::new(), Vec::new());
+    simulation.run_until(SECOND);
     for _ in 0..PHASES {
-        faults(&mut world);
+        run_fault_phase(&mut simulation);
         // Islands end before the bound begins.
-        let quiet = world.now + 20 * SECOND;
-        world.run(quiet);
-        if world.one_in(2) {
-            one_stays_away(&mut world);
+        let quiet_until = simulation.now + 20 * SECOND;
+        simulation.run_until(quiet_until);
+        if simulation.one_in(2) {
+            one_process_stays_away(&mut simulation);
         }
-        let (time, agreed) = converges(&mut world);
-        took.push(time);
-        nothing_ended_is_back(&mut world, &mut settled, &agreed);
+        let (time, agreed) = run_until_converged(&mut simulation);
+        convergence_times.push(time);
+        check_agreed_orders(&mut simulation, &mut previously_agreed, &agreed);
     }
-    (world, took)
+    (simulation, convergence_times)
 }
 
 #[test]
-fn random_schedules_keep_what_is_promised() {
+fn random_schedules_converge_without_losing_or_reviving_orders() {
     // SEED and SEEDS in the environment: the first, and how many.
-    let set = |name: &str| std::env::var(name).ok().and_then(|number| number.parse::<u64>().ok());
-    let first = set("SEED").unwrap_or(0);
-    let seeds = first..first + set("SEEDS").unwrap_or(if set("SEED").is_some() { 1 } else { SEEDS });
-    let (mut times, mut given, mut away) = (Vec::new(), 0, 0);
+    let variable = |name: &str| std::env::var(name).ok().and_then(|number| number.parse::<u64>().ok());
+    let first = variable("SEED").unwrap_or(0);
+    let seeds =
+        first..first + variable("SEEDS").unwrap_or(if variable("SEED").is_some() { 1 } else { SEEDS });
+    let (mut times, mut issued, mut stale_copies) = (Vec::new(), 0, 0);
     for seed in seeds {
-        let (world, took) = play(seed);
-        assert_eq!(world.fault, None);
-        times.extend(took);
-        (given, away) = (given + world.given.len(), away + world.was_away);
+        let (simulation, convergence_times) = run_schedule(seed);
+        assert_eq!(simulation.failure, None);
+        times.extend(convergence_times);
+        (issued, stale_copies) = (issued + simulation.issued.len(), stale_copies + simulation.stale_copies);
     }
     times.sort();
-    let (half, most) = (times[times.len() / 2] / MS, times[times.len() - 1] / MS);
+    let (median, longest) = (times[times.len() / 2] / MS, times[times.len() - 1] / MS);
     println!(
-        "{given} orders, {away} copies had been away; agreed after {half} ms (median), {most} ms (most)"
+        "{issued} orders, {stale_copies} copies had been away; agreed after {median} ms (median), {longest} ms (most)"
     );
 }
 
@@ -207,17 +224,18 @@
 #[cfg(feature = "planted")]
 #[test]
 fn planted_faults_are_found() {
-    for (fault, words) in [
-        (Fault::VectorWithFirstPart, ""),
+    for (fault, expected_text) in [
+        (Fault::VectorWithFirstChunk, ""),
         (Fault::TimeBeforeToken, "a lower token won"),
         (Fault::NoTombstones, "came back"),
         (Fault::KeepsStaleCopy, ""),
-        (Fault::ReusesOrigin, ""),
-        (Fault::AcceptsFuture, "from the future"),
+        (Fault::ReusesIncarnation, ""),
+        (Fault::AcceptsFutureStamps, "from the future"),
     ] {
-        plant(Some(fault));
-        let found = (0..SEEDS).find_map(|seed| play(seed).0.fault.filter(|what| what.contains(words)));
-        plant(None);
+        inject(Some(fault));
+        let found = (0..SEEDS)
+            .find_map(|seed| run_schedule(seed).0.failure.filter(|failure| failure.contains(expected_text)));
+        inject(None);
         let found = found.unwrap_or_else(|| panic!("{fault:?} was not found"));
         println!("{fault:?}: {}", found.chars().take(160).collect::<String>());
     }
