--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,9 +1,13 @@
-//! Replicates orders of maintenance (a cache node out of service, or back) between the proxies of a group. Decisions
-//! alone: no I/O, no clock, no chance of its own. `docs/replication.md` has the options weighed, the rule for orders that
-//! differ and what is promised.
+//! Replicates maintenance orders (a cache node is out of service, or back in service) between the proxies of
+//! a group. The crate only decides: it has no I/O, no clock and no randomness of its own.
 //!
-//! Each process drives a [`Replica`]: one method for each thing that can happen, which acts by calls to its [`Host`].
-//! Replication is eventually consistent: it must never be leaned on by a rule that needs something to be true at once.
+//! Each process drives one [`Replica`]: it calls a method for each event, and the replica responds through
+//! its [`Host`]. Orders are merged by a join semilattice, so messages may be lost, repeated or reordered.
+//!
+//! Replication is eventually consistent. No rule that needs a state to hold everywhere at once may depend on
+//! it.
+//!
+//! The design and its guarantees are described in `docs/replication.md`.
 
 mod actions;
 mod fault_injection;
@@ -26,8 +30,8 @@
 pub use status::Status;
 pub use vector::VersionVector;
 
-/// Whole nanoseconds.
+/// A time or duration in whole nanoseconds.
 pub type Nanos = u64;
 const MILLISECOND: Nanos = 1_000_000;
-/// One second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MILLISECOND;
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -1,8 +1,10 @@
-//! The orders that a replica has, joined by slot, and how far it knows each origin's.
+//! The orders that a replica keeps, merged by slot, and the version vector of the orders that it covers.
 //!
-//! What must hold: the vector covers an order only if its slot has it or one that wins over it, or if such a one was
-//! dropped since because it had expired. So an order that the vector covers and whose slot is empty has ended: that is
-//! how a copy which was away for longer than dropped orders are kept learns of their end.
+//! Invariant: the vector covers an order only if its slot holds that order or one that wins over it, or if
+//! such an order has been dropped since because it had expired. So an order that the vector covers and whose
+//! slot is empty has been superseded or has expired. This is how a replica that was disconnected for longer
+//! than the retention learns which of its orders have been superseded by orders that were dropped in the
+//! meantime.
 
 use crate::Nanos;
 use crate::fault_injection::{Fault, is_injected};
@@ -16,59 +18,66 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-/// Orders that a replica keeps at most, and leases that may speak for one node.
+/// The maximum number of orders that a replica keeps.
 pub const MAX_ORDERS: usize = 1 << 14;
+/// The maximum number of orders for one node, and so of leases with orders for it.
 const MAX_LEASES_PER_NODE: usize = 16;
-/// Dropped orders that are remembered, the newest: what comes late and loses to one of them has ended.
+/// How many dropped orders are remembered, the newest ones. A late order that loses to one of them has been
+/// superseded.
 const MAX_RECENTLY_DROPPED: usize = 4096;
 
-/// What became of an order that came.
+/// The result of joining a received order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JoinOutcome {
-    /// It is kept, or it ended one that was.
+    /// The order is kept, or it removed an older one.
     Changed,
-    /// One that wins over it, or the same, is known.
+    /// The order, or one that supersedes it, was known already.
     Known,
-    /// The same stamp with other contents; the one that wins is kept.
+    /// A known order has the same stamp with other contents. The greater of the two is kept.
     Conflict,
-    /// Its stamp is too far ahead of this clock.
+    /// The stamp is too far ahead of the local clock.
     FutureStamp,
-    /// There is no room for more.
+    /// The limit of orders is reached.
     LimitReached,
 }
 
-/// What a replica keeps over a restart.
+/// The state that a replica keeps over a restart, encoded with postcard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Whose copy it is.
+    /// The name of the replica whose copy this is.
     pub name: String,
-    /// Unix time when another replica was heard last.
+    /// Unix time when a message of another replica was last received; 0 if never.
     pub as_of: Nanos,
+    /// The orders that are kept.
     pub entries: Vec<Entry>,
+    /// The orders that are covered.
     pub vector: VersionVector,
+    /// For each issuer, the highest version of an order that was dropped because it had expired.
     pub gc_horizon: VersionVector,
-    /// Orders that were dropped, and what they had ended comes no more.
+    /// Dropped orders. What they superseded is not accepted again.
     pub recently_dropped: Vec<Entry>,
-    /// What others are known to cover.
+    /// The orders that other replicas are known to cover.
     pub seen_elsewhere: VersionVector,
 }
 
-/// Orders by slot.
+/// The orders of a replica by slot; at most one order is kept per slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OrderMap {
     orders: BTreeMap<Slot, Order>,
+    /// The orders that are covered.
     pub vector: VersionVector,
-    /// By origin, the highest version of an order that was dropped because it had expired.
+    /// For each issuer, the highest version of an order that was dropped because it had expired.
     pub gc_horizon: VersionVector,
-    /// Dropped orders, by slot. They are not sent; a copy that forgot them only takes longer to learn what has ended.
+    /// Dropped orders by slot. They are not sent to peers. A replica that has forgotten one only takes longer
+    /// to learn which orders it superseded.
     recently_dropped: BTreeMap<Slot, Order>,
-    /// The newest time of any stamp that came: the next one given here is later.
+    /// The newest time of any stamp received. The next order issued here gets a later time.
     newest_time: Nanos,
-    /// Of all orders, joined by exclusive or.
+    /// The exclusive or of the hashes of all orders.
     digest: u64,
 }
 
-/// The same number for the same value in every process and build of one version.
+/// A hash that is the same for equal values in every process and every build of one version.
 pub fn stable_hash(value: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7075_6d69, 0x6365_6261);
     value.hash(&mut hasher);
@@ -76,7 +85,7 @@
 }
 
 impl OrderMap {
-    /// From what was kept.
+    /// Restores the orders of a snapshot; entries that are not well-formed are left out.
     pub fn from_snapshot(snapshot: &Snapshot) -> OrderMap {
         let mut map = OrderMap {
             vector: snapshot.vector.clone(),
@@ -92,8 +101,9 @@
         map
     }
 
-    /// Joins an order that came, and covers it if it is taken or known. `now` is Unix time; an order that puts a node back
-    /// expires after `retention`.
+    /// Joins a received order, and covers it unless it is rejected (its stamp is in the future, or the limit
+    /// is reached). `now` is Unix time. An order that puts a node back into service expires after
+    /// `retention`.
     pub fn join(
         &mut self,
         now: Nanos,
@@ -129,7 +139,7 @@
             return JoinOutcome::Known;
         }
         if expired(order, now, retention) {
-            // It has ended all that it won over, here too.
+            // The expired order supersedes a lesser one here as everywhere else, but is not kept itself.
             let superseded = self.remove(slot).is_some();
             self.record_dropped(slot.clone(), order.clone());
             self.gc_horizon.raise(&order.stamp.issuer, order.stamp.version);
@@ -142,7 +152,7 @@
         if conflicting { JoinOutcome::Conflict } else { JoinOutcome::Changed }
     }
 
-    /// Whether an order whose slot is empty here was ended by one that was dropped since.
+    /// Whether an order whose slot is empty has been superseded by an order that was dropped since.
     fn is_superseded(&self, slot: &Slot, order: &Order) -> bool {
         let does_not_win = |dropped: &Order| order.cmp_precedence(dropped) != Ordering::Greater;
         let superseded =
@@ -150,6 +160,8 @@
         superseded && !is_injected(Fault::KeepsStaleCopy)
     }
 
+    /// Remembers a dropped order, unless a greater one of its slot is remembered. Forgets the oldest beyond
+    /// the limit.
     fn record_dropped(&mut self, slot: Slot, order: Order) {
         let known = self.recently_dropped.get(&slot);
         if known.is_some_and(|known| order.cmp_precedence(known) != Ordering::Greater) {
@@ -163,13 +175,14 @@
         }
     }
 
-    /// Orders that were dropped and are remembered.
+    /// The dropped orders that are remembered.
     pub fn recently_dropped(&self) -> impl Iterator<Item = Entry> + '_ {
         self.recently_dropped.iter().map(|(slot, order)| Entry { slot: slot.clone(), order: order.clone() })
     }
 
-    /// Drops what has ended according to another copy, all of which is given: orders that its vector covers and whose
-    /// slots are empty there.
+    /// Given the slots of a peer's full copy and the vector that it covers, drops the orders that have been
+    /// superseded there: those that the vector covers and whose slots the copy does not contain. Returns how
+    /// many were dropped.
     pub fn drop_superseded(&mut self, slots: &BTreeSet<Slot>, vector: &VersionVector) -> usize {
         if is_injected(Fault::KeepsStaleCopy) {
             return 0;
@@ -186,13 +199,15 @@
         superseded.len()
     }
 
-    /// Orders older than dropped ones are kept that this vector does not cover.
+    /// Orders older than the retention that the given vector of a peer does not cover. Any order that
+    /// superseded them may have been dropped.
     pub fn possibly_superseded(&self, now: Nanos, retention: Nanos, vector: &VersionVector) -> Vec<Entry> {
         let past_retention = |entry: &Entry| entry.order.stamp.time.saturating_add(retention) <= now;
         self.entries().filter(|entry| past_retention(entry) && !vector.covers(&entry.order.stamp)).collect()
     }
 
-    /// Gives an order here. `now` is Unix time.
+    /// Issues a new order of this replica. `now` is Unix time. Returns why the order is refused if a name is
+    /// invalid, the order needs a lease, its token is stale, or a limit is reached.
     pub fn issue(
         &mut self,
         now: Nanos,
@@ -229,7 +244,7 @@
         Ok(Entry { slot, order })
     }
 
-    /// Drops orders that put nodes back, once they have expired. Gives how many.
+    /// Drops expired orders, all of which put nodes back into service. Returns how many were dropped.
     pub fn drop_expired(&mut self, now: Nanos, retention: Nanos) -> usize {
         let should_drop = |order: &Order| {
             let drop_at_once = is_injected(Fault::NoTombstones) && order.service == ServiceState::In;
@@ -266,7 +281,7 @@
         Some(order)
     }
 
-    /// Orders that a vector does not cover, the newest first.
+    /// The slots whose orders the vector does not cover, those with the newest stamps first.
     pub fn not_covered_by(&self, vector: &VersionVector) -> Vec<Slot> {
         let uncovered = self.orders.iter().filter(|(_, order)| !vector.covers(&order.stamp));
         let mut uncovered: Vec<(&Stamp, &Slot)> =
@@ -275,6 +290,7 @@
         uncovered.into_iter().map(|(_, slot)| slot.clone()).collect()
     }
 
+    /// The order of this slot; `None` if it is empty.
     pub fn get(&self, slot: &Slot) -> Option<Entry> {
         let order = self.orders.get(slot)?.clone();
         Some(Entry { slot: slot.clone(), order })
@@ -285,35 +301,39 @@
         self.orders.range(first..).take_while(move |(slot, _)| slot.node == node)
     }
 
-    /// What holds for a node; `None` where no order is known.
+    /// The state of a node; `None` if there is no order for it.
     pub fn effective_state(&self, node: &str) -> Option<ServiceState> {
         effective_state(self.orders_of_node(node))
     }
 
-    /// All nodes that orders are known for.
+    /// All nodes for which there are orders.
     pub fn nodes(&self) -> BTreeSet<String> {
         self.orders.keys().map(|slot| slot.node.clone()).collect()
     }
 
+    /// All orders with their slots.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         self.orders.iter().map(|(slot, order)| Entry { slot: slot.clone(), order: order.clone() })
     }
 
+    /// The number of orders.
     pub fn len(&self) -> usize {
         self.orders.len()
     }
 
+    /// Whether there are no orders.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Equal where the orders are.
+    /// A hash that is the same for equal sets of orders.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 }
 
-/// Whether an order puts its node back and is older than tombstones are kept.
+/// Whether an order puts its node back into service and is older than the retention. Until then it is kept as
+/// a tombstone of the order that it superseded.
 fn expired(order: &Order, now: Nanos, retention: Nanos) -> bool {
     order.service == ServiceState::In && order.stamp.time.saturating_add(retention) <= now
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,52 +1,59 @@
-//! What two replicas say to each other over a link.
+//! The messages that two replicas exchange over a link, encoded with postcard.
 
 use crate::order::Entry;
 use crate::vector::VersionVector;
 use serde::{Deserialize, Serialize};
 
-/// How far a replica knows what was ordered.
+/// Which orders a replica knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Knowledge {
+    /// The orders that are covered.
     pub vector: VersionVector,
-    /// By origin, the highest version that was dropped because it had expired.
+    /// For each issuer, the highest version of an order that was dropped because it had expired.
     pub gc_horizon: VersionVector,
 }
 
-/// What a replica has, in short.
+/// A short description of a replica's state, from which a peer works out what to send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
+    /// The orders that the sender covers.
     pub knowledge: Knowledge,
-    /// Of all its orders.
+    /// The digest of all orders that the sender keeps; see [`OrderMap::digest`](crate::OrderMap::digest).
     pub digest: u64,
 }
 
-/// Some of the orders that the other lacks.
+/// Some of the orders of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Counts on a link; the answer bears it.
+    /// The number of the chunk on its link, counted from 1 and repeated in the acknowledgement.
     pub number: u64,
-    /// Together with its other parts all that the sender has: what it lacks and covers has ended.
+    /// Whether the chunks of this transfer together hold all orders of the sender. An order that the sender's
+    /// knowledge covers and that the chunks do not contain has been superseded.
     pub full_copy: bool,
+    /// The orders.
     pub entries: Vec<Entry>,
-    /// With the last part: what the sender knew when it began, beyond what the receiver covered then; of a whole one all.
+    /// Sent with the last chunk: what the sender knew when the transfer began. In a full copy this is all of
+    /// its knowledge, otherwise only what the receiver did not cover at that time.
     pub sender_knowledge: Option<Knowledge>,
 }
 
+/// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A digest of orders and knowledge: who has the same says nothing, else its summary.
+    /// The digest of the sender's orders and knowledge. A receiver with another digest answers with its
+    /// summary; one with the same digest does not answer.
     Heartbeat(u64),
+    /// What the sender has.
     Summary(Summary),
+    /// Part of a transfer.
     Chunk(Chunk),
-    /// The answer to the part of this number: the next may come. `taken` says that its orders are known here.
-    Ack {
-        number: u64,
-        accepted: bool,
-    },
+    /// Acknowledges the chunk of this number, so that the next one may be sent. `accepted` is false if the
+    /// transfer is complete but the sender's knowledge was not adopted, because an order was rejected.
+    Ack { number: u64, accepted: bool },
 }
 
 impl Message {
-    /// How many bytes it takes on a link, its frame not counted.
+    /// The encoded size in bytes, without the frame around it.
     pub fn size(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(0)
     }
--- a/crates/replication/src/order.rs
+++ b/crates/replication/src/order.rs
@@ -1,6 +1,8 @@
-//! Orders of maintenance and the rule for those that differ: a pure function over what is known, whatever order it came
-//! in. Within a slot (a node and a lease, or a node and no lease) orders are totally ordered; what holds for a node is read
-//! from all its slots.
+//! Maintenance orders, and the rule that decides between conflicting ones. The rule is a pure function of the
+//! known orders, independent of the sequence in which they arrived.
+//!
+//! Orders of one slot (a node and a lease, or a node without a lease) are totally ordered, and only the
+//! greatest is kept. The state of a node is derived from the orders in all of its slots.
 
 use crate::Nanos;
 use crate::fault_injection::{Fault, is_injected};
@@ -8,93 +10,112 @@
 use std::cmp::Ordering;
 use std::fmt;
 
-/// The longest name of a node, of a lease or of a process, in bytes.
+/// The maximum length of the name of a node, a lease or a process, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
 
-/// One start of a process. Each start is another origin, so that no number is ever used twice, whatever its disk says.
+/// One run of a replica process. Each start gets a new identity, so that no version number is used twice,
+/// whatever state the disk is in.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
+    /// The configured name of the process.
     pub name: String,
-    /// A number that no other start draws.
+    /// A number that is unique to this start of the process.
     pub incarnation: u64,
 }
 
-/// When and by whom an order was given.
+/// Identifies an order: when and by which process it was issued.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Unix time, or one more than the newest that its origin had seen, if that is later.
+    /// Unix time at the issuer or, if that is later, one more than the newest time that it had seen in any
+    /// stamp.
     pub time: Nanos,
+    /// The process that issued the order.
     pub issuer: ReplicaId,
-    /// The origin's orders count from 1.
+    /// The sequence number among the orders of this issuer, starting at 1.
     pub version: u64,
 }
 
-/// What an order says of its node.
+/// Whether a node is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServiceState {
+    /// The node receives requests.
     In,
-    /// Nothing new is sent there.
+    /// The node receives no new requests.
     Out,
 }
 
-/// The lease that an order is given under, and its fencing token.
+/// The lease under which an order is issued, and its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
+    /// The name of the lease.
     pub name: String,
+    /// Increases with each new holder of the lease; orders of earlier holders are refused.
     pub token: u64,
 }
 
-/// What one order replaces another of: a node and the lease, if any.
+/// The register that an order writes: a node and, for an order under a lease, the name of that lease. An
+/// order replaces only orders of the same slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slot {
+    /// The id of the node.
     pub node: String,
+    /// The name of the lease; `None` for orders without a lease.
     pub lease: Option<String>,
 }
 
-/// An order as a slot keeps it.
+/// The value of a slot: the state of the node, and where the order came from.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
+    /// The state that the node shall have.
     pub service: ServiceState,
-    /// 0 without a lease.
+    /// The fencing token of the lease; 0 without a lease.
     pub token: u64,
+    /// When and by whom the order was issued.
     pub stamp: Stamp,
 }
 
-/// An order with its slot, as it travels.
+/// An order together with its slot, as it is sent and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// The slot that the order writes.
     pub slot: Slot,
+    /// The order.
     pub order: Order,
 }
 
-/// Why an order is not taken.
+/// Why an order cannot be issued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The lease has gone on to this token.
+    /// The token is lower than this one, which the lease has already reached.
     StaleToken { token: u64 },
-    /// A lease has spoken for this node: only an order under a lease may change that.
+    /// An order under this lease exists for the node, so it can only be changed by orders under a lease.
     LeaseRequired { lease: String },
-    /// A name is empty or longer than it may be.
+    /// A name is empty or longer than [`MAX_NAME_BYTES`].
     InvalidName,
-    /// There are as many orders, or leases for one node, as may be.
+    /// The limit of orders, or of leases for one node, is reached.
     LimitReached,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::StaleToken { token } => write!(f, "the lease has gone on to token {token}"),
+            Refusal::StaleToken { token } => {
+                write!(f, "the token is stale: the lease has reached token {token}")
+            }
             Refusal::LeaseRequired { lease } => {
                 write!(f, "lease {lease:?} has spoken for it: an order needs a lease and its token")
             }
-            Refusal::InvalidName => write!(f, "expected names of 1 to {MAX_NAME_BYTES} bytes"),
-            Refusal::LimitReached => write!(f, "too many orders or leases are known"),
+            Refusal::InvalidName => {
+                write!(f, "the names of a node and a lease must have 1 to {MAX_NAME_BYTES} bytes")
+            }
+            Refusal::LimitReached => write!(f, "the limit of orders, or of leases for one node, is reached"),
         }
     }
 }
 
 impl Order {
-    /// A total order within a slot: a higher token wins, then the later time, then out of service.
+    /// Compares two orders of one slot; the greater one is kept. The higher token wins, then the later time,
+    /// then out of service, then the greater stamp.
     pub fn cmp_precedence(&self, other: &Order) -> Ordering {
         let by_token = self.token.cmp(&other.token);
         let by_time = self.stamp.time.cmp(&other.stamp.time);
@@ -105,7 +126,8 @@
 }
 
 impl Entry {
-    /// Whether all its names may be used.
+    /// Whether an entry received from a peer is well-formed: its names have valid lengths, an order without a
+    /// lease has token 0, and its version is at least 1.
     pub fn is_valid(&self) -> bool {
         let valid_name = |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len());
         let lease = self.slot.lease.as_deref();
@@ -117,8 +139,9 @@
     }
 }
 
-/// What holds for a node, given the orders of all its slots: the latest of those given under a lease, out of service where
-/// two are as late; without any of those the one without a lease. `None` where there is no order at all.
+/// The state of a node, given the orders of all its slots. If there are orders under a lease, the latest of
+/// them decides, and out of service wins a tie; otherwise the order without a lease decides. `None` if there
+/// is no order.
 pub fn effective_state<'a>(orders: impl Iterator<Item = (&'a Slot, &'a Order)>) -> Option<ServiceState> {
     let precedence = |(slot, order): (&'a Slot, &'a Order)| {
         (slot.lease.is_some(), order.stamp.time, order.service, &order.stamp)
