--- a/crates/replication/src/actions.rs
+++ b/crates/replication/src/actions.rs
@@ -1,4 +1,5 @@
-//! A host that only notes down what a replica asks for, to be carried out once something has happened to it.
+//! A [`Host`] that queues what a replica requests, so that the caller can carry it out after the replica's
+//! method has returned.
 
 use crate::link::LinkId;
 use crate::map::Snapshot;
@@ -7,25 +8,32 @@
 use crate::replica::{Host, Report};
 use std::collections::VecDeque;
 
-/// One thing that a replica asked for, see [`Host`].
+/// An effect that a replica requested through [`Host`]; each variant corresponds to the method of that name.
 #[derive(Debug)]
 pub enum Action {
+    /// Dial this peer.
     Dial(String),
+    /// Send a message over a link.
     Send(LinkId, Message),
+    /// Close a link.
     Close(LinkId),
+    /// Take a node out of service or put it back.
     Apply(String, ServiceState),
+    /// Write a snapshot to disk.
     Persist(Snapshot),
+    /// Log or count an event.
     Report(Report),
 }
 
-/// What a replica asked for, in order.
+/// The requested actions in the order of the calls, with a seeded random generator for the replica.
 pub struct ActionQueue {
+    /// Actions that the caller has not yet carried out, the oldest first.
     pub actions: VecDeque<Action>,
     random: oorandom::Rand64,
 }
 
 impl ActionQueue {
-    /// Nothing yet; chance is drawn from this seed.
+    /// Creates an empty queue; `seed` seeds the generator behind [`Host::random`].
     pub fn new(seed: u64) -> ActionQueue {
         ActionQueue { actions: VecDeque::new(), random: oorandom::Rand64::new(u128::from(seed)) }
     }
--- a/crates/replication/src/fault_injection.rs
+++ b/crates/replication/src/fault_injection.rs
@@ -1,26 +1,29 @@
-//! Faults planted on purpose, to see that the tests find them. In a build without the feature nothing is planted and
-//! nothing is asked.
+//! Faults that tests inject to verify that they detect them. Without the feature `planted` no fault can be
+//! injected, and the checks compile to `false`.
 
 pub use switch::{inject, is_injected};
 
+/// A fault in the protocol that can be switched on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// A sender's vector is taken with the first of several parts.
+    /// The sender's vector is adopted with the first of several chunks instead of the last.
     VectorWithFirstChunk = 1,
     /// Orders of one lease are compared by time before their tokens.
     TimeBeforeToken,
-    /// An order that puts a node back removes the one before it and is not kept itself.
+    /// An order that puts a node back into service removes the previous order and is not kept itself.
     NoTombstones,
-    /// A replica that was away for longer than dropped orders are kept keeps what had ended meanwhile.
+    /// A replica that was disconnected for longer than the retention keeps orders that have been superseded
+    /// in the meantime.
     KeepsStaleCopy,
-    /// A process that restarts goes on under the origin that it had, from its first version.
+    /// A restarted process reuses its previous identity and starts again at its first version.
     ReusesIncarnation,
-    /// Stamps from far in the future are taken.
+    /// Orders with stamps far in the future are accepted.
     AcceptsFutureStamps,
 }
 
 impl Fault {
+    /// All faults.
     pub const ALL: [Fault; 6] = [
         Fault::VectorWithFirstChunk,
         Fault::TimeBeforeToken,
@@ -35,11 +38,12 @@
 mod switch {
     std::thread_local!(static INJECTED: std::cell::Cell<u8> = const { std::cell::Cell::new(0) });
 
-    /// Plants this fault, or none, for this thread.
+    /// Injects this fault, or none, on the current thread.
     pub fn inject(fault: Option<super::Fault>) {
         INJECTED.set(fault.map_or(0, |fault| fault as u8));
     }
 
+    /// Whether this fault is injected on the current thread.
     pub fn is_injected(fault: super::Fault) -> bool {
         INJECTED.get() == fault as u8
     }
@@ -47,8 +51,10 @@
 
 #[cfg(not(feature = "planted"))]
 mod switch {
+    /// Does nothing without the feature `planted`.
     pub fn inject(_fault: Option<super::Fault>) {}
 
+    /// Always false without the feature `planted`.
     pub const fn is_injected(_fault: super::Fault) -> bool {
         false
     }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,37 +1,44 @@
-//! Which peers a replica keeps links to: some drawn by chance, one of them drawn anew now and then, so that groups that
-//! were cut from each other find each other again and nobody is asked by all.
+//! Chooses the peers to which a replica keeps links. Peers are chosen at random, so that no peer is dialled
+//! by all others, and one link is moved to another peer now and then, so that parts of the group that were
+//! separated find each other again.
 
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::BTreeSet;
 
-/// A peer is drawn anew after half of this up to all of it.
+/// One link is moved to another peer after a random time between half of this and all of it.
 const ROTATION_PERIOD: Nanos = 6 * SECOND;
-/// The wait before another peer is dialled after one that could not be reached, by chance up to this, twice as much each
-/// time, up to the other.
+/// The lower and upper limit of the maximum delay before the next dial after a failed one. The maximum
+/// doubles with each failure; the delay is a random part of it.
 const REDIAL_BACKOFF: [Nanos; 2] = [50 * MILLISECOND, 2 * SECOND];
-/// A dial that has not come to anything by then is given up.
+/// A dial without a result after this time counts as failed.
 const DIAL_TIMEOUT: Nanos = 2 * SECOND;
 
-/// Draws peers and paces dials.
+/// Chooses peers and limits the rate of dials.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peers {
+    /// The names of all peers of the group.
     names: Vec<String>,
-    /// Links that are wanted.
+    /// How many dialled links to keep.
     target_links: usize,
+    /// The peer being dialled, and since when.
     dialling: Option<(String, Nanos)>,
+    /// No dial starts before this time.
     next_dial: Nanos,
+    /// Dials that failed since the last successful one.
     failures: u32,
+    /// When to move one link to another peer.
     rotate_at: Nanos,
 }
 
 impl Peers {
+    /// Starts without links; `random` is a number between 0 and 1.
     pub fn new(now: Nanos, names: Vec<String>, target_links: usize, random: f64) -> Peers {
         let rotate_at = now + ROTATION_PERIOD / 2 + random_fraction(ROTATION_PERIOD / 2, random);
         Peers { names, target_links, dialling: None, next_dial: now, failures: 0, rotate_at }
     }
 
-    /// Whom to dial now, if anybody: `linked` are those that there is a link to, `dialled` how many of them were dialled
-    /// here.
+    /// Chooses the peer to dial now, or `None` if no dial is due. `linked` are the peers to which a link
+    /// exists, `dialled` is the number of links dialled here, and `random` returns numbers between 0 and 1.
     pub fn choose(
         &mut self,
         now: Nanos,
@@ -58,14 +65,14 @@
         Some(name)
     }
 
-    /// The dial came to a link.
+    /// The dial of this peer led to a link.
     pub fn dial_succeeded(&mut self, peer: &str) {
         if self.dialling.as_ref().is_some_and(|(name, _)| name == peer) {
             (self.dialling, self.failures) = (None, 0);
         }
     }
 
-    /// The dial came to nothing.
+    /// The dial in progress failed; the next one waits for the backoff.
     pub fn dial_failed(&mut self, now: Nanos, random: f64) {
         if self.dialling.take().is_some() {
             let max = (REDIAL_BACKOFF[0] << self.failures.min(10)).min(REDIAL_BACKOFF[1]);
@@ -74,12 +81,13 @@
         }
     }
 
-    /// Whether more were dialled than are wanted.
+    /// Whether more links were dialled than the target.
     pub fn exceeds_target(&self, dialled: usize) -> bool {
         dialled > self.target_links
     }
 
-    /// When to look again. `lacks` says that fewer links are up than wanted and somebody is left to be dialled.
+    /// When to call `choose` again. `below_target` tells that there are fewer links than the target and that
+    /// a peer without a link is left.
     pub fn next_deadline(&self, below_target: bool) -> Nanos {
         match &self.dialling {
             Some((_, since)) => since + DIAL_TIMEOUT,
@@ -88,11 +96,13 @@
         }
     }
 
+    /// How many links can be kept: the target, or the number of peers if that is lower.
     pub fn target_links(&self) -> usize {
         self.target_links.min(self.names.len())
     }
 }
 
+/// The part `random` (between 0 and 1) of `max`.
 fn random_fraction(max: Nanos, random: f64) -> Nanos {
     (max as f64 * random) as Nanos
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,5 +1,5 @@
-//! One replica: its copy of the orders, when it dials and when it writes to disk. What comes over its links is in
-//! `receiving`, what goes out in `sending`.
+//! One replica: its copy of the orders, when it dials peers and when it writes to disk. The submodule
+//! `receiving` handles messages from peers, `sending` produces messages to them.
 
 mod receiving;
 mod sending;
@@ -15,74 +15,82 @@
 use crate::{MILLISECOND, Nanos, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A change is followed by a heartbeat on each link after this: the orders themselves have come by then.
+/// After a change a heartbeat is sent on each link with this delay; by then the orders themselves have
+/// arrived.
 const HEARTBEAT_AFTER_CHANGE: Nanos = SECOND;
-/// The copy goes to disk this soon after the last time, and without orders as late as the other.
+/// The minimum time between two writes to disk, and the maximum time, which applies if no order changes.
 const PERSIST_INTERVAL: [Nanos; 2] = [250 * MILLISECOND, 10 * SECOND];
-/// Expired orders are looked for this often.
+/// How often expired orders are dropped.
 const EXPIRY_CHECK_INTERVAL: Nanos = SECOND;
-/// Links that others may have dialled; more are closed.
+/// The maximum number of links dialled by peers; further ones are closed.
 const MAX_ACCEPTED_LINKS: usize = 64;
 
-/// Both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
-    /// Never steps back; spans are measured by it.
+    /// A clock that never steps back; durations are measured with it.
     pub monotonic: Nanos,
-    /// Unix time, for stamps.
+    /// Unix time, used for stamps.
     pub unix: Nanos,
 }
 
-/// What a replica is, and its limits.
+/// The identity and the limits of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaConfig {
+    /// The identity of this start of the process.
     pub id: ReplicaId,
-    /// All others of the group.
+    /// The names of all other replicas of the group.
     pub peers: Vec<String>,
-    /// Links that it keeps to peers of its choice.
+    /// The number of links that the replica dials.
     pub target_links: usize,
-    /// An order that puts a node back is kept for so long.
+    /// How long an order that puts a node back into service is kept.
     pub retention: Nanos,
-    /// A stamp may be so far ahead of this replica's clock.
+    /// How far a stamp may be ahead of the local clock.
     pub max_clock_skew: Nanos,
-    /// To all peers together, in any second.
+    /// The limit of bytes sent to all peers together in any second; chunks wait for it, other messages only
+    /// count towards it.
     pub bytes_per_second: usize,
-    /// In one part.
+    /// The limit of bytes of entries in one chunk; a single entry may exceed it.
     pub chunk_bytes: usize,
 }
 
-/// What the process should log or count.
+/// An event that the process should log or count.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// A stamp is too far ahead; said once an origin.
+    /// A stamp is too far ahead of the local clock, by `ahead`. Reported once for each issuer.
     FutureStamp { entry: Entry, ahead: Nanos },
-    /// One stamp with two contents.
+    /// An order has a known stamp with other contents.
     Conflict { entry: Entry },
-    /// This copy missed orders that this peer has dropped since; so many of its own had ended by them.
+    /// The peer sent a full copy, because this copy lacked orders that the peer had already dropped or had a
+    /// different digest for too long. `superseded` orders were dropped because of it.
     StaleCopy { peer: String, superseded: usize },
-    /// An order older than ended ones are remembered, of a copy that was away: whether it had ended can't be told.
+    /// This copy, which had been disconnected, has an order older than the retention that the peer does not
+    /// cover. Whether it has been superseded cannot be determined.
     PossiblySuperseded { entry: Entry },
-    /// The disk's copy is not used.
+    /// The snapshot from disk is not used.
     SnapshotIgnored { reason: String },
 }
 
-/// What a replica asks of the process that it lives in.
+/// The effects that a replica requests from the process that drives it.
 pub trait Host {
-    /// Dials a peer; comes back as `link_up` or `dial_failed`.
+    /// Dials a peer. The result is passed to [`Replica::link_up`] or [`Replica::dial_failed`].
     fn dial(&mut self, peer: &str);
+    /// Sends a message over a link.
     fn send(&mut self, link: LinkId, message: Message);
-    /// Ends a link; nothing comes back for it.
+    /// Closes a link. [`Replica::link_down`] is not called for it.
     fn close(&mut self, link: LinkId);
-    /// From now on this holds for the node.
+    /// The state of the node is this from now on.
     fn apply(&mut self, node: &str, service: ServiceState);
-    /// To disk; comes back as `kept` once it is synced, and none is asked for before.
+    /// Writes a snapshot to disk. [`Replica::persisted`] is called once it is synced; no other snapshot is
+    /// written before that.
     fn persist(&mut self, snapshot: Snapshot);
+    /// Logs or counts an event.
     fn report(&mut self, report: Report);
-    /// Between 0 and 1.
+    /// A random number between 0 and 1.
     fn random(&mut self) -> f64;
 }
 
-/// When the disk is written.
+/// The schedule of writes to disk, on the monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Persistence {
     write_in_progress: bool,
@@ -90,6 +98,7 @@
     due: Option<Nanos>,
 }
 
+/// Counters shown in the status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Counters {
     future_stamps: u64,
@@ -97,29 +106,34 @@
     bytes_sent: u64,
 }
 
-/// One process's copy of the orders, and its part in bringing it to the others.
+/// One process's copy of the orders, and its part in replicating them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
     config: ReplicaConfig,
     map: OrderMap,
-    /// What holds for each node that orders are known for.
+    /// The state that the host was told of, for each node with orders.
     applied: BTreeMap<String, ServiceState>,
     links: BTreeMap<LinkId, Link>,
     peers: Peers,
-    /// What others are known to cover.
+    /// The orders that other replicas are known to cover.
     seen_elsewhere: VersionVector,
-    /// Unix time when another was heard last.
+    /// Unix time when a message of another replica was last received; 0 if never.
     as_of: Nanos,
+    /// Orders that may have been superseded while this replica was disconnected; see
+    /// [`Report::PossiblySuperseded`].
     possibly_superseded: Vec<Entry>,
+    /// Issuers whose stamps in the future have been reported.
     future_stamp_issuers: BTreeSet<ReplicaId>,
     persistence: Persistence,
     expiry_check_at: Nanos,
-    /// Bytes sent in the last second, and when.
+    /// The messages sent in the last second: when, and how many bytes.
     recent_sends: VecDeque<(Nanos, usize)>,
     counters: Counters,
 }
+
 impl Replica {
-    /// From what was on the disk; what holds by it is applied at once.
+    /// Starts from the snapshot that was on disk, and applies the states of its nodes at once. A snapshot of
+    /// another replica is reported and not used.
     pub fn start(
         now: Now,
         mut config: ReplicaConfig,
@@ -131,7 +145,9 @@
         }
         let other_replica = snapshot.as_ref().filter(|snapshot| snapshot.name != config.id.name);
         if let Some(snapshot) = other_replica {
-            host.report(Report::SnapshotIgnored { reason: format!("it is {}'s", snapshot.name) });
+            host.report(Report::SnapshotIgnored {
+                reason: format!("it belongs to replica {}", snapshot.name),
+            });
         }
         let snapshot = snapshot.filter(|snapshot| snapshot.name == config.id.name).unwrap_or_default();
         let random = host.random();
@@ -158,7 +174,7 @@
         replica
     }
 
-    /// An operator's order, given at this process.
+    /// Issues an operator's order at this replica. Returns why it is refused; see [`Refusal`].
     pub fn issue(
         &mut self,
         now: Now,
@@ -173,7 +189,7 @@
         Ok(entry)
     }
 
-    /// A link came up, dialled here or by the peer.
+    /// A link came up, dialled by this replica or by the peer.
     pub fn link_up(&mut self, now: Now, link: LinkId, peer: &str, dialled: bool, host: &mut impl Host) {
         if dialled {
             self.peers.dial_succeeded(peer);
@@ -187,7 +203,8 @@
         self.tick(now, host);
     }
 
-    /// One more than wanted was dialled so that another takes its place: the one that is there longest goes.
+    /// Closes the oldest dialled link if there are more than the target. That is the case after one more was
+    /// dialled to replace it.
     fn close_surplus_link(&mut self, host: &mut impl Host) {
         if !self.peers.exceeds_target(self.dialled_links()) {
             return;
@@ -200,19 +217,20 @@
         }
     }
 
-    /// A dial came to nothing.
+    /// The dial in progress failed.
     pub fn dial_failed(&mut self, now: Now, host: &mut impl Host) {
         self.peers.dial_failed(now.monotonic, host.random());
         self.tick(now, host);
     }
 
-    /// A link ended.
+    /// A link went down.
     pub fn link_down(&mut self, now: Now, link: LinkId, host: &mut impl Host) {
         self.links.remove(&link);
         self.tick(now, host);
     }
 
-    /// What is known has changed: what holds is applied, peers are told, the disk is written.
+    /// The orders have changed: applies the states of nodes, and schedules heartbeats to peers and a write to
+    /// disk.
     fn on_change(&mut self, now: Now, host: &mut impl Host) {
         self.apply_changes(host);
         let due = self
@@ -225,6 +243,7 @@
         }
     }
 
+    /// Tells the host the nodes whose state has changed. A node without orders is in service.
     fn apply_changes(&mut self, host: &mut impl Host) {
         let mut nodes = self.map.nodes();
         nodes.extend(self.applied.keys().cloned());
@@ -242,7 +261,8 @@
         }
     }
 
-    /// Some time has passed, or something happened.
+    /// Does what is due: drops expired orders, dials, sends messages and writes to disk. Called when time has
+    /// passed and after each event.
     pub fn tick(&mut self, now: Now, host: &mut impl Host) {
         if now.monotonic >= self.expiry_check_at {
             self.expiry_check_at = now.monotonic + EXPIRY_CHECK_INTERVAL;
@@ -285,7 +305,7 @@
         host.persist(self.snapshot());
     }
 
-    /// What goes to disk.
+    /// The state to be written to disk.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             name: self.config.id.name.clone(),
@@ -298,13 +318,13 @@
         }
     }
 
-    /// The disk has what was last given to it.
+    /// The last snapshot passed to [`Host::persist`] has been synced to disk.
     pub fn persisted(&mut self, now: Now, host: &mut impl Host) {
         self.persistence.write_in_progress = false;
         self.tick(now, host);
     }
 
-    /// When `tick` wants to be called next, at the latest; anything that happens may move it.
+    /// When `tick` must be called next at the latest, on the monotonic clock. Any event may change it.
     pub fn next_deadline(&self) -> Nanos {
         let linked: BTreeSet<&str> = self.links.values().map(|link| link.peer.as_str()).collect();
         let below_target =
@@ -321,17 +341,17 @@
         self.peers.next_deadline(below_target).min(persist).min(links).min(self.expiry_check_at)
     }
 
-    /// Equal where orders and knowledge are.
+    /// A hash that is equal for replicas with equal orders and vectors.
     pub fn digest(&self) -> u64 {
         stable_hash(&(&self.map.vector, self.map.digest()))
     }
 
-    /// The orders that it has.
+    /// The orders that the replica keeps.
     pub fn map(&self) -> &OrderMap {
         &self.map
     }
 
-    /// What it shows of itself.
+    /// The status for operators.
     pub fn status(&self, now: Now) -> Status {
         let out_of_service = self.applied.iter().filter(|(_, service)| **service == ServiceState::Out);
         let linked: BTreeSet<String> = self.links.values().map(|link| link.peer.clone()).collect();
--- a/crates/replication/src/replica/receiving.rs
+++ b/crates/replication/src/replica/receiving.rs
@@ -1,4 +1,4 @@
-//! What comes over a link: digests and summaries of the other end, its orders in parts, and answers to own parts.
+//! Messages from peers: heartbeats, summaries, orders in chunks, and acknowledgements of chunks sent here.
 
 use super::sending::RESEND_DELAY;
 use super::{Host, Now, Replica, ReplicaConfig, Report};
@@ -10,13 +10,13 @@
 use crate::vector::VersionVector;
 use std::collections::BTreeSet;
 
-/// Entries of a whole copy that is on its way, at most: more is no copy.
+/// The maximum number of entries in a full copy being received; no valid copy has more.
 const MAX_INCOMING_ENTRIES: usize = 1 << 15;
-/// Doubtful orders that are remembered.
+/// How many possibly superseded orders are listed in the status.
 const MAX_POSSIBLY_SUPERSEDED: usize = 256;
 
 impl Replica {
-    /// The other end of a link said this.
+    /// Handles a message received over a link. Messages of unknown links are ignored.
     pub fn receive(&mut self, now: Now, id: LinkId, message: Message, host: &mut impl Host) {
         if !self.links.contains_key(&id) {
             return;
@@ -40,7 +40,7 @@
             link.peer_covers.join(&vector);
             self.seen_elsewhere.join(&vector);
         } else {
-            // Both say what they have: this end does now.
+            // On different digests both ends send their summary; this schedules the one of this end.
             (link.last_summary_digest, link.summary_due) = (None, link.summary_due.min(now.monotonic));
         }
     }
@@ -53,12 +53,14 @@
             now.monotonic,
             stable_hash(&(&summary.knowledge.vector, summary.digest)) == own_digest,
         );
-        // What was sent a short while ago may be on its way still.
+        // Orders sent a short while ago may not have been part of the summary, so they stay covered until
+        // `resend_after`.
         if now.monotonic >= link.resend_after && link.in_flight.is_none() {
             link.peer_covers = VersionVector::default();
         }
         link.peer_covers.join(&summary.knowledge.vector);
-        // What others have dropped, and is covered here, counts as dropped here too: so that all know who was away.
+        // Orders that the peer has dropped and that are covered here count as dropped here too, so that every
+        // replica recognizes a peer that has missed them.
         if self.map.vector.covers_all(&summary.knowledge.gc_horizon) {
             self.map.gc_horizon.join(&summary.knowledge.gc_horizon);
         }
@@ -77,12 +79,13 @@
         }
     }
 
+    /// Joins the entries of a chunk or, for a full copy, collects them, and acknowledges the chunk.
     fn handle_chunk(&mut self, now: Now, id: LinkId, chunk: Chunk, host: &mut impl Host) {
         let Chunk { number, full_copy, entries, sender_knowledge } = chunk;
         let Some(link) = self.links.get_mut(&id) else { return };
         let incoming = link.incoming.entries.len() + entries.len();
         if !entries.iter().all(Entry::is_valid) || incoming > MAX_INCOMING_ENTRIES {
-            // Nobody who keeps to this protocol says that.
+            // Invalid entries violate the protocol, so the link is closed.
             self.links.remove(&id);
             return host.close(id);
         }
@@ -105,7 +108,8 @@
         }
     }
 
-    /// All parts are here: whether what their sender knew is known here now.
+    /// All chunks of a transfer have arrived. Returns whether the sender's knowledge has been adopted, that
+    /// is, whether no order was rejected.
     fn complete_transfer(
         &mut self,
         now: Now,
@@ -125,7 +129,9 @@
         !rejected
     }
 
-    /// Joins all that a peer has. This copy missed orders that the peer has dropped: what had ended by them ends here.
+    /// Joins the full copy of a peer, which is sent if this replica lacks orders that the peer has dropped, or
+    /// if the digests have differed for too long. Orders here that have been superseded according to the copy
+    /// are dropped. Returns whether the sender's knowledge has been adopted.
     fn join_full_copy(
         &mut self,
         now: Now,
@@ -157,6 +163,8 @@
         accepted
     }
 
+    /// Joins entries, reports the rejected and conflicting ones, and notes in the link whether any was
+    /// rejected.
     fn join_entries(&mut self, now: Now, id: LinkId, entries: &[Entry], host: &mut impl Host) {
         let ReplicaConfig { max_clock_skew, retention, .. } = self.config;
         let (mut rejected, mut changed) = (false, false);
@@ -184,6 +192,7 @@
         }
     }
 
+    /// Counts a stamp in the future, and reports the first one of each issuer.
     fn report_future_stamp(&mut self, now: Now, entry: &Entry, host: &mut impl Host) {
         self.counters.future_stamps += 1;
         if self.future_stamp_issuers.insert(entry.order.stamp.issuer.clone()) {
--- a/crates/replication/src/replica/sending.rs
+++ b/crates/replication/src/replica/sending.rs
@@ -1,4 +1,5 @@
-//! What goes out on a link: heartbeats, summaries, and in parts within the byte budget the orders that the other end lacks.
+//! Messages to peers: heartbeats, summaries and, in chunks within the byte budget, the orders that a peer
+//! lacks.
 
 use super::{Host, Now, Replica};
 use crate::link::{InFlight, Link, LinkId, Transfer};
@@ -6,19 +7,20 @@
 use crate::vector::VersionVector;
 use crate::{Nanos, SECOND};
 
-/// How often a link is told the digest.
+/// How often the digest is sent on a link.
 const HEARTBEAT_INTERVAL: Nanos = 5 * SECOND;
-/// A part without an answer for so long ends its link.
+/// A link is closed if a chunk is not acknowledged within this time.
 const ACK_TIMEOUT: Nanos = 3 * SECOND;
-/// Copies that differ for so long though both cover the same are compared whole.
+/// If the digests differ for this long although the peer covers all that is covered here, a full copy is
+/// sent.
 const REPAIR_DELAY: Nanos = 12 * SECOND;
-/// No part is cut smaller than this.
+/// The minimum size of a chunk: none is sent while the remaining budget is smaller.
 const MIN_CHUNK_BYTES: usize = 512;
-/// What was sent and is lacked all the same is sent again after this.
+/// Orders that were sent and are still lacking are sent again after this time.
 pub(super) const RESEND_DELAY: Nanos = 5 * SECOND;
 
 impl Replica {
-    /// Says on a link what is to be said there now; `own` is this replica's digest.
+    /// Sends what is due on a link. `own_digest` is the digest of this replica.
     pub(super) fn send_due_messages(&mut self, now: Now, id: LinkId, own_digest: u64, host: &mut impl Host) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let stalled = |in_flight: &InFlight| now.monotonic >= in_flight.sent_at + ACK_TIMEOUT;
@@ -43,7 +45,7 @@
         self.continue_transfer(now, id, host);
     }
 
-    /// Begins what the other end lacks, or sends the next part of it.
+    /// Starts a transfer if the peer lacks orders, or sends the next chunk of the current one.
     fn continue_transfer(&mut self, now: Now, id: LinkId, host: &mut impl Host) {
         let Some(link) = self.links.get(&id) else { return };
         if link.peer_summary.is_none() || link.in_flight.is_some() || now.monotonic < link.backoff_until {
@@ -90,7 +92,8 @@
                     }
                     entries.push(entry);
                 }
-                // It was dropped meanwhile: only all there is tells the other what had ended by it.
+                // The order was dropped in the meantime, so this transfer can no longer show the peer what it
+                // superseded; only a full copy can.
                 None if !transfer.full_copy => {
                     link.transfer = None;
                     return;
@@ -113,6 +116,7 @@
         self.send(now, id, Message::Chunk(Chunk { number, full_copy, entries, sender_knowledge }), host);
     }
 
+    /// Sends a message, and counts its bytes towards the budget.
     pub(super) fn send(&mut self, now: Now, id: LinkId, message: Message, host: &mut impl Host) {
         let bytes = message.size();
         self.recent_sends.push_back((now.monotonic, bytes));
@@ -120,7 +124,7 @@
         host.send(id, message);
     }
 
-    /// Bytes that may still be sent in this second.
+    /// The bytes that may still be sent within the current second.
     fn remaining_budget(&mut self, now: Nanos) -> usize {
         while self.recent_sends.front().is_some_and(|(at, _)| at + SECOND <= now) {
             self.recent_sends.pop_front();
@@ -129,12 +133,15 @@
         self.config.bytes_per_second.max(2 * MIN_CHUNK_BYTES).saturating_sub(sent)
     }
 
+    /// When `tick` must be called next for this link at the latest.
     pub(super) fn link_deadline(&self, link: &Link) -> Nanos {
         let stalled = link.in_flight.as_ref().map(|in_flight| in_flight.sent_at + ACK_TIMEOUT);
-        // The next part waits for room: that is when the oldest bytes of the second are a second old.
+        // The next chunk waits for budget, which grows when the oldest message of the last second becomes a
+        // second old.
         let awaiting_budget = link.transfer.is_some() && link.in_flight.is_none();
         let budget = awaiting_budget.then(|| self.recent_sends.front().map_or(0, |(at, _)| at + SECOND));
-        // What else is lacked goes out at once; a whole copy is not sent again at once.
+        // Other orders that the peer lacks are sent at once; a full copy is not repeated before
+        // `resend_after`.
         let idle = link.transfer.is_none() && link.in_flight.is_none();
         let resend =
             (idle && self.lacks_dropped_orders(link)).then_some(link.resend_after.max(link.backoff_until));
@@ -148,12 +155,14 @@
         deadline.min(link.summary_due).min(link.heartbeat_due)
     }
 
-    /// Whether a peer misses an order that was dropped here: it may have what that one ended.
+    /// Whether the peer does not cover an order that was dropped here. It may still keep orders which that
+    /// one superseded.
     fn lacks_dropped_orders(&self, link: &Link) -> bool {
         link.peer_summary.is_some() && !link.peer_covers.covers_all(&self.map.gc_horizon)
     }
 
-    /// Whether a peer that covers the same has had other orders for longer than news may take.
+    /// Whether a peer that covers all that is covered here has had another digest for longer than changes
+    /// take to arrive.
     fn needs_repair(&self, now: Now, link: &Link) -> bool {
         let covers_same = link.peer_covers.covers_all(&self.map.vector);
         covers_same && link.differs_since.is_some_and(|since| now.monotonic >= since + REPAIR_DELAY)
