--- a/crates/replication/src/order.rs
+++ b/crates/replication/src/order.rs
@@ -90,7 +90,7 @@
     StaleToken { token: u64 },
     /// An order under this lease exists for the node, so it can only be changed by orders under a lease.
     LeaseRequired { lease: String },
-    /// A name is empty or longer than [`MAX_NAME_BYTES`].
+    /// A name is empty or longer than `MAX_NAME_BYTES`.
     InvalidName,
     /// The limit of orders, or of leases for one node, is reached.
     LimitReached,
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Replicas of a group in one process: links, disks and clocks under a time and chance of their own; and what must hold at
-//! each step.
+//! A simulation of a group of replicas in one process, with simulated links, disks, clocks and randomness.
+//! After every event it checks the invariants of the replica concerned.
 #![allow(dead_code)]
 
 use pumicebay_replication::*;
@@ -8,22 +8,23 @@
 
 pub const MS: Nanos = 1_000_000;
 pub const SECOND: Nanos = 1_000 * MS;
-/// Unix time when the world begins.
+/// Unix time at the start of the simulation.
 const EPOCH: Nanos = 1_000_000 * SECOND;
 pub const RETENTION: Nanos = 60 * SECOND;
 pub const MAX_CLOCK_SKEW: Nanos = 10 * SECOND;
-/// Silence is noticed by both ends of a link after this.
+/// The first end of a muted link closes it after this time, the second end a quarter of it later.
 const LINK_TIMEOUT: Nanos = 2 * SECOND;
 pub const BYTES_PER_SECOND: usize = 4_000;
-/// A play that calls replicas more often than this has one that asks for it without end.
+/// More ticks than this in one simulation mean that a replica requests to be called in an endless loop.
 const MAX_TICKS: u64 = 2_000_000;
 
-/// The rule for two orders of one slot, written once more: by token, time, out of service, origin and number.
+/// The order of precedence within a slot, implemented independently of the crate: by token, time, out of
+/// service, issuer and version.
 pub fn rank(order: &Order) -> (u64, Nanos, ServiceState, Stamp) {
     (order.token, order.stamp.time, order.service, order.stamp.clone())
 }
 
-/// The rule for a node, written once more.
+/// The rule for the state of a node, implemented independently of the crate.
 pub fn expected(entries: &[Entry], node: &str) -> ServiceState {
     let orders_of_node: Vec<&Entry> = entries.iter().filter(|entry| entry.slot.node == node).collect();
     let leased: Vec<&Entry> =
@@ -35,6 +36,8 @@
 }
 
 #[derive(Debug)]
+/// An event of the simulation. Processes are given by index and incarnation; events of an earlier incarnation
+/// are ignored.
 enum Event {
     Tick(usize, u64),
     DialCompleted(usize, u64, String),
@@ -44,6 +47,7 @@
     Start(usize),
 }
 
+/// A simulated process, running or not.
 pub struct Process {
     pub name: String,
     pub replica: Option<Replica>,
@@ -51,34 +55,36 @@
     host: ActionQueue,
     pub disk: Option<Snapshot>,
     pub older_disk: Option<Snapshot>,
-    /// How far its clock is ahead, in nanoseconds.
+    /// How far its Unix clock is ahead, in nanoseconds.
     pub clock_ahead: Nanos,
-    /// Nobody reaches it, and it nobody, before this.
+    /// The process is cut off from all others before this time.
     pub isolated_until: Nanos,
     next_tick: Nanos,
-    /// By slot the greatest order that this life has had.
+    /// For each slot the greatest order that the current incarnation has had.
     greatest_seen: BTreeMap<Slot, Order>,
     applied: BTreeMap<String, ServiceState>,
 }
 
+/// A simulated link; the arrays are indexed by its ends, of which the first dialled.
 struct Connection {
     endpoints: [(usize, u64); 2],
     open: [bool; 2],
-    /// What this end sends vanishes.
+    /// Whether messages sent by this end are lost.
     muted: [bool; 2],
-    /// When the last message to each end arrives.
+    /// When the last message to each end arrives; later messages arrive after it.
     last_arrival: [Nanos; 2],
 }
 
-/// An order that was given.
+/// An order that was issued.
 pub struct IssuedOrder {
     pub entry: Entry,
-    /// It was listed for the operators as one that may have ended.
+    /// The replica reported it as an order that may have been superseded.
     pub possibly_superseded: bool,
-    /// Its replica lost its disk before others had it.
+    /// No replica had it any more at some time, in memory or on a usable disk.
     pub may_be_lost: bool,
 }
 
+/// The state of the simulation.
 pub struct Simulation {
     pub now: Nanos,
     pub random: oorandom::Rand64,
@@ -94,10 +100,10 @@
     pub stale_copies: u64,
     pub conflicts: u64,
     pub failure: Option<String>,
-    /// How often replicas asked to be called.
+    /// How often replicas have requested to be called.
     pub ticks: u64,
     pub name: String,
-    /// Bytes sent by each process in each second.
+    /// Bytes sent by each process (index) in each second.
     pub bytes_sent: BTreeMap<(usize, Nanos), usize>,
 }
 
@@ -141,10 +147,12 @@
         simulation
     }
 
+    /// A random number below `bound`.
     pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound)
     }
 
+    /// True with probability 1 / `bound`.
     pub fn one_in(&mut self, bound: u64) -> bool {
         self.random_below(bound) == 0
     }
@@ -154,12 +162,14 @@
         self.queue.insert((self.now + after, self.sequence), event);
     }
 
+    /// Records the first failure; the simulation then stops.
     pub fn fail(&mut self, description: String) {
         if self.failure.is_none() {
             self.failure = Some(format!("{}, at {} ms: {description}", self.name, self.now / MS));
         }
     }
 
+    /// Handles all events up to this time.
     pub fn run_until(&mut self, until: Nanos) {
         while self.failure.is_none() {
             let Some((&(time, sequence), _)) = self.queue.first_key_value() else { break };
@@ -181,6 +191,8 @@
         MS + self.random.rand_range(0..self.max_delay)
     }
 
+    /// Calls a method of a running replica and carries out the actions that it requests. `None` if it is not
+    /// running.
     pub fn with_replica<T>(
         &mut self,
         index: usize,
@@ -194,7 +206,8 @@
         Some(result)
     }
 
-    /// Carries out what a replica asked for, and looks at what must hold.
+    /// Carries out the actions that a replica has requested, checks its invariants and schedules its next
+    /// tick.
     fn carry_out_actions(&mut self, index: usize) {
         let actions = std::mem::take(&mut self.processes[index].host.actions);
         for action in actions {
@@ -211,6 +224,8 @@
         }
     }
 
+    /// Checks that no lesser order replaces a greater one in a slot, and that the applied states follow from
+    /// the orders.
     fn check_invariants(&mut self, index: usize) {
         let process = &mut self.processes[index];
         let Some(replica) = &process.replica else { return };
@@ -224,7 +239,7 @@
                 }
                 Ordering::Less => {
                     violation = Some(format!(
-                        "{}: an ended order came back: {order:?} ended by {seen:?}",
+                        "{}: a superseded order came back: {order:?} superseded by {seen:?}",
                         process.name
                     ));
                 }
@@ -235,7 +250,10 @@
             let expected = expected(&entries, node);
             let applied = process.applied.get(node).copied().unwrap_or(ServiceState::In);
             if applied != expected {
-                violation = Some(format!("{}: {node} is {applied:?}, not {expected:?}", process.name));
+                violation = Some(format!(
+                    "{}: the applied state of {node} is {applied:?}, not {expected:?}",
+                    process.name
+                ));
             }
         }
         if let Some(violation) = violation {
@@ -279,7 +297,8 @@
         }
     }
 
-    /// This process has ended a link; the other end learns it, late where nothing passes.
+    /// A process has closed a link. The other end is told, after the link timeout if messages of this end are
+    /// lost.
     fn end_link(&mut self, link: LinkId, index: usize) {
         let after = self.delay();
         let incarnation = self.processes[index].incarnation;
@@ -296,7 +315,7 @@
             Event::Tick(index, incarnation) => {
                 self.ticks += 1;
                 if self.ticks > MAX_TICKS {
-                    self.fail("a replica asks to be called again and again".into());
+                    self.fail("replicas request ticks in an endless loop".into());
                 }
                 if self.processes[index].incarnation == incarnation
                     && self.processes[index].next_tick <= self.now
@@ -317,7 +336,7 @@
                         replica.is_some_and(|replica| replica.map().get(&entry.slot).as_ref() == Some(entry))
                     };
                     if let Some(entry) = from_future.into_iter().find(has) {
-                        self.fail(format!("p{index} took an order from the future: {entry:?}"));
+                        self.fail(format!("p{index} accepted an order from the future: {entry:?}"));
                     }
                 }
             }
@@ -341,7 +360,8 @@
         }
     }
 
-    /// Orders of a part that are too far ahead of this process's clock, and not known there yet.
+    /// The orders in a chunk whose stamps are too far ahead of this process's clock, and which it does not
+    /// know yet.
     fn future_entries(&self, index: usize, message: &Message) -> Vec<Entry> {
         let (now, Message::Chunk(chunk)) = (self.clocks(index), message) else { return Vec::new() };
         let known = |entry: &Entry| {
@@ -379,6 +399,7 @@
         self.with_replica(index, |replica, now, host| replica.link_up(now, link, peer, true, host));
     }
 
+    /// Starts a process after a delay, if it is not running then.
     pub fn schedule_start(&mut self, index: usize, after: Nanos) {
         self.schedule(after, Event::Start(index));
     }
@@ -407,7 +428,7 @@
         self.carry_out_actions(index);
     }
 
-    /// Without a word; its links break.
+    /// Stops a process without notice; its links break.
     pub fn crash(&mut self, index: usize) {
         let incarnation = self.processes[index].incarnation;
         if self.processes[index].replica.take().is_none() {
@@ -422,7 +443,7 @@
         self.mark_lost_orders();
     }
 
-    /// Orders that nobody has any more, in memory or on a disk that it can use, may be lost.
+    /// Marks the orders that no replica covers any more, in memory or on a usable disk.
     fn mark_lost_orders(&mut self) {
         let has = |process: &Process, stamp: &Stamp| {
             let own_disk = process.disk.as_ref().filter(|snapshot| snapshot.name == process.name);
@@ -435,13 +456,13 @@
         }
     }
 
-    /// Its disk is this from now on; orders that only it had may be lost.
+    /// Replaces the disk of a process. Orders that only this disk had may be lost.
     pub fn set_disk(&mut self, index: usize, disk: Option<Snapshot>) {
         self.processes[index].disk = disk;
         self.mark_lost_orders();
     }
 
-    /// Cut off from all others for a while, without a word to anybody.
+    /// Cuts a process off from all others for a while, without closing its links.
     pub fn isolate(&mut self, index: usize, duration: Nanos) {
         self.processes[index].isolated_until = self.now + duration;
         let links: Vec<LinkId> = self.connections.keys().copied().collect();
@@ -452,7 +473,7 @@
         }
     }
 
-    /// What these ends of a link send vanishes from now on; the link ends when that is noticed.
+    /// From now on messages of the muted ends are lost. Both ends close the link when they notice.
     fn mute_link(&mut self, link: LinkId, muted: [bool; 2]) {
         if let Some(connection) = self.connections.get_mut(&link) {
             connection.muted = [connection.muted[0] || muted[0], connection.muted[1] || muted[1]];
@@ -461,7 +482,7 @@
         }
     }
 
-    /// A link drawn by chance falls silent, one way or both.
+    /// Mutes one or both ends of a random link.
     pub fn mute_random_link(&mut self) {
         let open: Vec<LinkId> = self
             .connections
@@ -476,6 +497,7 @@
         }
     }
 
+    /// Issues an order at a process and records it, if the process is running and accepts it.
     pub fn issue(&mut self, index: usize, node: &str, service: ServiceState, lease: Option<Lease>) {
         let issued =
             self.with_replica(index, |replica, now, host| replica.issue(now, node, service, lease, host));
@@ -484,7 +506,7 @@
         }
     }
 
-    /// Whether all that live have the same orders; else who differs.
+    /// The orders of all running replicas if they are equal, otherwise the difference between two of them.
     pub fn agreed_entries(&self) -> Result<Vec<Entry>, String> {
         let mut first: Option<(&str, Vec<Entry>)> = None;
         for process in &self.processes {
@@ -498,7 +520,10 @@
                         one.iter().filter(|entry| !two.contains(entry)).cloned().collect()
                     };
                     let (more, less) = (only(&entries, theirs), only(theirs, &entries));
-                    return Err(format!("{} and {other} differ: {more:?} and {less:?}", process.name));
+                    return Err(format!(
+                        "{} and {other} differ: {more:?} only here, {less:?} only there",
+                        process.name
+                    ));
                 }
             }
         }
--- a/crates/replication/tests/laws.rs
+++ b/crates/replication/tests/laws.rs
@@ -1,4 +1,5 @@
-//! Joining orders is commutative, associative and idempotent, and what holds for a node follows from what is known alone.
+//! Joining orders is commutative, associative and idempotent, and the state of a node depends on the set of
+//! known orders alone.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Before all stamps, so that none has expired.
+/// No stamp is older than this, so no order has expired.
 const NOW: Nanos = 100 * SECOND;
 
 fn order(service: ServiceState, token: u64, time: Nanos, issuer: u64, version: u64) -> Order {
@@ -22,7 +23,7 @@
     Slot { node: format!("n{node}"), lease }
 }
 
-/// A history: each order of an origin has a version of its own, so no stamp comes twice.
+/// A random history. Each order of an issuer has a version of its own, so all stamps are distinct.
 fn arbitrary_history() -> impl Strategy<Value = Vec<Entry>> {
     let fields = (0..3u64, 0..3u64, any::<bool>(), 0..4u64, 0..6u64, 0..3u64);
     vec(fields, 0..14).prop_map(|drawn| {
@@ -46,7 +47,7 @@
     map
 }
 
-/// All that both have.
+/// The union of both copies.
 fn merge(one: &OrderMap, other: &OrderMap) -> OrderMap {
     let mut map = one.clone();
     for entry in other.entries() {
@@ -56,7 +57,7 @@
     map
 }
 
-/// What is known: all but the clock of stamps given next.
+/// The orders, the vector and the digest: everything but the time for the next stamp.
 fn comparable_state(map: &OrderMap) -> (Vec<Entry>, VersionVector, u64) {
     (map.entries().collect(), map.vector.clone(), map.digest())
 }
@@ -103,8 +104,9 @@
     }
 }
 
-/// Token 5 of lease L at time 1, lease M at time 2, token 4 of L at time 3: comparing by token within a lease and by time
-/// otherwise goes round in a circle. Slots do not.
+/// Token 5 of lease L at time 1, lease M at time 2 and token 4 of L at time 3 form a cycle if orders are
+/// compared by token within a lease and by time otherwise. Comparing by slot gives one result for every
+/// sequence.
 #[test]
 fn slots_avoid_the_cycle_of_comparing_by_token_or_time() {
     let [first, second, third] = [(1, 5, 1), (2, 7, 2), (1, 4, 3)].map(|(lease, token, time)| Entry {
@@ -125,13 +127,14 @@
     let all = [&first, &second, &third];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
         let entries = order.map(|index| all[index].clone());
-        // Token 4 of L counts for nothing beside token 5; of the two leases M was the later.
+        // Token 4 of L is superseded by token 5; of the two leases, M has the later order.
         assert_eq!(join_all(&entries).effective_state("n0"), Some(ServiceState::In));
     }
     assert_eq!(third.order.cmp_precedence(&first.order), Ordering::Less);
 }
 
-/// An order without a token never undoes one with a token, and a lower token none with a higher.
+/// An order without a token cannot override one with a token, nor a lower token a higher one of the same
+/// lease.
 #[test]
 fn unauthorized_and_invalid_orders_are_refused_with_a_reason() {
     let issuer = ReplicaId { name: "p0".into(), incarnation: 1 };
@@ -154,7 +157,8 @@
     assert_eq!(map.effective_state("n0"), Some(ServiceState::In));
 }
 
-/// The same stamp with other contents is a conflict; out of service is kept, whichever came first.
+/// An order with a known stamp but other contents is a conflict. Out of service is kept, whichever arrives
+/// first.
 #[test]
 fn one_stamp_with_two_contents_keeps_the_node_out_of_service() {
     let [out, back] = [ServiceState::Out, ServiceState::In]
--- a/crates/replication/tests/scale.rs
+++ b/crates/replication/tests/scale.rs
@@ -1,44 +1,49 @@
-//! A whole zone in virtual time: how soon an order holds everywhere, what it costs in bytes, and how a process that comes
-//! back, or all at once, catch up.
+//! Simulates a whole zone in virtual time. Measures how soon an order reaches all proxies, how many bytes
+//! that takes, and how long it takes after a restart of one or of all proxies until their copies are equal.
 
 mod common;
 
 use common::{MS, SECOND, Simulation};
 use pumicebay_replication::*;
 
-/// What the carrier leaves of the bytes that control may take, and what of it beats take on some eight links.
+/// The bytes per second that the carrier leaves of the budget for control messages, and how many of these
+/// heartbeats take on about eight links.
 const BYTES_PER_SECOND: usize = 2_000;
 const HEARTBEAT_BYTES: usize = 200;
-/// Orders that stand, given at so many processes.
+/// Orders in effect during the measurement, and the number of processes that issue them.
 const STANDING_ORDERS: usize = 64;
 const ISSUERS: usize = 16;
 
 struct Measurements {
     proxies: usize,
-    /// From the order until it holds everywhere, of twenty.
+    /// From issuing an order until all proxies have it, over twenty orders.
     median_delay: Nanos,
     max_delay: Nanos,
-    /// Bytes of a process, in the mean and in its worst second: idle, and while orders are given one a second.
+    /// Bytes per second of a process: the mean while idle, the mean while one order is issued per second, and
+    /// the maximum of the latter.
     idle_bytes: f64,
     ordering_bytes: f64,
     peak_bytes: usize,
-    /// One process with an empty disk, and all at once with theirs, until the copies are equal.
+    /// Time until all copies are equal: after one process restarts with an empty disk, and after all restart
+    /// with their disks. Last the maximum bytes per second of a process in the second case.
     one_restart: Nanos,
     full_restart: Nanos,
     restart_peak_bytes: usize,
 }
 
+/// Runs until all copies are equal, and returns how long that took.
 fn run_until_agreed(simulation: &mut Simulation) -> Nanos {
     let start = simulation.now;
     while simulation.failure.is_none() && simulation.agreed_entries().is_err() {
-        assert!(simulation.now < start + 60 * SECOND, "not agreed: {:?}", simulation.agreed_entries());
+        assert!(simulation.now < start + 60 * SECOND, "copies not equal: {:?}", simulation.agreed_entries());
         simulation.run_until(simulation.now + 10 * MS);
     }
     assert_eq!(simulation.failure, None);
     simulation.now - start
 }
 
-/// Bytes of a process in the mean of all, and of the worst in its worst second.
+/// The mean bytes per second of all processes, and the maximum of one process in one second. `every_second`
+/// is called at the start of each second.
 fn measure_bytes(
     simulation: &mut Simulation,
     seconds: u64,
@@ -54,6 +59,7 @@
     (sum as f64 / (seconds * simulation.processes.len() as u64) as f64, peak_bytes)
 }
 
+/// Measures a zone with this number of proxies.
 fn measure(proxies: usize) -> Measurements {
     let mut simulation = Simulation::new(proxies as u64, proxies);
     (simulation.target_links, simulation.max_delay, simulation.bytes_per_second) =
@@ -118,7 +124,7 @@
 
 #[test]
 fn an_order_reaches_a_whole_zone_in_time_and_within_the_byte_budget() {
-    // SIZES in the environment: others than this, which takes some seconds; a zone has 308.
+    // The environment variable SIZES sets the numbers of proxies, separated by commas. 100 take some seconds; a zone has 308.
     let sizes = std::env::var("SIZES").unwrap_or("100".into());
     for proxies in sizes.split(',').map(|size| size.parse().unwrap()) {
         let measurements = measure(proxies);
@@ -134,22 +140,23 @@
             ..
         } = measurements;
         println!(
-            "{} proxies: holds everywhere after {} ms (median), {} ms (longest); bytes a second idle {idle_bytes:.0}, with an \
-             order a second {ordering_bytes:.0}, worst {peak_bytes}; one back {} ms, all back {} ms, worst {restart_peak_bytes}",
+            "{} proxies: an order reaches all after {} ms (median), {} ms (maximum); bytes per second idle \
+             {idle_bytes:.0}, with one order per second {ordering_bytes:.0}, maximum {peak_bytes}; restart of one {} ms, of \
+             all {} ms, maximum {restart_peak_bytes}",
             measurements.proxies,
             median_delay / MS,
             max_delay / MS,
             one_restart / MS,
             full_restart / MS
         );
-        assert!(max_delay < 2 * SECOND, "{} ms", max_delay / MS);
+        assert!(max_delay < 2 * SECOND, "an order took {} ms to reach all proxies", max_delay / MS);
         assert!(
             peak_bytes.max(restart_peak_bytes) + HEARTBEAT_BYTES <= 2 * BYTES_PER_SECOND,
-            "{peak_bytes} {restart_peak_bytes}"
+            "bytes per second: {peak_bytes} with orders, {restart_peak_bytes} after a restart"
         );
         assert!(
             one_restart < 5 * SECOND && full_restart < 10 * SECOND,
-            "{} {}",
+            "copies were equal {} ms after one restart, {} ms after all restarted",
             one_restart / MS,
             full_restart / MS
         );
--- a/crates/replication/tests/schedules.rs
+++ b/crates/replication/tests/schedules.rs
@@ -1,7 +1,9 @@
-//! Random schedules of a group: delay, links that fall silent one way or both, islands, clocks that are ahead, processes
-//! that restart with their disk, an empty one, an older copy or another's, some away for longer than tombstones are kept.
-//! What must hold is looked at in each step (`common`); after the last fault all living ones agree within `BOUND`, and
-//! nothing that had ended before is back.
+//! Random schedules of a group with message delays, links that lose messages in one or both directions,
+//! isolated processes, clocks that are ahead, and processes that restart with their own disk, an empty one,
+//! an older copy or that of another process. Some stay away for longer than tombstones are kept.
+//!
+//! The invariants in `common` are checked at each step. After the last fault all running replicas must have
+//! equal copies within `CONVERGENCE_BOUND`, and no superseded order may be in effect again.
 
 mod common;
 
@@ -12,7 +14,7 @@
 const PHASES: usize = 3;
 const FAULT_PHASE: Nanos = 20 * SECOND;
 const CONVERGENCE_BOUND: Nanos = 40 * SECOND;
-/// The furthest that a clock is ahead.
+/// The furthest that a clock is set ahead.
 const MAX_CLOCK_AHEAD: Nanos = 30 * SECOND;
 const SEEDS: u64 = 150;
 
@@ -27,7 +29,7 @@
     simulation.issue(index, &format!("n{node}"), service, lease);
 }
 
-/// Something goes wrong, or is ordered.
+/// Injects a random fault, or issues a random order.
 fn inject_random_event(simulation: &mut Simulation) {
     let index = simulation.random_below(simulation.processes.len() as u64) as usize;
     match simulation.random_below(10) {
@@ -45,6 +47,8 @@
     }
 }
 
+/// Restarts a process after a while with its own disk, an empty one, an older copy or that of another
+/// process.
 fn restart_with_random_disk(simulation: &mut Simulation, index: usize) {
     simulation.crash(index);
     match simulation.random_below(6) {
@@ -64,6 +68,7 @@
     simulation.schedule_start(index, delay);
 }
 
+/// Injects random events for the duration of a fault phase.
 fn run_fault_phase(simulation: &mut Simulation) {
     let (until, max_pause) =
         (simulation.now + FAULT_PHASE, [100 * MS, SECOND][simulation.random_below(2) as usize]);
@@ -74,7 +79,8 @@
     }
 }
 
-/// One stays away, dead or cut off, for longer than tombstones are kept, while the others go on; then it comes back.
+/// One process is stopped or isolated for longer than tombstones are kept, while the others receive orders;
+/// then it returns.
 fn one_process_stays_away(simulation: &mut Simulation) {
     let index = simulation.random_below(simulation.processes.len() as u64) as usize;
     let crashed = simulation.one_in(2);
@@ -93,7 +99,8 @@
     simulation.schedule_start(index, 0);
 }
 
-/// From the last fault until all that live agree.
+/// Starts all processes with correct clocks, and runs until their copies are equal. Returns how long that
+/// took, and the orders.
 fn run_until_converged(simulation: &mut Simulation) -> (Nanos, Vec<Entry>) {
     for process in 0..simulation.processes.len() {
         simulation.processes[process].clock_ahead = 0;
@@ -108,7 +115,7 @@
                 break;
             }
             Err(difference) if simulation.now > start + CONVERGENCE_BOUND => {
-                simulation.fail(format!("not agreed: {difference}"))
+                simulation.fail(format!("not converged: {difference}"))
             }
             _ => simulation.run_until(simulation.now + 100 * MS),
         }
@@ -116,7 +123,8 @@
     (simulation.now - start, agreed)
 }
 
-/// Nothing that was agreed on is undone by something lower, and no order that wins was lost without a word.
+/// Checks that no agreed order is undone by a lesser one, and that no order in effect is lost without a
+/// report.
 fn check_agreed_orders(
     simulation: &mut Simulation,
     previously_agreed: &mut BTreeMap<Slot, Order>,
@@ -129,7 +137,7 @@
         order.service == ServiceState::In
             && order.stamp.time + RETENTION <= unix_time + MAX_CLOCK_AHEAD + SECOND
     };
-    // Whether an order that wins over it was given, and dropped since.
+    // Whether an order that wins over it was issued and may have been dropped since.
     let superseded = |slot: &Slot, order: &Order| {
         simulation.issued.iter().any(|other| {
             let later = other.entry.slot == *slot && rank(&other.entry.order) > rank(order);
@@ -145,7 +153,7 @@
                 violation = Some(format!("an agreed order was undone: {before:?} by {order:?}"));
             }
             None if !expired(before) && !superseded(slot, before) => {
-                violation = Some(format!("agreed and gone: {before:?}"));
+                violation = Some(format!("an agreed order was lost: {before:?}"));
             }
             _ => {}
         }
@@ -159,7 +167,10 @@
         let listed =
             simulation.issued.iter().any(|issued| issued.entry.order == *order && issued.possibly_superseded);
         if let Some(superseding) = superseding.filter(|_| !listed) {
-            violation = Some(format!("an ended order came back: {order:?} ended by {:?}", superseding.entry));
+            violation = Some(format!(
+                "a superseded order came back: {order:?} superseded by {:?}",
+                superseding.entry
+            ));
         }
     }
     for issued in simulation.issued.iter().filter(|issued| !issued.may_be_lost) {
@@ -168,7 +179,7 @@
             current.get(slot).or(previously_agreed.get(slot)).is_some_and(|known| rank(known) >= rank(order))
                 || superseded(slot, order);
         if !won && !expired(order) {
-            violation = Some(format!("given and gone without a word: {:?}", issued.entry));
+            violation = Some(format!("an issued order was lost without a report: {:?}", issued.entry));
         }
     }
     if let Some(violation) = violation {
@@ -176,8 +187,10 @@
     }
     previously_agreed.extend(current);
 }
+/// Runs the schedule of a seed. Returns the simulation and the convergence time of each phase.
 
 fn run_schedule(seed: u64) -> (Simulation, Vec<Nanos>) {
+    // The first simulation only draws the number of processes from the seed.
     let mut simulation = Simulation::new(seed, 0);
     let count = 2 + simulation.random_below(4) as usize;
     let mut simulation = Simulation::new(seed, count);
@@ -186,7 +199,7 @@
     simulation.run_until(SECOND);
     for _ in 0..PHASES {
         run_fault_phase(&mut simulation);
-        // Islands end before the bound begins.
+        // Isolation ends before the time for convergence starts.
         let quiet_until = simulation.now + 20 * SECOND;
         simulation.run_until(quiet_until);
         if simulation.one_in(2) {
@@ -201,7 +214,7 @@
 
 #[test]
 fn random_schedules_converge_without_losing_or_reviving_orders() {
-    // SEED and SEEDS in the environment: the first, and how many.
+    // The environment variables SEED and SEEDS set the first seed and the number of seeds.
     let variable = |name: &str| std::env::var(name).ok().and_then(|number| number.parse::<u64>().ok());
     let first = variable("SEED").unwrap_or(0);
     let seeds =
@@ -216,11 +229,11 @@
     times.sort();
     let (median, longest) = (times[times.len() / 2] / MS, times[times.len() - 1] / MS);
     println!(
-        "{issued} orders, {stale_copies} copies had been away; agreed after {median} ms (median), {longest} ms (most)"
+        "{issued} orders, {stale_copies} stale copies; converged after {median} ms (median), {longest} ms (maximum)"
     );
 }
 
-/// Each is found, and by what it does, within these seeds.
+/// Each injected fault is detected within these seeds, by its expected failure.
 #[cfg(feature = "planted")]
 #[test]
 fn planted_faults_are_found() {
@@ -236,7 +249,7 @@
         let found = (0..SEEDS)
             .find_map(|seed| run_schedule(seed).0.failure.filter(|failure| failure.contains(expected_text)));
         inject(None);
-        let found = found.unwrap_or_else(|| panic!("{fault:?} was not found"));
+        let found = found.unwrap_or_else(|| panic!("{fault:?} was not detected"));
         println!("{fault:?}: {}", found.chars().take(160).collect::<String>());
     }
 }
