--- a/crates/replication/src/link.rs
+++ b/crates/replication/src/link.rs
@@ -64,8 +64,8 @@
     pub incoming: Incoming,
     /// Chunks sent so far; the next chunk gets the next number.
     pub chunks_sent: u64,
-    /// What was sent is not sent again before this time: until then a summary does not reset `peer_covers`, and
-    /// no other full copy is sent.
+    /// What was sent is not sent again before this time: until then a summary does not reset `peer_covers`,
+    /// and no other full copy is sent.
     pub resend_after: Nanos,
     /// The peer rejected a chunk: no chunk is sent before this time.
     pub backoff_until: Nanos,
--- a/crates/replication/src/map.rs
+++ b/crates/replication/src/map.rs
@@ -138,7 +138,7 @@
         if known.is_none() && self.is_superseded(slot, order) {
             return JoinOutcome::Known;
         }
-        if expired(order, now, retention) {
+        if is_expired(order, now, retention) {
             // The expired order supersedes a lesser one here as everywhere else, but is not kept itself.
             let superseded = self.remove(slot).is_some();
             self.record_dropped(slot.clone(), order.clone());
@@ -248,7 +248,7 @@
     pub fn drop_expired(&mut self, now: Nanos, retention: Nanos) -> usize {
         let should_drop = |order: &Order| {
             let drop_at_once = is_injected(Fault::NoTombstones) && order.service == ServiceState::In;
-            drop_at_once || expired(order, now, retention)
+            drop_at_once || is_expired(order, now, retention)
         };
         let expired: Vec<Slot> = self
             .orders
@@ -334,6 +334,6 @@
 
 /// Whether an order puts its node back into service and is older than the retention. Until then it is kept as
 /// a tombstone of the order that it superseded.
-fn expired(order: &Order, now: Nanos, retention: Nanos) -> bool {
+fn is_expired(order: &Order, now: Nanos, retention: Nanos) -> bool {
     order.service == ServiceState::In && order.stamp.time.saturating_add(retention) <= now
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -16,7 +16,7 @@
 /// A short description of a replica's state, from which a peer works out what to send.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The orders that the sender covers.
+    /// The orders that the sender covers, and those that it has dropped.
     pub knowledge: Knowledge,
     /// The digest of all orders that the sender keeps; see [`OrderMap::digest`](crate::OrderMap::digest).
     pub digest: u64,
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -50,8 +50,8 @@
             self.dial_failed(now, random());
         }
         let rotate = now >= self.rotate_at;
-        let below_target = dialled < self.target_links || rotate;
-        if self.dialling.is_some() || now < self.next_dial || !below_target {
+        let wants_link = dialled < self.target_links || rotate;
+        if self.dialling.is_some() || now < self.next_dial || !wants_link {
             return None;
         }
         if rotate {
--- a/crates/replication/src/replica/receiving.rs
+++ b/crates/replication/src/replica/receiving.rs
@@ -129,9 +129,9 @@
         !rejected
     }
 
-    /// Joins the full copy of a peer, which is sent if this replica lacks orders that the peer has dropped, or
-    /// if the digests have differed for too long. Orders here that have been superseded according to the copy
-    /// are dropped. Returns whether the sender's knowledge has been adopted.
+    /// Joins the full copy of a peer, which is sent if this replica lacks orders that the peer has dropped,
+    /// or if the digests have differed for too long. Orders here that have been superseded according to the
+    /// copy are dropped. Returns whether the sender's knowledge has been adopted.
     fn join_full_copy(
         &mut self,
         now: Now,
--- a/crates/replication/src/replica/sending.rs
+++ b/crates/replication/src/replica/sending.rs
@@ -20,7 +20,8 @@
 pub(super) const RESEND_DELAY: Nanos = 5 * SECOND;
 
 impl Replica {
-    /// Sends what is due on a link. `own_digest` is the digest of this replica.
+    /// Sends what is due on a link, or closes the link if a chunk was not acknowledged in time. `own_digest` is
+    /// the digest of this replica.
     pub(super) fn send_due_messages(&mut self, now: Now, id: LinkId, own_digest: u64, host: &mut impl Host) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let stalled = |in_flight: &InFlight| now.monotonic >= in_flight.sent_at + ACK_TIMEOUT;
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -31,7 +31,7 @@
     pub future_stamps: u64,
     /// Orders received with a known stamp but other contents.
     pub conflicts: u64,
-    /// Orders older than the retention that this replica had kept while it was disconnected, and that its peer did
-    /// not cover. Whether they have been superseded cannot be determined; they stay in effect.
+    /// Orders older than the retention that this replica had kept while it was disconnected, and that its
+    /// peer did not cover. Whether they have been superseded cannot be determined; they stay in effect.
     pub possibly_superseded: Vec<Entry>,
 }
--- a/crates/replication/src/vector.rs
+++ b/crates/replication/src/vector.rs
@@ -29,11 +29,11 @@
 
     /// Whether everything that `other` covers is covered.
     pub fn covers_all(&self, other: &VersionVector) -> bool {
-        let dot = |(issuer, version): &(ReplicaId, u64)| {
+        let covers_dot = |(issuer, version): &(ReplicaId, u64)| {
             *version <= self.get(issuer) || self.dots.contains(&(issuer.clone(), *version))
         };
         other.versions.iter().all(|(issuer, version)| self.get(issuer) >= *version)
-            && other.dots.iter().all(dot)
+            && other.dots.iter().all(covers_dot)
     }
 
     /// The part of this vector that `other` does not cover.
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -35,9 +35,9 @@
     at_latest.map(|entry| entry.order.service).max().unwrap_or(ServiceState::In)
 }
 
-#[derive(Debug)]
 /// An event of the simulation. Processes are given by index and incarnation; events of an earlier incarnation
 /// are ignored.
+#[derive(Debug)]
 enum Event {
     Tick(usize, u64),
     DialCompleted(usize, u64, String),
--- a/crates/replication/tests/scale.rs
+++ b/crates/replication/tests/scale.rs
@@ -11,7 +11,7 @@
 const BYTES_PER_SECOND: usize = 2_000;
 const HEARTBEAT_BYTES: usize = 200;
 /// Orders in effect during the measurement, and the number of processes that issue them.
-const STANDING_ORDERS: usize = 64;
+const ACTIVE_ORDERS: usize = 64;
 const ISSUERS: usize = 16;
 
 struct Measurements {
@@ -22,7 +22,7 @@
     /// Bytes per second of a process: the mean while idle, the mean while one order is issued per second, and
     /// the maximum of the latter.
     idle_bytes: f64,
-    ordering_bytes: f64,
+    issuing_bytes: f64,
     peak_bytes: usize,
     /// Time until all copies are equal: after one process restarts with an empty disk, and after all restart
     /// with their disks. Last the maximum bytes per second of a process in the second case.
@@ -65,7 +65,7 @@
     (simulation.target_links, simulation.max_delay, simulation.bytes_per_second) =
         (4, 2 * MS, BYTES_PER_SECOND);
     simulation.run_until(5 * SECOND);
-    for number in 0..STANDING_ORDERS {
+    for number in 0..ACTIVE_ORDERS {
         simulation.issue(
             number % ISSUERS.min(proxies),
             &format!("node-{number:04}"),
@@ -78,7 +78,7 @@
     simulation.run_until(simulation.now + 10 * SECOND);
     let (idle_bytes, _) = measure_bytes(&mut simulation, 20, |_, _| {});
     let mut delays = Vec::new();
-    let (ordering_bytes, peak_bytes) = measure_bytes(&mut simulation, 20, |simulation, second| {
+    let (issuing_bytes, peak_bytes) = measure_bytes(&mut simulation, 20, |simulation, second| {
         let index = simulation.random_below(proxies as u64) as usize % ISSUERS;
         let service = if second % 2 == 0 { ServiceState::In } else { ServiceState::Out };
         simulation.issue(index.min(proxies - 1), &format!("node-{:04}", second / 2), service, None);
@@ -114,7 +114,7 @@
         median_delay,
         max_delay,
         idle_bytes,
-        ordering_bytes,
+        issuing_bytes,
         peak_bytes,
         one_restart,
         full_restart,
@@ -124,7 +124,8 @@
 
 #[test]
 fn an_order_reaches_a_whole_zone_in_time_and_within_the_byte_budget() {
-    // The environment variable SIZES sets the numbers of proxies, separated by commas. 100 take some seconds; a zone has 308.
+    // The environment variable SIZES sets the numbers of proxies, separated by commas. 100 take some seconds;
+    // a zone has 308.
     let sizes = std::env::var("SIZES").unwrap_or("100".into());
     for proxies in sizes.split(',').map(|size| size.parse().unwrap()) {
         let measurements = measure(proxies);
@@ -132,7 +133,7 @@
             median_delay,
             max_delay,
             idle_bytes,
-            ordering_bytes,
+            issuing_bytes,
             peak_bytes,
             one_restart,
             full_restart,
@@ -141,7 +142,7 @@
         } = measurements;
         println!(
             "{} proxies: an order reaches all after {} ms (median), {} ms (maximum); bytes per second idle \
-             {idle_bytes:.0}, with one order per second {ordering_bytes:.0}, maximum {peak_bytes}; restart of one {} ms, of \
+             {idle_bytes:.0}, with one order per second {issuing_bytes:.0}, maximum {peak_bytes}; restart of one {} ms, of \
              all {} ms, maximum {restart_peak_bytes}",
             measurements.proxies,
             median_delay / MS,
--- a/crates/replication/tests/schedules.rs
+++ b/crates/replication/tests/schedules.rs
@@ -187,8 +187,8 @@
     }
     previously_agreed.extend(current);
 }
-/// Runs the schedule of a seed. Returns the simulation and the convergence time of each phase.
 
+/// Runs the schedule of a seed. Returns the simulation and the convergence time of each phase.
 fn run_schedule(seed: u64) -> (Simulation, Vec<Nanos>) {
     // The first simulation only draws the number of processes from the seed.
     let mut simulation = Simulation::new(seed, 0);
