--- a/crates/carrier/src/message.rs
+++ b/crates/carrier/src/message.rs
@@ -39,6 +39,7 @@
     /// after a heartbeat that moved it to a newer version.
     Holds { version: Version, digest: u64 },
     /// Acknowledges a part that is not the last one of its delta: the parent may send the next part.
+    #[serde(rename = "Took")]
     PartAck,
     /// Sent by control machines only: this version is on the child's disk.
     Persisted(Version),
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -5,7 +5,7 @@
 use crate::control::{ControlHandle, NodeKind};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
 use pumicebay_accord::{Fences, Passage, Token};
-use pumicebay_replication::{Lease, Refusal, Service, Stamp};
+use pumicebay_replication::{Lease, Refusal, ServiceState, Stamp};
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -188,7 +188,7 @@
     /// Applies the group's orders to the nodes whose state differs from them.
     async fn apply_orders(&mut self, ordered: Ordered) {
         for (uid, service) in ordered.services {
-            let out_of_service = service == Service::Out;
+            let out_of_service = service == ServiceState::Out;
             if self.out.contains(&uid) == out_of_service {
                 continue;
             }
@@ -274,11 +274,11 @@
         out_of_service: bool,
         lease: Option<Lease>,
     ) -> Result<Stamp, MaintenanceResult> {
-        let service = if out_of_service { Service::Out } else { Service::In };
+        let service = if out_of_service { ServiceState::Out } else { ServiceState::In };
         let name = lease.as_ref().map(|lease| lease.name.clone()).unwrap_or_default();
         let order = Order { node: uid.into(), service, lease };
         self.handle.give(order).await.map_err(|not_given| match not_given {
-            NotGiven::Refused(Refusal::Late { token }) => MaintenanceResult::StaleToken(name, token),
+            NotGiven::Refused(Refusal::StaleToken { token }) => MaintenanceResult::StaleToken(name, token),
             NotGiven::Refused(refusal) => MaintenanceResult::Refused(refusal.to_string()),
             NotGiven::NotOnDisk => {
                 MaintenanceResult::Failed("the order holds and is replicated, but is not on this disk".into())
