--- a/crates/accord/src/holding.rs
+++ b/crates/accord/src/lease_client.rs
@@ -1,7 +1,7 @@
 //! A lease from the side of who wants it: when to ask, and until when it may act.
 
 use crate::Nanos;
-use crate::judge::shorter;
+use crate::apply::shorter;
 use crate::message::{Ask, AskId, Reply, Want};
 use crate::planted::{Fault, planted};
 use crate::record::{Holder, Name, Token};
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -5,28 +5,28 @@
 //! [`Host`]. Who wants a lease drives a [`Holding`] and sends the [`Ask`]s that it gives to any voter. Times are whole
 //! nanoseconds of the process's own clock, which must run on through suspension and stay within the stated drift.
 
-mod acts;
-mod fences;
-mod holding;
-mod judge;
+mod apply;
+mod effects;
+mod fencing;
+mod lease_client;
 mod message;
 mod planted;
 mod presence;
+mod probe_coordinator;
 mod record;
 mod round;
 mod voter;
-mod watch;
 
-pub use acts::Acts;
-pub use fences::{Fences, Passage};
-pub use holding::{Held, Holding};
-pub use judge::outlasted;
+pub use apply::outlasted;
+pub use effects::Acts;
+pub use fencing::{Fences, Passage};
+pub use lease_client::{Held, Holding};
 pub use message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
 pub use planted::{Fault, plant, planted};
 pub use presence::{Presence, Seen};
+pub use probe_coordinator::{Watch, WatchHost};
 pub use record::{Entry, Holder, LARGEST, Lease, Member, Name, Record, Store, Token};
 pub use voter::{Host, Kept, Standing, Terms, Voter};
-pub use watch::{Watch, WatchHost};
 
 /// Whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/accord/src/voter.rs
+++ b/crates/accord/src/voter.rs
@@ -2,7 +2,7 @@
 //! first: the host lets nothing out before what was kept ahead of it is synced.
 
 use crate::Nanos;
-use crate::judge::{self, Judge, Sights};
+use crate::apply::{self, Judge, Sights};
 use crate::message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
 use crate::presence::Presence;
 use crate::record::{Holder, Member, Name, Record, Store};
@@ -291,7 +291,7 @@
         }
         if self.standing == Standing::Votes && self.seated() && self.no_seat_asked() {
             // Who is back empty under a voter's name gets its seat again, by agreement.
-            if let Some(want) = judge::to_seat(&self.kept.record.0, &self.present, now) {
+            if let Some(want) = apply::to_seat(&self.kept.record.0, &self.present, now) {
                 self.own_asks += 1;
                 let who = Holder { name: self.me.clone(), incarnation: self.kept.incarnation };
                 let id = AskId { who, number: self.own_asks };
@@ -459,7 +459,7 @@
                 let (reads, rest): (VecDeque<_>, VecDeque<_>) =
                     self.asks.drain(..).partition(|(ask, _)| ask.want == Want::Read);
                 self.asks = rest;
-                reads.iter().for_each(|(ask, _)| host.answer(judge::told(ask, &record)));
+                reads.iter().for_each(|(ask, _)| host.answer(apply::told(ask, &record)));
                 self.done(now, &record, host);
             }
             // A majority has spoken, and not alike: only a round tells which it is.
@@ -521,7 +521,7 @@
             self.exchanged = ballot;
         }
         for ((ask, _), answer) in self.asks.drain(..covered).zip(answers) {
-            host.answer(answer.unwrap_or_else(|| judge::told(&ask, &record)));
+            host.answer(answer.unwrap_or_else(|| apply::told(&ask, &record)));
         }
         self.done(now, &record, host);
     }
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -11,12 +11,12 @@
 // Not all that the sources have is called here.
 #![allow(dead_code)]
 
-#[path = "../src/acts.rs"]
-mod acts;
-#[path = "../src/holding.rs"]
-mod holding;
-#[path = "../src/judge.rs"]
-mod judge;
+#[path = "../src/apply.rs"]
+mod apply;
+#[path = "../src/effects.rs"]
+mod effects;
+#[path = "../src/lease_client.rs"]
+mod lease_client;
 #[path = "../src/message.rs"]
 mod message;
 #[path = "../src/planted.rs"]
@@ -30,8 +30,8 @@
 #[path = "../src/voter.rs"]
 mod voter;
 
-use crate::acts::Acts;
-use crate::holding::Holding;
+use crate::effects::Acts;
+use crate::lease_client::Holding;
 use crate::message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
 use crate::planted::{Fault, plant, planted};
 use crate::presence::Presence;
@@ -324,7 +324,7 @@
                 Some(voter) => {
                     let running = voter.round != Round::None;
                     let empty_seen = voter.standing() == Standing::Votes
-                        && crate::judge::to_seat(&voter.kept().record.0, &voter.present, 0).is_some();
+                        && crate::apply::to_seat(&voter.kept().record.0, &voter.present, 0).is_some();
                     if left.timeouts > 0 && (running || !voter.asks.is_empty() || empty_seen) {
                         steps.push(Step::Wake(at));
                     }
