--- a/crates/accord/src/fencing.rs
+++ b/crates/accord/src/fencing.rs
@@ -5,34 +5,34 @@
 
 /// What becomes of an act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum FenceCheck {
     /// Its token is the highest so far.
-    Passes,
+    Current,
     /// Another has had a higher one since, which is given.
-    Late(Token),
+    Superseded(Token),
     /// Too many leases are known already to keep this one in mind.
-    Full,
+    TooManyLeases,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fences(BTreeMap<Name, Token>);
+pub struct FencingTokens(BTreeMap<Name, Token>);
 
-impl Fences {
+impl FencingTokens {
     /// Leases that are kept in mind. None is ever forgotten: its next call could come with a lower token.
-    pub const LEASES: usize = 256;
+    pub const MAX_LEASES: usize = 256;
 
     /// What was seen before: by another process, or in an earlier life.
-    pub fn saw(&mut self, lease: &str, token: Token) {
+    pub fn observe(&mut self, lease: &str, token: Token) {
         let known = self.0.entry(lease.into()).or_default();
         *known = token.max(*known);
     }
 
     /// Whether an act under this token may go on. It changes nothing: what passes is kept first, and `saw` after.
-    pub fn passes(&self, lease: &str, token: Token) -> Passage {
+    pub fn check(&self, lease: &str, token: Token) -> FenceCheck {
         match self.0.get(lease) {
-            Some(&highest) if token < highest => Passage::Late(highest),
-            None if self.0.len() >= Fences::LEASES => Passage::Full,
-            _ => Passage::Passes,
+            Some(&highest) if token < highest => FenceCheck::Superseded(highest),
+            None if self.0.len() >= FencingTokens::MAX_LEASES => FenceCheck::TooManyLeases,
+            _ => FenceCheck::Current,
         }
     }
 }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -17,16 +17,16 @@
 mod round;
 mod voter;
 
-pub use apply::outlasted;
-pub use effects::Acts;
-pub use fencing::{Fences, Passage};
-pub use lease_client::{Held, Holding};
-pub use message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
+pub use apply::max_lease_wait;
+pub use effects::Effects;
+pub use fencing::{FenceCheck, FencingTokens};
+pub use lease_client::{HeldLease, LeaseClient};
+pub use message::{Answer, Ballot, Message, Operation, OperationId, OperationKind, Reply, SharedRecord};
 pub use planted::{Fault, plant, planted};
-pub use presence::{Presence, Seen};
-pub use probe_coordinator::{Watch, WatchHost};
-pub use record::{Entry, Holder, LARGEST, Lease, Member, Name, Record, Store, Token};
-pub use voter::{Host, Kept, Standing, Terms, Voter};
+pub use presence::{PeerState, Presence};
+pub use probe_coordinator::{ProbeCoordinator, ProbeHost};
+pub use record::{Entry, Lease, MAX_RECORD_BYTES, Member, Name, ProcessId, Record, StoreId, Token};
+pub use voter::{DurableState, Host, Voter, VoterConfig, VotingState};
 
 /// Whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -1,6 +1,6 @@
 //! What voters and askers say to each other.
 
-use crate::record::{Holder, Member, Name, Record, Store, Token};
+use crate::record::{Member, Name, ProcessId, Record, StoreId, Token};
 use crate::{Lease, Nanos};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub store: Store,
+    pub store: StoreId,
     pub incarnation: u64,
 }
 
@@ -18,35 +18,35 @@
 pub enum Message {
     Prepare(Ballot, u64),
     /// The ballot asked for, and what was accepted before it.
-    Promise(Ballot, Ballot, Shared, u64),
-    Accept(Ballot, Shared, u64),
+    Promise(Ballot, Ballot, SharedRecord, u64),
+    Accept(Ballot, SharedRecord, u64),
     Accepted(Ballot, u64),
     /// The ballot refused, and the one promised instead.
     Refuse(Ballot, Ballot),
     /// What is accepted now: the number is the asker's own, to tell answers apart.
     Peek(u64),
-    Peeked(u64, Ballot, Shared, u64),
+    Peeked(u64, Ballot, SharedRecord, u64),
 }
 
 /// A record that is sent to many. Two are the same when they say the same.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Shared(pub Arc<Record>);
+pub struct SharedRecord(pub Arc<Record>);
 
 /// Who asked, and the number that it gave its ask. Numbers only grow within an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
-    pub who: Holder,
+pub struct OperationId {
+    pub process: ProcessId,
     pub number: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ask {
-    pub id: AskId,
-    pub want: Want,
+pub struct Operation {
+    pub id: OperationId,
+    pub kind: OperationKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Want {
+pub enum OperationKind {
     /// A lease for so long, by the asker's clock, from before it asked.
     Acquire(Name, Nanos),
     /// The lease held under this token, for so long again.
@@ -59,32 +59,35 @@
     Put {
         name: Name,
         text: String,
-        version: Option<u64>,
+        expected_version: Option<u64>,
         fence: Option<(Name, Token)>,
     },
     /// A voter in place of another, or a new store under the same name.
-    Seat {
-        out: Name,
+    ReplaceVoter {
+        replaced: Name,
         voter: Member,
     },
     /// The whole record.
     Read,
 }
 
-impl Want {
+impl OperationKind {
     /// What a voter that has too much to do turns away first: the higher, the sooner.
-    pub fn spare(&self) -> u8 {
+    pub fn shed_priority(&self) -> u8 {
         match self {
-            Want::Read => 2,
-            Want::Acquire(..) | Want::Put { .. } | Want::TakeAway(_) | Want::Seat { .. } => 1,
-            Want::Renew(..) | Want::GiveBack(..) => 0,
+            OperationKind::Read => 2,
+            OperationKind::Acquire(..)
+            | OperationKind::Put { .. }
+            | OperationKind::TakeAway(_)
+            | OperationKind::ReplaceVoter { .. } => 1,
+            OperationKind::Renew(..) | OperationKind::GiveBack(..) => 0,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Answer {
-    pub id: AskId,
+    pub id: OperationId,
     pub reply: Reply,
 }
 
@@ -93,13 +96,13 @@
     /// Got or renewed, under this token.
     Granted(Token),
     /// Somebody else's, or ended: who holds it, and about how much longer.
-    Denied(Option<Holder>, Nanos),
+    Denied(Option<ProcessId>, Nanos),
     Done,
     /// The value stands in the record since this version of it.
     Written(u64),
     /// Why not, in words.
     Refused(String),
-    Record(Shared),
+    Record(SharedRecord),
     /// No majority answered in time; whether it was done is not known.
     Unknown,
     /// Too much to do; ask again later, or another voter.
@@ -107,7 +110,7 @@
 }
 
 impl Lease {
-    pub fn held_by(&self, who: &Holder) -> bool {
-        self.holder.as_ref() == Some(who)
+    pub fn held_by(&self, process: &ProcessId) -> bool {
+        self.holder.as_ref() == Some(process)
     }
 }
--- a/crates/accord/src/planted.rs
+++ b/crates/accord/src/planted.rs
@@ -9,37 +9,37 @@
     /// A voter answers before its disk has what it says.
     AnswerBeforeSync = 1,
     /// A holder counts its time from the answer.
-    CountsFromAnswer,
+    LeaseCountedFromAnswer,
     /// A lease goes to another under the old token.
-    TokenNotGrown,
+    TokenNotIncremented,
     /// Neither side allows for clocks that differ.
-    NoDrift,
+    DriftIgnored,
     /// A voter that comes back empty votes as if it remembered.
-    EmptyVotes,
+    EmptyDiskVotes,
     /// A renewal that comes late brings an ended lease back to its old holder.
-    RenewalRevives,
+    LateRenewalRevivesLease,
     /// A write under a lease does not look at the token.
-    IgnoresToken,
+    FencingTokenIgnored,
     /// One voter settles a change alone.
-    MinoritySettles,
+    MinorityCommits,
     /// A voter takes a renewal for one that it has seen before, and so judges a lease too old.
-    OldSight,
+    RenewalNotObserved,
     /// What is asked next is built on an exchange of voters that is not settled yet.
-    ExchangeUnsettled,
+    UncommittedVoterChange,
 }
 
 impl Fault {
     pub const ALL: [Fault; 10] = [
         Fault::AnswerBeforeSync,
-        Fault::CountsFromAnswer,
-        Fault::TokenNotGrown,
-        Fault::NoDrift,
-        Fault::EmptyVotes,
-        Fault::RenewalRevives,
-        Fault::IgnoresToken,
-        Fault::MinoritySettles,
-        Fault::OldSight,
-        Fault::ExchangeUnsettled,
+        Fault::LeaseCountedFromAnswer,
+        Fault::TokenNotIncremented,
+        Fault::DriftIgnored,
+        Fault::EmptyDiskVotes,
+        Fault::LateRenewalRevivesLease,
+        Fault::FencingTokenIgnored,
+        Fault::MinorityCommits,
+        Fault::RenewalNotObserved,
+        Fault::UncommittedVoterChange,
     ];
 }
 
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -30,14 +30,14 @@
 #[path = "../src/voter.rs"]
 mod voter;
 
-use crate::effects::Acts;
-use crate::lease_client::Holding;
-use crate::message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
+use crate::effects::Effects;
+use crate::lease_client::LeaseClient;
+use crate::message::{Answer, Ballot, Message, Operation, OperationId, OperationKind, Reply, SharedRecord};
 use crate::planted::{Fault, plant, planted};
 use crate::presence::Presence;
-use crate::record::{Holder, Lease, Member, Record, Store, Token};
+use crate::record::{Lease, Member, ProcessId, Record, StoreId, Token};
 use crate::round::Round;
-use crate::voter::{Kept, Standing, Terms, Voter};
+use crate::voter::{DurableState, Voter, VoterConfig, VotingState};
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -54,12 +54,12 @@
 const LEASE: Nanos = 16;
 
 /// Who may be given the last voter's seat.
-struct Spare {
+struct SpareVoter {
     name: &'static str,
-    store: Store,
+    store: StoreId,
 }
 
-const SPARE: Spare = Spare { name: "v3", store: 4 };
+const SPARE_VOTER: SpareVoter = SpareVoter { name: "v3", store: 4 };
 
 /// How often each thing may happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -71,75 +71,75 @@
     /// Crashes after which the disk is empty.
     wipes: u8,
     /// Crashes after which the disk is what it was a write ago.
-    set_back: u8,
+    rollbacks: u8,
     repeats: u8,
     /// By asker: asks for the lease or its renewal, giving back, writes under it, reads.
     asks: [u8; 2],
-    gives: u8,
+    give_backs: u8,
     puts: u8,
     reads: u8,
     /// Exchanges of the last voter for the spare, which is there where there are any.
-    exchanges: u8,
+    replacements: u8,
 }
 
 /// One world to be explored whole.
-struct Setting {
+struct Scenario {
     name: &'static str,
     budget: Budget,
     /// Units a tick, of the voters and of the askers.
     voters: Nanos,
-    askers: Nanos,
+    clients: Nanos,
     /// Which voters each asker turns to.
-    turns_to: [&'static [usize]; 2],
+    contacts: [&'static [usize]; 2],
     /// Asks and answers are there at once; else they come late, and asks also twice.
-    direct: bool,
+    immediate_operations: bool,
     /// Voters that are down from the first.
-    down: usize,
+    voters_down: usize,
     /// Begins where an exchange has reached its own voter and the spare alone, and is begun anew.
-    given_up: bool,
+    replacement_abandoned: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Letter {
-    Between(Store, Store, Message),
-    Ask(usize, Ask),
+enum InFlight {
+    VoterMessage(StoreId, StoreId, Message),
+    Operation(usize, Operation),
     Answer(usize, Answer),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seat {
+struct VoterSlot {
     voter: Option<Voter>,
-    disk: Kept,
+    disk: DurableState,
     /// What the disk was a write ago.
-    older: Kept,
+    older: DurableState,
 }
 
 /// Shared between worlds until it changes, with its hash.
 #[derive(Clone)]
-struct Part<T>(Rc<(T, u64)>);
+struct Versioned<T>(Rc<(T, u64)>);
 
-impl<T: Clone + Hash> Part<T> {
-    fn new(what: T) -> Part<T> {
-        let hash = digest(&what);
-        Part(Rc::new((what, hash)))
+impl<T: Clone + Hash> Versioned<T> {
+    fn new(what: T) -> Versioned<T> {
+        let hash = hash_of(&what);
+        Versioned(Rc::new((what, hash)))
     }
 
     fn change<R>(&mut self, how: impl FnOnce(&mut T) -> R) -> R {
         let mut what = self.0.0.clone();
         let gave = how(&mut what);
-        *self = Part::new(what);
+        *self = Versioned::new(what);
         gave
     }
 }
 
-impl<T> std::ops::Deref for Part<T> {
+impl<T> std::ops::Deref for Versioned<T> {
     type Target = T;
     fn deref(&self) -> &T {
         &self.0.0
     }
 }
 
-impl<T> Hash for Part<T> {
+impl<T> Hash for Versioned<T> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.1.hash(state);
     }
@@ -149,21 +149,21 @@
 struct World {
     budget: Budget,
     tick: Nanos,
-    seats: Vec<Part<Seat>>,
-    askers: Vec<Part<Holding>>,
-    asks_left: [u8; 2],
+    slots: Vec<Versioned<VoterSlot>>,
+    clients: Vec<Versioned<LeaseClient>>,
+    requests_left: [u8; 2],
     /// What voters say to each other may come at any time and any number of times, or never.
-    net: BTreeMap<u64, Rc<Letter>>,
+    network: BTreeMap<u64, Rc<InFlight>>,
     /// Hash of each settled version, and the lease's token in it.
-    settled: BTreeMap<u64, (u64, Token)>,
+    committed: BTreeMap<u64, (u64, Token)>,
     /// The highest token that anybody has acted under, and by whom.
-    acted: (Token, usize),
+    highest_used: (Token, usize),
     /// What each asker once held, for writes that come late.
-    once: [Token; 2],
+    last_token: [Token; 2],
     /// The version that was settled when a read was asked.
     reads: BTreeMap<u64, u64>,
-    stores: Store,
-    numbers: [u64; 2],
+    last_store: StoreId,
+    last_numbers: [u64; 2],
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -172,50 +172,53 @@
     Deliver(u64, bool),
     Wake(usize),
     Crash(usize, Loss),
-    Return(usize),
+    Restart(usize),
     Hello(usize, usize),
-    Ask(usize, usize),
-    Give(usize, usize),
+    RequestLease(usize, usize),
+    GiveBack(usize, usize),
     Put(usize, usize),
     Read(usize, usize),
-    Exchange(usize),
+    ReplaceVoter(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    Nothing,
+    None,
     All,
     LastWrite,
 }
 
-fn digest(what: &impl Hash) -> u64 {
+fn hash_of(what: &impl Hash) -> u64 {
     let mut hasher = FxHasher::default();
     what.hash(&mut hasher);
     hasher.finish()
 }
 
 impl World {
-    fn post(&mut self, letter: Letter) {
-        self.net.insert(digest(&letter), Rc::new(letter));
+    fn add(&mut self, item: InFlight) {
+        self.network.insert(hash_of(&item), Rc::new(item));
     }
 
     /// Drops what can do nothing any more: answers in rounds that are over, and calls whose answers would be such and
     /// which find a higher promise. Ballots never come again.
     fn drop_stale(&mut self) {
-        let voter = |store: Store| {
-            self.seats.iter().filter_map(|seat| seat.voter.as_ref()).find(|v| v.kept().store == store)
+        let voter = |store: StoreId| {
+            self.slots
+                .iter()
+                .filter_map(|slot| slot.voter.as_ref())
+                .find(|v| v.durable_state().store == store)
         };
-        let runs = |store: Store, wanted: Ballot| {
+        let runs = |store: StoreId, wanted: Ballot| {
             voter(store).is_some_and(|voter| match &voter.round {
                 Round::Prepare { ballot, .. } | Round::Accept { ballot, .. } => *ballot == wanted,
                 _ => false,
             })
         };
-        let peeks = |store: Store, wanted: u64| {
+        let peeks = |store: StoreId, wanted: u64| {
             voter(store).is_some_and(|v| matches!(&v.round, Round::Peek { number, .. } if *number == wanted))
         };
-        let of_use = |letter: &Letter| match letter {
-            Letter::Between(from, to, message) => match message {
+        let still_useful = |item: &InFlight| match item {
+            InFlight::VoterMessage(from, to, message) => match message {
                 Message::Promise(ballot, ..) => voter(*to).is_some_and(
                     |v| matches!(&v.round, Round::Prepare { ballot: ours, .. } if ours == ballot),
                 ),
@@ -224,83 +227,84 @@
                 Message::Peek(number) => peeks(*from, *number),
                 Message::Prepare(ballot, _) | Message::Accept(ballot, ..) => {
                     runs(*from, *ballot)
-                        || voter(*to).is_none_or(|v| v.kept().promised < *ballot)
+                        || voter(*to).is_none_or(|v| v.durable_state().promised < *ballot)
                         || matches!(message, Message::Accept(..))
-                            && voter(*to)
-                                .is_none_or(|v| v.kept().promised == *ballot && v.kept().accepted < *ballot)
+                            && voter(*to).is_none_or(|v| {
+                                v.durable_state().promised == *ballot && v.durable_state().accepted < *ballot
+                            })
                 }
             },
             _ => true,
         };
-        let net = std::mem::take(&mut self.net);
-        self.net = net.into_iter().filter(|(_, letter)| of_use(letter)).collect();
+        let network = std::mem::take(&mut self.network);
+        self.network = network.into_iter().filter(|(_, item)| still_useful(item)).collect();
     }
 }
 
-impl Setting {
+impl Scenario {
     fn world(&self) -> World {
-        let terms = Terms {
+        let config = VoterConfig {
             drift_ppm: DRIFT_PPM,
-            round: 0,
-            ask: Nanos::MAX / 4,
-            asks: 8,
-            cautious: self.budget.set_back > 0,
-            may_vote: (0..4).map(|number| format!("v{number}")).collect(),
+            round_timeout: 0,
+            operation_timeout: Nanos::MAX / 4,
+            max_pending: 8,
+            require_extra_confirmation: self.budget.rollbacks > 0,
+            eligible_voters: (0..4).map(|number| format!("v{number}")).collect(),
         };
         let voters = (0..3).map(|number| Member { name: format!("v{number}"), store: number + 1 }).collect();
-        let record = Record::found(0, voters);
-        let seats = (0..3).map(|number: u64| {
-            let (kept, mut acts) = (Kept::empty("fleet", number + 1), Acts::default());
-            let mut voter = Voter::start(0, &format!("v{number}"), kept, terms.clone(), &mut acts);
-            assert!(voter.found(0, record.clone(), &mut acts));
-            let disk = voter.kept().clone();
-            Part::new(Seat { voter: Some(voter), older: disk.clone(), disk })
+        let record = Record::bootstrap(0, voters);
+        let slots = (0..3).map(|number: u64| {
+            let (kept, mut effects) = (DurableState::empty("fleet", number + 1), Effects::default());
+            let mut voter = Voter::start(0, &format!("v{number}"), kept, config.clone(), &mut effects);
+            assert!(voter.bootstrap(0, record.clone(), &mut effects));
+            let disk = voter.durable_state().clone();
+            Versioned::new(VoterSlot { voter: Some(voter), older: disk.clone(), disk })
         });
-        let spare = (self.budget.exchanges > 0).then(|| {
-            let (kept, mut acts) = (Kept::empty("fleet", SPARE.store), Acts::default());
-            let voter = Voter::start(0, SPARE.name, kept, terms.clone(), &mut acts);
-            let disk = voter.kept().clone();
-            Part::new(Seat { voter: Some(voter), older: disk.clone(), disk })
+        let spare = (self.budget.replacements > 0).then(|| {
+            let (kept, mut effects) = (DurableState::empty("fleet", SPARE_VOTER.store), Effects::default());
+            let voter = Voter::start(0, SPARE_VOTER.name, kept, config.clone(), &mut effects);
+            let disk = voter.durable_state().clone();
+            Versioned::new(VoterSlot { voter: Some(voter), older: disk.clone(), disk })
         });
-        let askers = (0..2).map(|number| {
-            let who = Holder { name: format!("h{number}"), incarnation: 1 };
-            Part::new(Holding::new(0, who, "lease", LEASE, DRIFT_PPM))
+        let clients = (0..2).map(|number| {
+            let process = ProcessId { name: format!("h{number}"), incarnation: 1 };
+            Versioned::new(LeaseClient::new(0, process, "lease", LEASE, DRIFT_PPM))
         });
-        let mut seats: Vec<Part<Seat>> = seats.collect();
-        seats[3 - self.down..].iter_mut().for_each(|seat| seat.change(|seat| seat.voter = None));
-        seats.extend(spare);
+        let mut slots: Vec<Versioned<VoterSlot>> = slots.collect();
+        slots[3 - self.voters_down..].iter_mut().for_each(|slot| slot.change(|slot| slot.voter = None));
+        slots.extend(spare);
         let mut world = World {
             budget: self.budget,
             tick: 0,
-            seats,
-            askers: askers.collect(),
-            asks_left: self.budget.asks,
-            net: BTreeMap::new(),
-            settled: BTreeMap::from([(0, (digest(&record), 0))]),
-            acted: (0, 0),
-            once: [0, 0],
+            slots,
+            clients: clients.collect(),
+            requests_left: self.budget.asks,
+            network: BTreeMap::new(),
+            committed: BTreeMap::from([(0, (hash_of(&record), 0))]),
+            highest_used: (0, 0),
+            last_token: [0, 0],
             reads: BTreeMap::new(),
-            stores: SPARE.store,
-            numbers: [0, 0],
+            last_store: SPARE_VOTER.store,
+            last_numbers: [0, 0],
         };
-        if self.given_up {
-            world = self.after(&world, Step::Exchange(1)).expect("nothing wrong so far");
+        if self.replacement_abandoned {
+            world = self.after(&world, Step::ReplaceVoter(1)).expect("nothing wrong so far");
             let prepare = |message: &Message| matches!(message, Message::Prepare(..));
             let promise = |message: &Message| matches!(message, Message::Promise(..));
             let accept = |message: &Message| matches!(message, Message::Accept(..));
-            let letter = |world: &World, to: Store, what: &dyn Fn(&Message) -> bool| {
-                let is = |letter: &Letter| matches!(letter, Letter::Between(_, at, said) if *at == to && what(said));
-                world.net.iter().find(|(_, letter)| is(letter)).map_or(0, |(at, _)| *at)
+            let item = |world: &World, to: StoreId, what: &dyn Fn(&Message) -> bool| {
+                let is = |item: &InFlight| matches!(item, InFlight::VoterMessage(_, at, said) if *at == to && what(said));
+                world.network.iter().find(|(_, item)| is(item)).map_or(0, |(at, _)| *at)
             };
             for (to, what) in
-                [(3, &prepare as &dyn Fn(&Message) -> bool), (2, &promise), (SPARE.store, &accept)]
+                [(3, &prepare as &dyn Fn(&Message) -> bool), (2, &promise), (SPARE_VOTER.store, &accept)]
             {
                 // The answer to the acceptance is lost.
                 world = self
-                    .after(&world, Step::Deliver(letter(&world, to, what), to == SPARE.store))
+                    .after(&world, Step::Deliver(item(&world, to, what), to == SPARE_VOTER.store))
                     .expect("a letter");
             }
-            world.net.clear();
+            world.network.clear();
             world = self.after(&world, Step::Wake(1)).expect("nothing wrong so far");
         }
         world
@@ -311,27 +315,32 @@
         if left.ticks > 0 {
             steps.push(Step::Tick);
         }
-        for (&at, letter) in &world.net {
+        for (&at, item) in &world.network {
             steps.push(Step::Deliver(at, false));
             // An ask that comes again, or an acceptance whose answer is lost.
-            let again = left.repeats > 0 && matches!(**letter, Letter::Ask(..));
-            if again || matches!(**letter, Letter::Between(_, _, Message::Accept(..))) {
+            let again = left.repeats > 0 && matches!(**item, InFlight::Operation(..));
+            if again || matches!(**item, InFlight::VoterMessage(_, _, Message::Accept(..))) {
                 steps.push(Step::Deliver(at, true));
             }
         }
-        for (at, seat) in world.seats.iter().enumerate() {
-            match &seat.voter {
+        for (at, slot) in world.slots.iter().enumerate() {
+            match &slot.voter {
                 Some(voter) => {
-                    let running = voter.round != Round::None;
-                    let empty_seen = voter.standing() == Standing::Votes
-                        && crate::apply::to_seat(&voter.kept().record.0, &voter.present, 0).is_some();
-                    if left.timeouts > 0 && (running || !voter.asks.is_empty() || empty_seen) {
+                    let running = voter.round != Round::Idle;
+                    let empty_seen = voter.voting_state() == VotingState::Votes
+                        && crate::apply::find_voter_to_readmit(
+                            &voter.durable_state().record.0,
+                            &voter.presence,
+                            0,
+                        )
+                        .is_some();
+                    if left.timeouts > 0 && (running || !voter.pending.is_empty() || empty_seen) {
                         steps.push(Step::Wake(at));
                     }
                     for (budget, loss) in [
-                        (left.crashes, Loss::Nothing),
+                        (left.crashes, Loss::None),
                         (left.wipes, Loss::All),
-                        (left.set_back, Loss::LastWrite),
+                        (left.rollbacks, Loss::LastWrite),
                     ] {
                         // Empty disks hit one that nobody asks, or the search would take too long.
                         if budget > 0 && (loss != Loss::All || at == 2) {
@@ -339,44 +348,45 @@
                         }
                     }
                     let news = |other: usize| {
-                        world.seats[other].voter.as_ref().is_some_and(|other| {
-                            voter.standing() == Standing::Doubts
-                                && !voter.vouched.contains(&other.kept().store)
-                                || other.standing() == Standing::Empty
-                                    && voter.present.store(&other.me, 0) != Some(other.kept().store)
+                        world.slots[other].voter.as_ref().is_some_and(|other| {
+                            voter.voting_state() == VotingState::Doubts
+                                && !voter.confirmed_by.contains(&other.durable_state().store)
+                                || other.voting_state() == VotingState::Empty
+                                    && voter.presence.store_of(&other.name, 0)
+                                        != Some(other.durable_state().store)
                         })
                     };
                     let others = (0..3).filter(|&other| other != at && news(other));
                     steps.extend(others.map(|other| Step::Hello(at, other)));
                 }
-                None if at < 3 - self.down || at == 3 => steps.push(Step::Return(at)),
+                None if at < 3 - self.voters_down || at == 3 => steps.push(Step::Restart(at)),
                 None => {}
             }
         }
-        for (at, asker) in world.askers.iter().enumerate() {
+        for (at, client) in world.clients.iter().enumerate() {
             let now = self.now(world);
-            let turns = self.turns_to[at];
-            if world.asks_left[at] > 0 && now >= asker.due() {
-                steps.extend(turns.iter().map(|&to| Step::Ask(at, to)));
+            let contacts = self.contacts[at];
+            if world.requests_left[at] > 0 && now >= client.wake_at() {
+                steps.extend(contacts.iter().map(|&to| Step::RequestLease(at, to)));
             }
-            if left.gives > 0 && asker.may(now, 0).is_some() {
-                steps.push(Step::Give(at, turns[0]));
+            if left.give_backs > 0 && client.token_if_valid_for(now, 0).is_some() {
+                steps.push(Step::GiveBack(at, contacts[0]));
             }
-            if left.puts > 0 && world.once[at] > 0 {
-                steps.push(Step::Put(at, turns[0]));
+            if left.puts > 0 && world.last_token[at] > 0 {
+                steps.push(Step::Put(at, contacts[0]));
             }
         }
-        if left.exchanges > 0 {
-            steps.extend(self.turns_to[1].iter().map(|&to| Step::Exchange(to)));
+        if left.replacements > 0 {
+            steps.extend(self.contacts[1].iter().map(|&to| Step::ReplaceVoter(to)));
         }
         if left.reads > 0 {
-            steps.extend(self.turns_to[1].iter().map(|&to| Step::Read(1, to)));
+            steps.extend(self.contacts[1].iter().map(|&to| Step::Read(1, to)));
         }
         steps
     }
 
     fn now(&self, world: &World) -> Nanos {
-        world.tick * self.askers
+        world.tick * self.clients
     }
 
     /// The world after a step, or what is wrong with it.
@@ -389,144 +399,158 @@
                 next.tick += 1;
             }
             Step::Deliver(at, again) => {
-                let letter = next.net.get(&at).cloned().ok_or("no letter")?;
-                match &*letter {
-                    Letter::Between(..) => {}
+                let item = next.network.get(&at).cloned().ok_or("no letter")?;
+                match &*item {
+                    InFlight::VoterMessage(..) => {}
                     _ if again => next.budget.repeats -= 1,
-                    _ => _ = next.net.remove(&at),
+                    _ => _ = next.network.remove(&at),
                 }
-                match (*letter).clone() {
-                    Letter::Between(from, to, message) => {
-                        let seat = next.seats.iter().position(|seat| {
-                            seat.voter.as_ref().is_some_and(|voter| voter.kept().store == to)
+                match (*item).clone() {
+                    InFlight::VoterMessage(from, to, message) => {
+                        let slot = next.slots.iter().position(|slot| {
+                            slot.voter.as_ref().is_some_and(|voter| voter.durable_state().store == to)
                         });
-                        if let Some(seat) = seat {
-                            self.act(&mut next, seat, |voter, acts| voter.got(now, from, message, acts))?;
+                        if let Some(slot) = slot {
+                            self.act(&mut next, slot, |voter, effects| {
+                                voter.message_received(now, from, message, effects)
+                            })?;
                         }
                         // An acceptance is answered at once, or the answer is lost: the call may come again, and so the
                         // answer late.
-                        while let Some((&at, said)) = next.net.iter().find(|(_, letter)| {
-                            matches!(***letter, Letter::Between(_, _, Message::Accepted(..)))
+                        while let Some((&at, said)) = next.network.iter().find(|(_, item)| {
+                            matches!(***item, InFlight::VoterMessage(_, _, Message::Accepted(..)))
                         }) {
                             let said = said.clone();
-                            next.net.remove(&at);
-                            let Letter::Between(from, to, message) = &*said else { continue };
-                            let seat = next.seats.iter().position(|seat| {
-                                seat.voter.as_ref().is_some_and(|voter| voter.kept().store == *to)
+                            next.network.remove(&at);
+                            let InFlight::VoterMessage(from, to, message) = &*said else { continue };
+                            let slot = next.slots.iter().position(|slot| {
+                                slot.voter.as_ref().is_some_and(|voter| voter.durable_state().store == *to)
                             });
-                            if let (Some(seat), false) = (seat, again) {
+                            if let (Some(slot), false) = (slot, again) {
                                 let message = message.clone();
-                                self.act(&mut next, seat, |voter, acts| {
-                                    voter.got(now, *from, message, acts)
+                                self.act(&mut next, slot, |voter, effects| {
+                                    voter.message_received(now, *from, message, effects)
                                 })?;
                             }
                         }
                     }
-                    Letter::Ask(to, ask) => {
-                        self.act(&mut next, to, |voter, acts| voter.asked(now, ask, acts))?
+                    InFlight::Operation(to, operation) => {
+                        self.act(&mut next, to, |voter, effects| voter.submit(now, operation, effects))?
                     }
-                    Letter::Answer(to, answer) => self.answered(&mut next, to, answer)?,
+                    InFlight::Answer(to, answer) => self.answer_received(&mut next, to, answer)?,
                 }
             }
             Step::Wake(at) => {
                 next.budget.timeouts -= 1;
-                self.act(&mut next, at, |voter, acts| voter.woke(now, acts))?;
+                self.act(&mut next, at, |voter, effects| voter.timer_fired(now, effects))?;
             }
             Step::Crash(at, loss) => {
                 match loss {
-                    Loss::Nothing => next.budget.crashes -= 1,
-                    Loss::LastWrite => next.budget.set_back -= 1,
+                    Loss::None => next.budget.crashes -= 1,
+                    Loss::LastWrite => next.budget.rollbacks -= 1,
                     Loss::All => {
                         next.budget.wipes -= 1;
-                        next.stores += 1;
+                        next.last_store += 1;
                     }
                 }
-                let store = next.stores;
-                next.seats[at].change(|seat| {
-                    seat.voter = None;
+                let store = next.last_store;
+                next.slots[at].change(|slot| {
+                    slot.voter = None;
                     match loss {
-                        Loss::Nothing => {}
-                        Loss::LastWrite => seat.disk = seat.older.clone(),
+                        Loss::None => {}
+                        Loss::LastWrite => slot.disk = slot.older.clone(),
                         // Planted: who comes back empty votes under the store that the others count.
-                        Loss::All if planted(Fault::EmptyVotes) => {
-                            seat.disk = Kept::empty("fleet", seat.disk.store);
+                        Loss::All if planted(Fault::EmptyDiskVotes) => {
+                            slot.disk = DurableState::empty("fleet", slot.disk.store);
                         }
-                        Loss::All => seat.disk = Kept::empty("fleet", store),
+                        Loss::All => slot.disk = DurableState::empty("fleet", store),
                     }
                 });
             }
-            Step::Return(at) => {
-                let terms = world.seats.iter().find_map(|seat| seat.voter.as_ref()).map(|v| v.terms.clone());
-                let (terms, mut acts) = (terms.ok_or("all are down")?, Acts::default());
-                next.seats[at].change(|seat| {
-                    let voter = Voter::start(now, &format!("v{at}"), seat.disk.clone(), terms, &mut acts);
-                    seat.disk = voter.kept().clone();
-                    seat.older = seat.disk.clone();
-                    seat.voter = Some(voter);
+            Step::Restart(at) => {
+                let config =
+                    world.slots.iter().find_map(|slot| slot.voter.as_ref()).map(|v| v.config.clone());
+                let (config, mut effects) = (config.ok_or("all are down")?, Effects::default());
+                next.slots[at].change(|slot| {
+                    let voter = Voter::start(now, &format!("v{at}"), slot.disk.clone(), config, &mut effects);
+                    slot.disk = voter.durable_state().clone();
+                    slot.older = slot.disk.clone();
+                    slot.voter = Some(voter);
                 });
             }
             Step::Hello(at, to) => {
                 // A new link ends the one before, with what was on its way there. Only a disk that was set back needs it.
-                if self.budget.set_back > 0 {
-                    let ends = [at, to].map(|seat| next.seats[seat].disk.store);
-                    next.net.retain(|_, letter| match **letter {
-                        Letter::Between(from, to, _) => !(ends.contains(&from) && ends.contains(&to)),
+                if self.budget.rollbacks > 0 {
+                    let ends = [at, to].map(|slot| next.slots[slot].disk.store);
+                    next.network.retain(|_, item| match **item {
+                        InFlight::VoterMessage(from, to, _) => !(ends.contains(&from) && ends.contains(&to)),
                         _ => true,
                     });
                 }
                 for (at, to) in [(at, to), (to, at)] {
-                    let other = next.seats[to].voter.clone().ok_or("down")?;
-                    let kept = other.kept();
-                    let (store, empty, written) = (kept.store, kept.is_empty(), kept.written);
-                    self.act(&mut next, at, |voter, acts| {
-                        let (incarnation, own) = (kept.incarnation, voter.kept().store);
-                        voter.present.heard(0, &other.me, incarnation, Some((store, empty)));
-                        voter.greeted(now, store, written, other.knows_of(own), acts);
+                    let other = next.slots[to].voter.clone().ok_or("down")?;
+                    let kept = other.durable_state();
+                    let (store, empty, written) = (kept.store, kept.is_empty(), kept.write_count);
+                    self.act(&mut next, at, |voter, effects| {
+                        let (incarnation, new_operation) = (kept.incarnation, voter.durable_state().store);
+                        voter.presence.heard_from(0, &other.name, incarnation, Some((store, empty)));
+                        voter.hello_received(
+                            now,
+                            store,
+                            written,
+                            other.known_write_count(new_operation),
+                            effects,
+                        );
                     })?;
                 }
             }
-            Step::Ask(at, to) => {
-                next.asks_left[at] -= 1;
+            Step::RequestLease(at, to) => {
+                next.requests_left[at] -= 1;
                 let now = self.now(&next);
-                next.numbers[at] += 1;
-                let number = next.numbers[at];
-                if let Some(ask) = next.askers[at].change(|asker| asker.ask(now, number)) {
-                    self.posted(&mut next, to, ask)?;
+                next.last_numbers[at] += 1;
+                let number = next.last_numbers[at];
+                if let Some(operation) = next.clients[at].change(|client| client.next_operation(now, number))
+                {
+                    self.send_operation(&mut next, to, operation)?;
                 }
             }
-            Step::Give(at, to) => {
-                next.budget.gives -= 1;
+            Step::GiveBack(at, to) => {
+                next.budget.give_backs -= 1;
                 let now = self.now(&next);
-                next.numbers[at] += 1;
-                let number = next.numbers[at];
-                if let Some(ask) = next.askers[at].change(|asker| asker.give_back(now, number)) {
-                    self.posted(&mut next, to, ask)?;
+                next.last_numbers[at] += 1;
+                let number = next.last_numbers[at];
+                if let Some(operation) = next.clients[at].change(|client| client.give_back(now, number)) {
+                    self.send_operation(&mut next, to, operation)?;
                 }
             }
             Step::Put(at, to) => {
                 next.budget.puts -= 1;
-                let token = next.once[at];
-                let want = Want::Put {
+                let token = next.last_token[at];
+                let kind = OperationKind::Put {
                     name: "act".into(),
                     text: token.to_string(),
-                    version: None,
+                    expected_version: None,
                     fence: Some(("lease".into(), token)),
                 };
-                let ask = self.own(&mut next, at, want);
-                self.posted(&mut next, to, ask)?;
+                let operation = self.new_operation(&mut next, at, kind);
+                self.send_operation(&mut next, to, operation)?;
             }
-            Step::Exchange(to) => {
-                next.budget.exchanges -= 1;
-                let voter = Member { name: SPARE.name.into(), store: SPARE.store };
-                let ask = self.own(&mut next, 1, Want::Seat { out: "v2".into(), voter });
-                self.posted(&mut next, to, ask)?;
+            Step::ReplaceVoter(to) => {
+                next.budget.replacements -= 1;
+                let voter = Member { name: SPARE_VOTER.name.into(), store: SPARE_VOTER.store };
+                let operation = self.new_operation(
+                    &mut next,
+                    1,
+                    OperationKind::ReplaceVoter { replaced: "v2".into(), voter },
+                );
+                self.send_operation(&mut next, to, operation)?;
             }
             Step::Read(at, to) => {
                 next.budget.reads -= 1;
-                let ask = self.own(&mut next, at, Want::Read);
-                let newest = next.settled.keys().next_back().copied().unwrap_or(0);
-                next.reads.insert(ask.id.number, newest);
-                self.posted(&mut next, to, ask)?;
+                let operation = self.new_operation(&mut next, at, OperationKind::Read);
+                let newest = next.committed.keys().next_back().copied().unwrap_or(0);
+                next.reads.insert(operation.id.number, newest);
+                self.send_operation(&mut next, to, operation)?;
             }
         }
         self.check(&mut next)?;
@@ -534,19 +558,19 @@
         Ok(next)
     }
 
-    fn posted(&self, next: &mut World, to: usize, ask: Ask) -> Result<(), String> {
-        if self.direct {
+    fn send_operation(&self, next: &mut World, to: usize, operation: Operation) -> Result<(), String> {
+        if self.immediate_operations {
             let now = next.tick * self.voters;
-            return self.act(next, to, |voter, acts| voter.asked(now, ask, acts));
+            return self.act(next, to, |voter, effects| voter.submit(now, operation, effects));
         }
-        next.post(Letter::Ask(to, ask));
+        next.add(InFlight::Operation(to, operation));
         Ok(())
     }
 
-    fn own(&self, next: &mut World, at: usize, want: Want) -> Ask {
-        next.numbers[at] += 1;
-        let who = Holder { name: format!("h{at}"), incarnation: 1 };
-        Ask { id: AskId { who, number: next.numbers[at] }, want }
+    fn new_operation(&self, next: &mut World, at: usize, kind: OperationKind) -> Operation {
+        next.last_numbers[at] += 1;
+        let process = ProcessId { name: format!("h{at}"), incarnation: 1 };
+        Operation { id: OperationId { process, number: next.last_numbers[at] }, kind }
     }
 
     /// Lets a voter act, and carries out what it asks for, its words to itself at once.
@@ -554,38 +578,38 @@
         &self,
         next: &mut World,
         at: usize,
-        what: impl FnOnce(&mut Voter, &mut Acts),
+        what: impl FnOnce(&mut Voter, &mut Effects),
     ) -> Result<(), String> {
         let now = next.tick * self.voters;
-        let mut seat = (*next.seats[at]).clone();
-        let Some(voter) = &mut seat.voter else { return Ok(()) };
-        let own = voter.kept().store;
-        let mut acts = Acts::default();
-        what(voter, &mut acts);
-        acts.hear_itself(now, voter);
-        for kept in acts.kept {
-            let older = std::mem::replace(&mut seat.older, seat.disk.clone());
+        let mut slot = (*next.slots[at]).clone();
+        let Some(voter) = &mut slot.voter else { return Ok(()) };
+        let new_operation = voter.durable_state().store;
+        let mut effects = Effects::default();
+        what(voter, &mut effects);
+        effects.deliver_to_self(now, voter);
+        for state in effects.to_persist {
+            let older = std::mem::replace(&mut slot.older, slot.disk.clone());
             // Answered before the disk has it: a crash finds what was there before.
-            seat.disk = if planted(Fault::AnswerBeforeSync) { older } else { kept.clone() };
+            slot.disk = if planted(Fault::AnswerBeforeSync) { older } else { state.clone() };
             if planted(Fault::AnswerBeforeSync) {
-                seat.older = kept;
+                slot.older = state;
             }
         }
         // How often disks were written matters only where one is set back: else it would tell worlds apart by the way
         // they came about.
-        let counts = self.budget.set_back > 0;
+        let counts = self.budget.rollbacks > 0;
         if !counts {
-            let Seat { voter, disk, older } = &mut seat;
-            for kept in voter.iter_mut().map(|voter| &mut voter.kept).chain([disk, older]) {
-                kept.known.clear();
-                kept.written = 1;
+            let VoterSlot { voter, disk, older } = &mut slot;
+            for state in voter.iter_mut().map(|voter| &mut voter.durable).chain([disk, older]) {
+                state.known_write_counts.clear();
+                state.write_count = 1;
             }
             if !planted(Fault::AnswerBeforeSync) {
-                seat.older = seat.disk.clone();
+                slot.older = slot.disk.clone();
             }
         }
-        next.seats[at] = Part::new(seat);
-        for (to, mut message) in acts.sent {
+        next.slots[at] = Versioned::new(slot);
+        for (to, mut message) in effects.messages {
             if let (
                 Message::Promise(.., written)
                 | Message::Accepted(_, written)
@@ -597,24 +621,24 @@
             {
                 *written = 1;
             }
-            next.post(Letter::Between(own, to, message));
+            next.add(InFlight::VoterMessage(new_operation, to, message));
         }
-        for answer in acts.answers {
-            if let Some(to) = next.askers.iter().position(|asker| asker.is(&answer.id.who)) {
-                match self.direct {
-                    true => self.answered(next, to, answer)?,
-                    false => next.post(Letter::Answer(to, answer)),
+        for answer in effects.answers {
+            if let Some(to) = next.clients.iter().position(|client| client.belongs_to(&answer.id.process)) {
+                match self.immediate_operations {
+                    true => self.answer_received(next, to, answer)?,
+                    false => next.add(InFlight::Answer(to, answer)),
                 }
             }
         }
-        for Shared(record) in acts.settled {
+        for SharedRecord(record) in effects.committed {
             let token = record.leases.get("lease").map_or(0, |lease| lease.token);
-            let this = (digest(&*record), token);
-            if *next.settled.entry(record.version).or_insert(this) != this {
+            let this = (hash_of(&*record), token);
+            if *next.committed.entry(record.version).or_insert(this) != this {
                 return Err(format!("two records settled as version {}", record.version));
             }
             let act = record.values.get("act").filter(|entry| entry.version == record.version);
-            let before = record.version.checked_sub(1).and_then(|before| next.settled.get(&before));
+            let before = record.version.checked_sub(1).and_then(|before| next.committed.get(&before));
             if let (Some(act), Some((_, token))) = (act, before)
                 && act.text.parse::<Token>().is_ok_and(|under| under < *token)
             {
@@ -624,7 +648,7 @@
         Ok(())
     }
 
-    fn answered(&self, next: &mut World, at: usize, answer: Answer) -> Result<(), String> {
+    fn answer_received(&self, next: &mut World, at: usize, answer: Answer) -> Result<(), String> {
         let number = answer.id.number;
         if let (Reply::Record(record), Some(newest)) = (&answer.reply, next.reads.get(&number))
             && record.0.version < *newest
@@ -632,54 +656,55 @@
             return Err(format!("a read found version {} after {newest} was settled", record.0.version));
         }
         let now = self.now(next);
-        next.askers[at].change(|asker| asker.answered(now, number, &answer.reply));
+        next.clients[at].change(|client| client.answer_received(now, number, &answer.reply));
         Ok(())
     }
 
     fn check(&self, next: &mut World) -> Result<(), String> {
-        let may: Vec<Option<Token>> = (0..2).map(|at| next.askers[at].may(self.now(next), 0)).collect();
-        if let [Some(one), Some(two)] = may[..] {
+        let usable: Vec<Option<Token>> =
+            (0..2).map(|at| next.clients[at].token_if_valid_for(self.now(next), 0)).collect();
+        if let [Some(one), Some(two)] = usable[..] {
             return Err(format!("both hold the lease, under {one} and {two}"));
         }
-        for (at, token) in may.iter().enumerate() {
+        for (at, token) in usable.iter().enumerate() {
             let Some(token) = *token else { continue };
-            next.once[at] = token;
-            let (highest, who) = next.acted;
+            next.last_token[at] = token;
+            let (highest, who) = next.highest_used;
             if token < highest || token == highest && who != at {
                 return Err(format!("h{at} holds under {token} after {highest} was h{who}'s"));
             }
-            next.acted = (token, at);
+            next.highest_used = (token, at);
         }
         Ok(())
     }
 
     /// Looks at all that can happen. Gives the states seen, or the account of what went wrong.
-    fn explore(&self, most: usize) -> Result<usize, String> {
-        struct Trail(Option<Rc<Trail>>, Step);
-        let account = |mut at: &Option<Rc<Trail>>, last: Step, why: String| {
+    fn explore(&self, max_states: usize) -> Result<usize, String> {
+        struct Path(Option<Rc<Path>>, Step);
+        let describe_failure = |mut at: &Option<Rc<Path>>, last: Step, error: String| {
             let mut steps = vec![format!("{last:?}")];
-            while let Some(trail) = at {
-                steps.push(format!("{:?}", trail.1));
-                at = &trail.0;
+            while let Some(path) = at {
+                steps.push(format!("{:?}", path.1));
+                at = &path.0;
             }
             steps.reverse();
-            format!("{}: {why}, after {}", self.name, steps.join(", "))
+            format!("{}: {error}, after {}", self.name, steps.join(", "))
         };
         let first = self.world();
         let mut seen = FxHashSet::default();
-        seen.insert(digest(&first));
-        let mut stack: Vec<(World, Option<Rc<Trail>>)> = vec![(first, None)];
-        while let Some((world, trail)) = stack.pop() {
+        seen.insert(hash_of(&first));
+        let mut stack: Vec<(World, Option<Rc<Path>>)> = vec![(first, None)];
+        while let Some((world, path)) = stack.pop() {
             for step in self.steps(&world) {
                 let next = match self.after(&world, step) {
                     Ok(next) => next,
-                    Err(why) => return Err(account(&trail, step, why)),
+                    Err(error) => return Err(describe_failure(&path, step, error)),
                 };
-                if seen.insert(digest(&next)) {
-                    if seen.len() > most {
-                        return Err(format!("{}: more than {most} states", self.name));
+                if seen.insert(hash_of(&next)) {
+                    if seen.len() > max_states {
+                        return Err(format!("{}: more than {max_states} states", self.name));
                     }
-                    stack.push((next, Some(Rc::new(Trail(trail.clone(), step)))));
+                    stack.push((next, Some(Rc::new(Path(path.clone(), step)))));
                 }
             }
         }
@@ -688,81 +713,88 @@
 }
 
 /// The worlds that CI explores whole. `ACCORD_DEEPER=N` explores larger ones, of up to N states each.
-fn settings() -> Vec<Setting> {
+fn scenarios() -> Vec<Scenario> {
     let (slow, fast) = (TICK - 2, TICK + 2);
     let deeper = u8::from(std::env::var("ACCORD_DEEPER").is_ok());
-    let setting = |name, direct, down, budget, voters, askers| Setting {
+    let scenario = |name, immediate_operations, voters_down, budget, voters, clients| Scenario {
         name,
         budget,
         voters,
-        askers,
-        turns_to: [&[0][..], &[1][..]],
-        direct,
-        down,
-        given_up: false,
+        clients,
+        contacts: [&[0][..], &[1][..]],
+        immediate_operations,
+        voters_down,
+        replacement_abandoned: false,
     };
     // The rounds of voters, without time.
-    let rounds = |name, budget| setting(name, true, 0, Budget { asks: [1, 1], ..budget }, TICK, TICK);
+    let rounds = |name, budget| scenario(name, true, 0, Budget { asks: [1, 1], ..budget }, TICK, TICK);
     // An ask of the first voter while another carries out an exchange, or the same.
-    let exchange = |name, to, budget| Setting {
-        turns_to: [&[0], to],
-        ..setting(name, true, 0, Budget { exchanges: 1, asks: [1, 0], ..budget }, TICK, TICK)
+    let replacement = |name, to, budget| Scenario {
+        contacts: [&[0], to],
+        ..scenario(name, true, 0, Budget { replacements: 1, asks: [1, 0], ..budget }, TICK, TICK)
     };
     let (asks, none) = ([2, 1 + deeper], Budget::default());
     // The times of leases: two voters of three are there.
-    let times = |name, budget, voters, askers| setting(name, false, 1, budget, voters, askers);
+    let times = |name, budget, voters, clients| scenario(name, false, 1, budget, voters, clients);
     vec![
         rounds("collide", Budget { timeouts: 2 + deeper, ..none }),
         // Both in one batch: the rig found what the worlds with a voter for each could not.
-        Setting { turns_to: [&[0], &[0]], ..rounds("one voter", Budget { timeouts: 1 + deeper, ..none }) },
+        Scenario { contacts: [&[0], &[0]], ..rounds("one voter", Budget { timeouts: 1 + deeper, ..none }) },
         rounds("crash", Budget { crashes: 1, timeouts: 1 + deeper, ..none }),
-        rounds("set back", Budget { set_back: 1, timeouts: deeper, ..none }),
+        rounds("set back", Budget { rollbacks: 1, timeouts: deeper, ..none }),
         rounds("wipe", Budget { wipes: 1, timeouts: 1 + deeper, ..none }),
-        exchange("exchange", &[1], Budget { timeouts: deeper, ..none }),
-        Setting {
-            given_up: true,
-            budget: Budget { timeouts: 1 + deeper, exchanges: 1, asks: [1, 1], ..none },
-            ..exchange("exchange given up", &[1], none)
+        replacement("exchange", &[1], Budget { timeouts: deeper, ..none }),
+        Scenario {
+            replacement_abandoned: true,
+            budget: Budget { timeouts: 1 + deeper, replacements: 1, asks: [1, 1], ..none },
+            ..replacement("exchange given up", &[1], none)
         },
-        exchange("exchange and crash", &[0], Budget { crashes: 1, timeouts: deeper, ..none }),
+        replacement("exchange and crash", &[0], Budget { crashes: 1, timeouts: deeper, ..none }),
         rounds("reads", Budget { reads: 1, timeouts: deeper, ..none }),
         times("slow holders", Budget { ticks: 3, asks, ..none }, fast, slow),
         times("fast holders", Budget { ticks: 3, asks, ..none }, slow, fast),
         times("repeated", Budget { ticks: 3, asks: [1 + deeper, 1], repeats: 1, ..none }, fast, slow),
-        times("give back", Budget { gives: 1, ticks: 1, asks, repeats: deeper, ..none }, TICK, TICK),
-        times("given back twice", Budget { gives: 1, ticks: 2, asks: [3, 1], ..none }, TICK, TICK),
-        times("writes", Budget { gives: 1, puts: 1, asks: [1, 1], ..none }, TICK, TICK),
+        times("give back", Budget { give_backs: 1, ticks: 1, asks, repeats: deeper, ..none }, TICK, TICK),
+        times("given back twice", Budget { give_backs: 1, ticks: 2, asks: [3, 1], ..none }, TICK, TICK),
+        times("writes", Budget { give_backs: 1, puts: 1, asks: [1, 1], ..none }, TICK, TICK),
     ]
 }
 
 /// Explores these side by side under a planted fault or none, and gives what came of each, in order.
-fn explore_all(settings: &[Setting], fault: Option<Fault>, most: usize) -> Vec<Result<usize, String>> {
+fn explore_all(
+    scenarios: &[Scenario],
+    fault: Option<Fault>,
+    max_states: usize,
+) -> Vec<Result<usize, String>> {
     std::thread::scope(|scope| {
-        let run = |setting| {
+        let run = |scenario| {
             move || {
                 plant(fault);
-                Setting::explore(setting, most)
+                Scenario::explore(scenario, max_states)
             }
         };
-        let runs: Vec<_> = settings.iter().map(|setting| scope.spawn(run(setting))).collect();
+        let runs: Vec<_> = scenarios.iter().map(|scenario| scope.spawn(run(scenario))).collect();
         runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("panicked".into()))).collect()
     })
 }
 
 #[test]
 fn nothing_goes_wrong_in_any_order() {
-    let most = std::env::var("ACCORD_DEEPER").ok().and_then(|most| most.parse().ok()).unwrap_or(2_000_000);
-    let (start, mut settings) = (Instant::now(), settings());
+    let max_states = std::env::var("ACCORD_DEEPER")
+        .ok()
+        .and_then(|max_states| max_states.parse().ok())
+        .unwrap_or(2_000_000);
+    let (start, mut scenarios) = (Instant::now(), scenarios());
     if std::env::var("ACCORD_DEEPER").is_err() {
         // Some two million states more each, for the faults planted there alone.
-        settings.retain(|setting| !["given back twice", "exchange given up"].contains(&setting.name));
+        scenarios.retain(|scenario| !["given back twice", "exchange given up"].contains(&scenario.name));
     }
     if let Ok(only) = std::env::var("ACCORD_ONLY") {
-        settings.retain(|setting| setting.name.contains(&only));
+        scenarios.retain(|scenario| scenario.name.contains(&only));
     }
-    let found = explore_all(&settings, None, most);
-    for (setting, found) in settings.iter().zip(&found) {
-        println!("{:14} {found:?}", setting.name);
+    let found = explore_all(&scenarios, None, max_states);
+    for (scenario, found) in scenarios.iter().zip(&found) {
+        println!("{:14} {found:?}", scenario.name);
     }
     println!("explored whole in {:.0} s", start.elapsed().as_secs_f64());
     assert_eq!(found.iter().filter(|found| found.is_err()).count(), 0);
@@ -773,26 +805,26 @@
 fn each_planted_fault_is_found() {
     let expected = [
         (Fault::AnswerBeforeSync, "crash"),
-        (Fault::CountsFromAnswer, "slow holders"),
-        (Fault::TokenNotGrown, "give back"),
-        (Fault::NoDrift, "slow holders"),
-        (Fault::EmptyVotes, "wipe"),
-        (Fault::RenewalRevives, "given back twice"),
-        (Fault::IgnoresToken, "writes"),
-        (Fault::MinoritySettles, "collide"),
-        (Fault::OldSight, "slow holders"),
-        (Fault::ExchangeUnsettled, "exchange given up"),
+        (Fault::LeaseCountedFromAnswer, "slow holders"),
+        (Fault::TokenNotIncremented, "give back"),
+        (Fault::DriftIgnored, "slow holders"),
+        (Fault::EmptyDiskVotes, "wipe"),
+        (Fault::LateRenewalRevivesLease, "given back twice"),
+        (Fault::FencingTokenIgnored, "writes"),
+        (Fault::MinorityCommits, "collide"),
+        (Fault::RenewalNotObserved, "slow holders"),
+        (Fault::UncommittedVoterChange, "exchange given up"),
     ];
     assert_eq!(expected.map(|(fault, _)| fault), Fault::ALL);
     std::thread::scope(|scope| {
         for (fault, name) in expected {
             scope.spawn(move || {
                 plant(Some(fault));
-                let setting = settings().into_iter().find(|setting| setting.name == name).expect(name);
-                let found = setting.explore(3_000_000);
-                let why = found.expect_err("a fault that goes unseen");
-                assert!(!why.ends_with("states"), "{fault:?}: {why}");
-                println!("{fault:?}: {}", &why[..why.len().min(120)]);
+                let scenario = scenarios().into_iter().find(|scenario| scenario.name == name).expect(name);
+                let found = scenario.explore(3_000_000);
+                let error = found.expect_err("a fault that goes unseen");
+                assert!(!error.ends_with("states"), "{fault:?}: {error}");
+                println!("{fault:?}: {}", &error[..error.len().min(120)]);
             });
         }
     });
--- a/crates/accord/tests/voter.rs
+++ b/crates/accord/tests/voter.rs
@@ -2,8 +2,8 @@
 
 use expect_test::expect;
 use pumicebay_accord::{
-    Answer, Ask, AskId, Ballot, Holder, Host, Kept, Member, Message, Nanos, Record, Shared, Standing, Store,
-    Terms, Voter, Want,
+    Answer, Ballot, DurableState, Host, Member, Message, Nanos, Operation, OperationId, OperationKind,
+    ProcessId, Record, SharedRecord, StoreId, Voter, VoterConfig, VotingState,
 };
 
 const MILLI: Nanos = 1_000_000;
@@ -12,59 +12,59 @@
 struct Trace {
     lines: String,
     prepared: Vec<Ballot>,
-    wake: Nanos,
+    wake_at: Nanos,
 }
 
 impl Host for Trace {
-    fn keep(&mut self, kept: &Kept) {
-        self.lines += &format!("keep {} promised {}\n", kept.written, kept.promised.round);
+    fn persist(&mut self, state: &DurableState) {
+        self.lines += &format!("keep {} promised {}\n", state.write_count, state.promised.round);
     }
-    fn send(&mut self, to: Store, message: Message) {
+    fn send(&mut self, to: StoreId, message: Message) {
         if let Message::Prepare(ballot, _) = message {
             self.prepared.push(ballot);
         }
-        let words = format!("{message:?}");
-        self.lines += &format!("to {to}: {}\n", words.split(['(', ' ']).next().unwrap_or_default());
+        let text_of = format!("{message:?}");
+        self.lines += &format!("to {to}: {}\n", text_of.split(['(', ' ']).next().unwrap_or_default());
     }
     fn answer(&mut self, answer: Answer) {
-        self.lines += &format!("{} {}: {:?}\n", answer.id.who, answer.id.number, answer.reply);
+        self.lines += &format!("{} {}: {:?}\n", answer.id.process, answer.id.number, answer.reply);
     }
-    fn settled(&mut self, record: &Shared) {
+    fn committed(&mut self, record: &SharedRecord) {
         self.lines += &format!("settled {}\n", record.0.version);
     }
-    fn wake(&mut self, at: Nanos) {
-        self.wake = at;
+    fn wake_at(&mut self, at: Nanos) {
+        self.wake_at = at;
     }
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         1.0
     }
-    fn stands(&mut self, standing: Standing) {
-        self.lines += &format!("{standing:?}\n");
+    fn voting_state_changed(&mut self, state: VotingState) {
+        self.lines += &format!("{state:?}\n");
     }
 }
 
-fn voter(trace: &mut Trace, asks: usize) -> Voter {
+fn voter(trace: &mut Trace, max_pending: usize) -> Voter {
     let voters = ["a", "b", "c"].iter().zip(1..).map(|(name, store)| Member { name: (*name).into(), store });
-    let terms = Terms {
+    let config = VoterConfig {
         drift_ppm: 10_000,
-        round: 200 * MILLI,
-        ask: 2000 * MILLI,
-        asks,
-        may_vote: vec!["a".into(), "b".into(), "c".into()],
-        cautious: false,
+        round_timeout: 200 * MILLI,
+        operation_timeout: 2000 * MILLI,
+        max_pending,
+        eligible_voters: vec!["a".into(), "b".into(), "c".into()],
+        require_extra_confirmation: false,
     };
-    let mut voter = Voter::start(0, "a", Kept::empty("harbour", 1), terms, trace);
-    assert!(voter.found(0, Record::found(7, voters.collect()), trace));
+    let mut voter = Voter::start(0, "a", DurableState::empty("harbour", 1), config, trace);
+    assert!(voter.bootstrap(0, Record::bootstrap(7, voters.collect()), trace));
     voter
 }
 
-fn ask(number: u64, want: Want) -> Ask {
-    Ask { id: AskId { who: Holder { name: "h".into(), incarnation: 1 }, number }, want }
+fn operation(number: u64, kind: OperationKind) -> Operation {
+    Operation { id: OperationId { process: ProcessId { name: "h".into(), incarnation: 1 }, number }, kind }
 }
 
-fn put(number: u64) -> Ask {
+fn put(number: u64) -> Operation {
     let (name, text) = ("x".into(), number.to_string());
-    ask(number, Want::Put { name, text, version: None, fence: None })
+    operation(number, OperationKind::Put { name, text, expected_version: None, fence: None })
 }
 
 /// A voter that others are quicker than comes back soon each time: with pauses that grew it was kept out for good by one
@@ -74,15 +74,15 @@
     let mut trace = Trace::default();
     let mut voter = voter(&mut trace, 8);
     let mut now = 0;
-    voter.asked(now, put(1), &mut trace);
+    voter.submit(now, put(1), &mut trace);
     for _ in 0..8 {
-        let ours = *trace.prepared.last().unwrap();
-        let theirs = Ballot { round: ours.round + 1, store: 2, incarnation: 1 };
-        voter.got(now, 2, Message::Refuse(ours, theirs), &mut trace);
-        assert!(trace.wake <= now + 50 * MILLI, "waits {} ms", (trace.wake - now) / MILLI);
-        now = trace.wake;
-        voter.woke(now, &mut trace);
-        assert!(trace.prepared.last().unwrap().round > theirs.round);
+        let own_ballot = *trace.prepared.last().unwrap();
+        let other_ballot = Ballot { round: own_ballot.round + 1, store: 2, incarnation: 1 };
+        voter.message_received(now, 2, Message::Refuse(own_ballot, other_ballot), &mut trace);
+        assert!(trace.wake_at <= now + 50 * MILLI, "waits {} ms", (trace.wake_at - now) / MILLI);
+        now = trace.wake_at;
+        voter.timer_fired(now, &mut trace);
+        assert!(trace.prepared.last().unwrap().round > other_ballot.round);
     }
 }
 
@@ -92,12 +92,12 @@
     let mut trace = Trace::default();
     let mut voter = voter(&mut trace, 2);
     trace.lines.clear();
-    voter.asked(0, put(1), &mut trace);
-    voter.asked(0, ask(2, Want::Read), &mut trace);
-    voter.asked(0, put(3), &mut trace);
-    voter.asked(0, ask(4, Want::Renew("l".into(), 9, 8)), &mut trace);
-    voter.asked(0, ask(5, Want::Read), &mut trace);
-    voter.asked(0, ask(6, Want::GiveBack("l".into(), 8)), &mut trace);
+    voter.submit(0, put(1), &mut trace);
+    voter.submit(0, operation(2, OperationKind::Read), &mut trace);
+    voter.submit(0, put(3), &mut trace);
+    voter.submit(0, operation(4, OperationKind::Renew("l".into(), 9, 8)), &mut trace);
+    voter.submit(0, operation(5, OperationKind::Read), &mut trace);
+    voter.submit(0, operation(6, OperationKind::GiveBack("l".into(), 8)), &mut trace);
     expect![[r#"
         keep 2 promised 2
         to 1: Promise
--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pumicebay::fleet::wire::{Frame, Hello, Link, OrderAnswer, OrderCall, Role};
-use pumicebay_accord::Holder;
+use pumicebay_accord::ProcessId;
 use pumicebay_replication::{Stamp, Status};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -278,7 +278,7 @@
 /// Asks a process on a link of its own, as a command does.
 async fn ask<T>(at: SocketAddr, frame: Frame, wanted: impl Fn(Frame) -> Option<T>) -> Option<T> {
     let asked = async {
-        let who = Holder { name: "rig".into(), incarnation: 1 };
+        let who = ProcessId { name: "rig".into(), incarnation: 1 };
         let stream = TcpStream::connect(at).await.ok()?;
         let (mut link, _) =
             Link::dial(stream, &Hello::new("replicas", &who, Role::Command, None)).await.ok()?;
--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -9,7 +9,7 @@
 use pumicebay::fleet::config::FleetConfig;
 use pumicebay::fleet::me::Me;
 use pumicebay::fleet::start_command;
-use pumicebay_accord::{Reply, Want};
+use pumicebay_accord::{OperationKind, Reply};
 use serde_json::json;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -73,7 +73,7 @@
             }
             seen.operations.push(op);
         };
-        match asker.want(Want::Read, PATIENCE).await {
+        match asker.want(OperationKind::Read, PATIENCE).await {
             Reply::Record(read) => {
                 if let Some(entry) = read.0.values.get(VALUE) {
                     (text, over) = (entry.text.clone(), entry.version);
@@ -84,7 +84,12 @@
         }
         began = Instant::now();
         text = format!("{who}-{number}");
-        let want = Want::Put { name: VALUE.into(), text: text.clone(), version: Some(over), fence: None };
+        let want = OperationKind::Put {
+            name: VALUE.into(),
+            text: text.clone(),
+            expected_version: Some(over),
+            fence: None,
+        };
         match asker.want(want, PATIENCE).await {
             Reply::Written(version) => record(true, began, &text, Some(version), over),
             // Another was quicker.
--- a/crates/lab/src/rig/virt.rs
+++ b/crates/lab/src/rig/virt.rs
@@ -4,8 +4,8 @@
 
 use super::plan::Plan;
 use pumicebay_accord::{
-    Acts, Answer, Ask, Holder, Holding, Kept, Member, Message, Nanos, Record, Reply, Shared, Store, Terms,
-    Voter,
+    Answer, DurableState, Effects, LeaseClient, Member, Message, Nanos, Operation, ProcessId, Record, Reply,
+    SharedRecord, StoreId, Voter, VoterConfig,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -50,8 +50,8 @@
 }
 
 enum Event {
-    Vote(Store, Store, Message),
-    Ask(usize, Ask),
+    Vote(StoreId, StoreId, Message),
+    Ask(usize, Operation),
     Answer(Answer),
     /// A voter or an asker looks at its clock.
     Voter(usize),
@@ -83,19 +83,19 @@
 
 struct Seat {
     voter: Option<Voter>,
-    disk: Kept,
+    disk: DurableState,
     clock: Clock,
     bad: bool,
 }
 
 struct Asker {
-    who: Holder,
-    holding: Holding,
+    who: ProcessId,
+    holding: LeaseClient,
     clock: Clock,
     lease: usize,
     last: u64,
     good: usize,
-    open: BTreeMap<u64, (Ask, Nanos)>,
+    open: BTreeMap<u64, (Operation, Nanos)>,
     dead: bool,
     held: Option<u64>,
 }
@@ -111,7 +111,7 @@
     askers: Vec<Asker>,
     /// Highest token of a lease, who had it, and until when by true time at the most; who died holding it, and when.
     leases: Vec<(u64, usize, Nanos, Option<Nanos>)>,
-    versions: BTreeMap<u64, Shared>,
+    versions: BTreeMap<u64, SharedRecord>,
     letters: u64,
     bytes: u64,
     found: Found,
@@ -124,28 +124,28 @@
     let mut clock = || Clock { ppm: if ppm > 0 { random.random_range(-ppm..=ppm) } else { 0 } };
     let members: Vec<Member> =
         (0..plan.voters).map(|at| Member { name: format!("v{at}"), store: at as u64 + 1 }).collect();
-    let terms = Terms {
+    let terms = VoterConfig {
         drift_ppm: plan.drift_ppm,
-        round: ROUND,
-        ask: ASK,
-        asks: 1024,
-        may_vote: members.iter().map(|member| member.name.clone()).collect(),
-        cautious: false,
+        round_timeout: ROUND,
+        operation_timeout: ASK,
+        max_pending: 1024,
+        eligible_voters: members.iter().map(|member| member.name.clone()).collect(),
+        require_extra_confirmation: false,
     };
-    let record = Record::found(1, members.clone());
+    let record = Record::bootstrap(1, members.clone());
     let seats = members.iter().map(|member| {
-        let mut acts = Acts::default();
-        let kept = Kept::empty("virtual", member.store);
+        let mut acts = Effects::default();
+        let kept = DurableState::empty("virtual", member.store);
         let mut voter = Voter::start(0, &member.name, kept, terms.clone(), &mut acts);
-        voter.found(0, record.clone(), &mut acts);
-        Seat { disk: voter.kept().clone(), voter: Some(voter), clock: clock(), bad: false }
+        voter.bootstrap(0, record.clone(), &mut acts);
+        Seat { disk: voter.durable_state().clone(), voter: Some(voter), clock: clock(), bad: false }
     });
     let seats: Vec<Seat> = seats.collect();
     let nanos = (plan.lease_seconds * SECOND) as Nanos;
     let askers = (0..plan.processes).map(|at| {
-        let who = Holder { name: format!("p{at}"), incarnation: 1 };
+        let who = ProcessId { name: format!("p{at}"), incarnation: 1 };
         let lease = at % plan.leases;
-        let holding = Holding::new(0, who.clone(), &format!("lease{lease}"), nanos, plan.drift_ppm);
+        let holding = LeaseClient::new(0, who.clone(), &format!("lease{lease}"), nanos, plan.drift_ppm);
         Asker {
             who,
             holding,
@@ -247,10 +247,12 @@
     fn happens(&mut self, event: Event) {
         match event {
             Event::Vote(to, from, message) => {
-                self.act(to as usize - 1, |voter, now, acts| voter.got(now, from, message, acts));
+                self.act(to as usize - 1, |voter, now, acts| {
+                    voter.message_received(now, from, message, acts)
+                });
             }
-            Event::Ask(to, ask) => self.act(to, |voter, now, acts| voter.asked(now, ask, acts)),
-            Event::Voter(at) => self.act(at, |voter, now, acts| voter.woke(now, acts)),
+            Event::Ask(to, ask) => self.act(to, |voter, now, acts| voter.submit(now, ask, acts)),
+            Event::Voter(at) => self.act(at, |voter, now, acts| voter.timer_fired(now, acts)),
             Event::Answer(answer) => self.answered(&answer),
             Event::Asker(at) => self.asker(at),
             Event::Again(at, number, to) => self.again(at, number, to),
@@ -273,42 +275,48 @@
             return;
         }
         let Some(terms) =
-            self.seats.iter().find_map(|seat| seat.voter.as_ref()).map(|voter| voter.terms().clone())
+            self.seats.iter().find_map(|seat| seat.voter.as_ref()).map(|voter| voter.config().clone())
         else {
             // All are down: this one waits for another, as a play can't end without.
             return self.at(self.now + SECOND as Nanos, Event::Back(at));
         };
         let (now, disk) = (self.seats[at].clock.local(self.now), self.seats[at].disk.clone());
-        let mut acts = Acts::default();
+        let mut acts = Effects::default();
         let mut voter = Voter::start(now, &format!("v{at}"), disk, terms, &mut acts);
         // The links that come up say hello.
         for other in self.seats.iter().filter_map(|seat| seat.voter.as_ref()) {
-            let kept = other.kept();
-            voter.greeted(now, kept.store, kept.written, other.knows_of(voter.kept().store), &mut acts);
+            let kept = other.durable_state();
+            voter.hello_received(
+                now,
+                kept.store,
+                kept.write_count,
+                other.known_write_count(voter.durable_state().store),
+                &mut acts,
+            );
         }
-        self.seats[at].disk = voter.kept().clone();
+        self.seats[at].disk = voter.durable_state().clone();
         self.seats[at].voter = Some(voter);
         self.at(self.now + MILLI, Event::Voter(at));
     }
 
-    fn act(&mut self, at: usize, what: impl FnOnce(&mut Voter, Nanos, &mut Acts)) {
-        let chance = self.random.random_range(0.0..1.0);
+    fn act(&mut self, at: usize, what: impl FnOnce(&mut Voter, Nanos, &mut Effects)) {
+        let random = self.random.random_range(0.0..1.0);
         let seat = &mut self.seats[at];
         let now = seat.clock.local(self.now);
         let Some(voter) = &mut seat.voter else { return };
-        let own = voter.kept().store;
-        let mut acts = Acts { chance, ..Acts::default() };
+        let own = voter.durable_state().store;
+        let mut acts = Effects { random, ..Effects::default() };
         what(voter, now, &mut acts);
-        acts.hear_itself(now, voter);
-        let later = if acts.kept.is_empty() { 0 } else { SYNC };
-        if let Some(kept) = acts.kept.pop() {
+        acts.deliver_to_self(now, voter);
+        let later = if acts.to_persist.is_empty() { 0 } else { SYNC };
+        if let Some(kept) = acts.to_persist.pop() {
             seat.disk = kept;
         }
-        if let Some(wake) = acts.wake {
+        if let Some(wake) = acts.wake_at {
             let wake = seat.clock.truth(wake).max(self.now + MILLI / 10);
             self.at(wake, Event::Voter(at));
         }
-        for record in acts.settled {
+        for record in acts.committed {
             let version = record.0.version;
             let first = self.versions.entry(version).or_insert_with(|| record.clone());
             self.found.split += usize::from(*first != record);
@@ -316,7 +324,7 @@
                 self.versions.pop_first();
             }
         }
-        for (to, message) in acts.sent {
+        for (to, message) in acts.messages {
             let size = size(&message);
             // Bad links of either end lose it.
             let voter = if self.seats[at].bad { at } else { to as usize - 1 };
@@ -335,12 +343,12 @@
         let now = asker.clock.local(self.now);
         asker.last += 1;
         let (number, to) = (asker.last, asker.good);
-        if let Some(ask) = asker.holding.ask(now, number) {
+        if let Some(ask) = asker.holding.next_operation(now, number) {
             asker.open.insert(number, (ask, self.now));
             self.again(at, number, to);
         }
         let asker = &self.askers[at];
-        let due = asker.clock.truth(asker.holding.due()).max(self.now + MILLI);
+        let due = asker.clock.truth(asker.holding.wake_at()).max(self.now + MILLI);
         self.at(due, Event::Asker(at));
     }
 
@@ -360,19 +368,19 @@
     }
 
     fn answered(&mut self, answer: &Answer) {
-        let Some(at) = self.askers.iter().position(|asker| asker.who == answer.id.who) else { return };
+        let Some(at) = self.askers.iter().position(|asker| asker.who == answer.id.process) else { return };
         let asker = &mut self.askers[at];
         if asker.dead || matches!(answer.reply, Reply::Busy | Reply::Unknown) {
             return;
         }
         let Some((_, asked)) = asker.open.remove(&answer.id.number) else { return };
         let now = asker.clock.local(self.now);
-        asker.holding.answered(now, answer.id.number, &answer.reply);
+        asker.holding.answer_received(now, answer.id.number, &answer.reply);
         if matches!(answer.reply, Reply::Granted(_)) {
             self.found.settled_ms.push((self.now - asked) as f64 / MILLI as f64);
         }
         let (lease, held) = (asker.lease, asker.holding.held());
-        let until = held.map(|held| (held.token, asker.clock.truth(held.until)));
+        let until = held.map(|held| (held.token, asker.clock.truth(held.valid_until)));
         let was = std::mem::replace(&mut asker.held, held.map(|held| held.token));
         if let Some((token, until)) = until {
             let (highest, who, before, died) = &mut self.leases[lease];
@@ -389,7 +397,7 @@
                 (*highest, *who, *before) = (token, at, until);
             }
         }
-        let due = self.askers[at].clock.truth(self.askers[at].holding.due()).max(self.now + MILLI);
+        let due = self.askers[at].clock.truth(self.askers[at].holding.wake_at()).max(self.now + MILLI);
         self.at(due, Event::Asker(at));
     }
 }
--- a/crates/lab/src/scale/agree.rs
+++ b/crates/lab/src/scale/agree.rs
@@ -4,8 +4,8 @@
 use super::fleet::Spot;
 use super::plan::Plan;
 use pumicebay_accord::{
-    Acts, Answer, Ask, AskId, Holder, Holding, Kept, Member, Message, Record, Reply, Store, Terms, Voter,
-    Want,
+    Answer, DurableState, Effects, LeaseClient, Member, Message, Operation, OperationId, OperationKind,
+    ProcessId, Record, Reply, StoreId, Voter, VoterConfig,
 };
 use pumicebay_carrier::{Nanos, Publisher};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,20 +57,20 @@
 pub fn seats(plan: &Plan, clocks: &mut dyn FnMut() -> Clock) -> Vec<Seat> {
     let members: Vec<Member> =
         (0..plan.voters).map(|at| Member { name: format!("voter-{at}"), store: at as u64 + 1 }).collect();
-    let terms = Terms {
+    let terms = VoterConfig {
         drift_ppm: plan.drift_ppm,
-        round: ROUND,
-        ask: ASK,
-        asks: ASKS,
-        may_vote: members.iter().map(|member| member.name.clone()).collect(),
-        cautious: false,
+        round_timeout: ROUND,
+        operation_timeout: ASK,
+        max_pending: ASKS,
+        eligible_voters: members.iter().map(|member| member.name.clone()).collect(),
+        require_extra_confirmation: false,
     };
-    let record = Record::found(1, members.clone());
+    let record = Record::bootstrap(1, members.clone());
     let seat = |(at, member): (usize, &Member)| {
-        let (mut acts, clock) = (Acts::default(), clocks());
-        let kept = Kept::empty("scale", member.store);
+        let (mut acts, clock) = (Effects::default(), clocks());
+        let kept = DurableState::empty("scale", member.store);
         let mut voter = Voter::start(clock.local(0), &member.name, kept, terms.clone(), &mut acts);
-        voter.found(clock.local(0), record.clone(), &mut acts);
+        voter.bootstrap(clock.local(0), record.clone(), &mut acts);
         let spot = Spot { region: at * plan.regions / plan.voters, site: usize::MAX - at, voter: true };
         Seat { voter, clock, spot }
     };
@@ -86,15 +86,15 @@
 }
 
 pub struct Open {
-    pub ask: Ask,
+    pub ask: Operation,
     pub what: For,
     pub asked: Nanos,
 }
 
 /// What a control machine is beside its node.
 pub struct Control {
-    pub who: Holder,
-    pub holding: Holding,
+    pub who: ProcessId,
+    pub holding: LeaseClient,
     pub last: u64,
     pub good: usize,
     pub open: BTreeMap<u64, Open>,
@@ -109,10 +109,10 @@
 
 impl Control {
     pub fn new(plan: &Plan, now: Nanos, name: &str, incarnation: u64, good: usize) -> Control {
-        let who = Holder { name: name.into(), incarnation };
+        let who = ProcessId { name: name.into(), incarnation };
         let time = (plan.lease_seconds * 1e9) as Nanos;
         Control {
-            holding: Holding::new(now, who.clone(), "carrier", time, plan.drift_ppm),
+            holding: LeaseClient::new(now, who.clone(), "carrier", time, plan.drift_ppm),
             who,
             last: 0,
             good,
@@ -130,9 +130,9 @@
         self.last
     }
 
-    pub fn ask(&mut self, what: For, now: Nanos, want: Want) -> u64 {
+    pub fn ask(&mut self, what: For, now: Nanos, want: OperationKind) -> u64 {
         let number = self.number();
-        let ask = Ask { id: AskId { who: self.who.clone(), number }, want };
+        let ask = Operation { id: OperationId { process: self.who.clone(), number }, kind: want };
         self.open.insert(number, Open { ask, what, asked: now });
         number
     }
@@ -140,7 +140,7 @@
 
 /// What a voter wants sent, to whom, and when it looks at its clock next.
 pub struct Said {
-    pub messages: Vec<(Store, Message)>,
+    pub messages: Vec<(StoreId, Message)>,
     pub answers: Vec<Answer>,
     pub wake: Option<Nanos>,
     /// Whether its disk was written before these go out.
@@ -148,16 +148,21 @@
 }
 
 impl Seat {
-    pub fn act(&mut self, now: Nanos, chance: f64, what: impl FnOnce(&mut Voter, Nanos, &mut Acts)) -> Said {
+    pub fn act(
+        &mut self,
+        now: Nanos,
+        random: f64,
+        what: impl FnOnce(&mut Voter, Nanos, &mut Effects),
+    ) -> Said {
         let local = self.clock.local(now);
-        let mut acts = Acts { chance, ..Acts::default() };
+        let mut acts = Effects { random, ..Effects::default() };
         what(&mut self.voter, local, &mut acts);
-        acts.hear_itself(local, &mut self.voter);
+        acts.deliver_to_self(local, &mut self.voter);
         Said {
-            messages: acts.sent,
+            messages: acts.messages,
             answers: acts.answers,
-            wake: acts.wake.map(|wake| self.clock.truth(wake)),
-            kept: !acts.kept.is_empty(),
+            wake: acts.wake_at.map(|wake| self.clock.truth(wake)),
+            kept: !acts.to_persist.is_empty(),
         }
     }
 }
--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -37,7 +37,7 @@
                 Some(link(id).child)
             }
             Event::Asker(at) | Event::Publisher(at) | Event::Again(at, ..) => Some(*at),
-            Event::Answer(answer) => self.by_name.get(&answer.id.who.name).copied(),
+            Event::Answer(answer) => self.by_name.get(&answer.id.process.name).copied(),
             _ => None,
         }
     }
@@ -94,13 +94,13 @@
             Event::Vote(to, from, message) => {
                 let at = to as usize - 1;
                 self.voter_received(at, size(&message));
-                self.voter(at, |voter, now, acts| voter.got(now, from, message, acts));
+                self.voter(at, |voter, now, acts| voter.message_received(now, from, message, acts));
             }
             Event::Ask(at, ask) => {
                 self.voter_received(at, size(&ask));
-                self.voter(at, |voter, now, acts| voter.asked(now, ask, acts));
+                self.voter(at, |voter, now, acts| voter.submit(now, ask, acts));
             }
-            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.woke(now, acts)),
+            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.timer_fired(now, acts)),
             Event::Answer(answer) => self.answered(answer),
             Event::Asker(at) => self.asker(at),
             Event::Publisher(at) => {
--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -18,7 +18,7 @@
 use super::plan::{Disk, Kind, Plan};
 use super::report::{Cost, Found};
 use super::truth::{Applied, Key, Seen, Truth};
-use pumicebay_accord::{Answer, Ask, Message, Store};
+use pumicebay_accord::{Answer, Message, Operation, StoreId};
 use pumicebay_carrier::{Down, Kept, Nanos, Node, Scope, Up, Version};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -63,8 +63,8 @@
     Down(LinkId, Down),
     InForce(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
     Kept(usize, u64, Kept),
-    Vote(Store, Store, Message),
-    Ask(usize, Ask),
+    Vote(StoreId, StoreId, Message),
+    Ask(usize, Operation),
     Answer(Answer),
     Voter(usize),
     Asker(usize),
--- a/crates/lab/src/scale/virt/publishing.rs
+++ b/crates/lab/src/scale/virt/publishing.rs
@@ -3,7 +3,7 @@
 use super::super::agree::{self, For};
 use super::hosts::{PublisherAct, PublisherActs};
 use super::{Event, LEAST, SAMPLED, World};
-use pumicebay_accord::Want;
+use pumicebay_accord::OperationKind;
 use pumicebay_carrier::{Nanos, Publisher, Version, Written};
 use std::time::Instant;
 
@@ -31,19 +31,19 @@
     pub(super) fn published(&mut self, at: usize, acts: PublisherActs) {
         for act in acts.0 {
             match act {
-                PublisherAct::Read => self.asks(at, For::Read, Want::Read),
+                PublisherAct::Read => self.asks(at, For::Read, OperationKind::Read),
                 PublisherAct::Write(text, version) => {
                     let now = self.procs[at].clock.local(self.now);
-                    let Some(token) = self.controls[at].holding.may(now, 0) else {
+                    let Some(token) = self.controls[at].holding.token_if_valid_for(now, 0) else {
                         self.publisher(at, |publisher, now, host| {
                             publisher.written(now, Written::Refused, host);
                         });
                         continue;
                     };
-                    let want = Want::Put {
+                    let want = OperationKind::Put {
                         name: "carrier".into(),
                         text,
-                        version: Some(version),
+                        expected_version: Some(version),
                         fence: Some(("carrier".into(), token)),
                     };
                     self.asks(at, For::Write, want);
--- a/crates/lab/src/scale/virt/voting.rs
+++ b/crates/lab/src/scale/virt/voting.rs
@@ -4,7 +4,7 @@
 use super::super::meter::segments;
 use super::hosts::PublisherActs;
 use super::{Event, LEAST, SAMPLED, UNANSWERED, World, size};
-use pumicebay_accord::{Answer, Reply, Store, Want};
+use pumicebay_accord::{Answer, OperationKind, Reply, StoreId};
 use pumicebay_carrier::{Nanos, Publisher, Written};
 use rand::RngExt;
 use std::time::Instant;
@@ -17,7 +17,7 @@
     pub(super) fn voter(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Acts),
+        what: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Effects),
     ) {
         self.calls += 1;
         let timed = self.calls.is_multiple_of(SAMPLED) && self.now >= self.begin;
@@ -33,7 +33,7 @@
             self.at(wake.max(self.now + LEAST), Event::Voter(at));
         }
         let later = if kept { (self.plan.disk_ms * 1e6) as Nanos } else { 0 };
-        let (own, here) = (at as Store + 1, self.seats[at].spot);
+        let (own, here) = (at as StoreId + 1, self.seats[at].spot);
         for (to, message) in messages {
             let there = self.seats[to as usize - 1].spot;
             let bytes = size(&message);
@@ -44,7 +44,7 @@
             }
         }
         for answer in answers {
-            let Some(&who) = self.by_name.get(&answer.id.who.name) else { continue };
+            let Some(&who) = self.by_name.get(&answer.id.process.name) else { continue };
             let bytes = size(&answer);
             self.voter_meters[at].sends(self.now, bytes, segments(bytes));
             let there = self.spot(who);
@@ -64,7 +64,7 @@
         control.wake = Nanos::MAX;
         let now = self.procs[at].clock.local(self.now);
         let number = control.number();
-        if let Some(ask) = control.holding.ask(now, number) {
+        if let Some(ask) = control.holding.next_operation(now, number) {
             let open = agree::Open { ask, what: For::Lease, asked: self.now };
             control.open.insert(number, open);
             let good = control.good;
@@ -77,9 +77,9 @@
     pub(super) fn lease(&mut self, at: usize) {
         let now = self.procs[at].clock.local(self.now);
         let control = &mut self.controls[at];
-        let token = control.holding.may(now, 0);
+        let token = control.holding.token_if_valid_for(now, 0);
         let before = std::mem::replace(&mut control.token, token);
-        let due = self.procs[at].clock.truth(control.holding.due()).max(self.now + LEAST);
+        let due = self.procs[at].clock.truth(control.holding.wake_at()).max(self.now + LEAST);
         if due < control.wake {
             control.wake = due;
             self.at(due, Event::Asker(at));
@@ -110,7 +110,7 @@
         }
     }
 
-    pub(super) fn asks(&mut self, at: usize, what: For, want: Want) {
+    pub(super) fn asks(&mut self, at: usize, what: For, want: OperationKind) {
         let number = self.controls[at].ask(what, self.now, want);
         let good = self.controls[at].good;
         self.again(at, number, good);
@@ -139,8 +139,8 @@
     }
 
     pub(super) fn answered(&mut self, answer: Answer) {
-        let Some(&at) = self.by_name.get(&answer.id.who.name) else { return };
-        if self.procs[at].node.is_none() || self.controls[at].who != answer.id.who {
+        let Some(&at) = self.by_name.get(&answer.id.process.name) else { return };
+        if self.procs[at].node.is_none() || self.controls[at].who != answer.id.process {
             return;
         }
         self.received(at, size(&answer));
@@ -158,7 +158,7 @@
         let now = self.procs[at].clock.local(self.now);
         match what {
             For::Lease => {
-                self.controls[at].holding.answered(now, number, reply);
+                self.controls[at].holding.answer_received(now, number, reply);
                 self.lease(at);
                 if let Reply::Denied(Some(holder), _) = reply
                     && self.controls[at].token.is_none()
--- a/crates/lab/src/scale/voters.rs
+++ b/crates/lab/src/scale/voters.rs
@@ -8,7 +8,7 @@
 use super::plan::Plan;
 use super::report::{LIMIT, Times, times};
 use super::virt::{MILLI, SECOND, size};
-use pumicebay_accord::{Ask, AskId, Holder, Message, Reply, Store, Want};
+use pumicebay_accord::{Message, Operation, OperationId, OperationKind, ProcessId, Reply, StoreId};
 use pumicebay_carrier::Nanos;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -51,8 +51,8 @@
 }
 
 enum Event {
-    Vote(Store, Store, Message),
-    Ask(usize, Ask),
+    Vote(StoreId, StoreId, Message),
+    Ask(usize, Operation),
     Answer(usize, Reply, usize, u64),
     Voter(usize),
     Poll(usize),
@@ -207,14 +207,14 @@
                 let at = to as usize - 1;
                 let bytes = size(&message);
                 self.meters[at].receives(self.now, bytes, segments(bytes));
-                self.voter(at, |voter, now, acts| voter.got(now, from, message, acts));
+                self.voter(at, |voter, now, acts| voter.message_received(now, from, message, acts));
             }
             Event::Ask(at, ask) => {
                 let bytes = size(&ask);
                 self.meters[at].receives(self.now, bytes, segments(bytes));
-                self.voter(at, |voter, now, acts| voter.asked(now, ask, acts));
+                self.voter(at, |voter, now, acts| voter.submit(now, ask, acts));
             }
-            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.woke(now, acts)),
+            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.timer_fired(now, acts)),
             Event::Answer(who, reply, bytes, number) => self.answered(who, reply, bytes, number),
             Event::Poll(who) => self.poll(who),
             Event::Patience(who, number) => {
@@ -233,9 +233,10 @@
     fn change(&mut self) {
         self.writes += 1;
         let text = format!("{:0VALUE$}", self.writes);
-        let want = Want::Put { name: "configuration".into(), text, version: None, fence: None };
-        let who = Holder { name: "operator".into(), incarnation: 1 };
-        let ask = Ask { id: AskId { who, number: self.writes }, want };
+        let want =
+            OperationKind::Put { name: "configuration".into(), text, expected_version: None, fence: None };
+        let who = ProcessId { name: "operator".into(), incarnation: 1 };
+        let ask = Operation { id: OperationId { process: who, number: self.writes }, kind: want };
         self.at(self.now + MILLI, Event::Ask(0, ask));
         let gap =
             -(1.0 - self.random.random_range(0.0..1.0f64)).ln() / self.plan.changes_per_second.max(1e-3);
@@ -258,8 +259,8 @@
         asker.open = Some((asker.number, self.now));
         let (number, to) = (asker.number, asker.good);
         let name = self.sites[self.plan.control + who].name.clone();
-        let id = AskId { who: Holder { name, incarnation: who as u64 }, number };
-        let ask = Ask { id, want: Want::Read };
+        let id = OperationId { process: ProcessId { name, incarnation: who as u64 }, number };
+        let ask = Operation { id, kind: OperationKind::Read };
         let bytes = size(&ask);
         asker.meter.sends(self.now, bytes, segments(bytes));
         let (here, there) = (fleet::spot(&self.sites[self.plan.control + who]), self.seats[to].spot);
@@ -301,7 +302,7 @@
     fn voter(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Acts),
+        what: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Effects),
     ) {
         let chance = self.random.random_range(0.0..1.0);
         let Said { messages, answers, wake, kept } = self.seats[at].act(self.now, chance, what);
@@ -315,20 +316,21 @@
             let bytes = size(&message);
             self.meters[at].sends(self.now, bytes, segments(bytes));
             let way = fleet::way(self.plan, here, there, segments(bytes), &mut self.random);
-            self.at(self.now + later + way, Event::Vote(to, at as Store + 1, message));
+            self.at(self.now + later + way, Event::Vote(to, at as StoreId + 1, message));
         }
         for answer in answers {
-            if answer.id.who.name == "operator" {
+            if answer.id.process.name == "operator" {
                 if let Reply::Written(version) = answer.reply {
                     self.changes.push((version, self.now, self.askers.len(), None));
                 }
                 continue;
             }
-            let who = answer.id.who.incarnation as usize;
+            let who = answer.id.process.incarnation as usize;
             // The same record goes to many: its size is taken once.
             let bytes = match &answer.reply {
                 Reply::Record(record) => {
-                    let record_bytes = *self.sizes.entry(record.0.version).or_insert_with(|| record.0.size());
+                    let record_bytes =
+                        *self.sizes.entry(record.0.version).or_insert_with(|| record.0.encoded_size());
                     record_bytes + 40
                 }
                 _ => size(&answer),
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::{Desk, Whose};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
-use pumicebay_accord::{Fences, Passage, Token};
+use pumicebay_accord::{FenceCheck, FencingTokens, Token};
 use pumicebay_replication::{Lease, Refusal, Service, Stamp};
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -93,7 +93,7 @@
     /// Those that the module has been told of.
     pub out: BTreeSet<String>,
     /// What calls under leases brought.
-    pub fences: Fences,
+    pub fences: FencingTokens,
     /// Where orders are replicated: the way to the replica, and what holds by all orders.
     pub replication: Option<Replication>,
 }
@@ -135,9 +135,9 @@
         // Who held the lease before, and was stopped in the middle of its work, must not undo the next one's.
         if let Some((lease, token)) = under {
             match self.fence(&lease, token) {
-                Ok(Passage::Passes) => {}
-                Ok(Passage::Late(highest)) => return Asked::Late(lease, highest),
-                Ok(Passage::Full) => return Asked::Failed("too many leases are known".into()),
+                Ok(FenceCheck::Current) => {}
+                Ok(FenceCheck::Superseded(highest)) => return Asked::Late(lease, highest),
+                Ok(FenceCheck::TooManyLeases) => return Asked::Failed("too many leases are known".into()),
                 Err(error) => return Asked::Failed(error.to_string()),
             }
         }
@@ -176,12 +176,12 @@
 
     /// Whether a call under this token may act; if so it is on disk before it does, as the lease goes on over a loss of
     /// power too.
-    fn fence(&mut self, lease: &str, token: Token) -> std::io::Result<Passage> {
+    fn fence(&mut self, lease: &str, token: Token) -> std::io::Result<FenceCheck> {
         let folder = self.folder.as_deref();
         let seen = folder.map(read_fences).transpose()?.unwrap_or_default();
-        seen.iter().for_each(|(lease, token)| self.fences.saw(lease, *token));
-        let passage = self.fences.passes(lease, token);
-        if passage == Passage::Passes {
+        seen.iter().for_each(|(lease, token)| self.fences.observe(lease, *token));
+        let passage = self.fences.check(lease, token);
+        if passage == FenceCheck::Current {
             if let Some(folder) = folder.filter(|_| !seen.contains(&(lease.into(), token))) {
                 let name = |token: Token| folder.join(format!("{FENCE}{}-{token}", hex(lease)));
                 std::fs::File::create(name(token))?;
@@ -189,7 +189,7 @@
                 let lower = seen.iter().filter(|(of, lower)| of == lease && *lower < token);
                 lower.for_each(|(_, lower)| _ = std::fs::remove_file(name(*lower)));
             }
-            self.fences.saw(lease, token);
+            self.fences.observe(lease, token);
         }
         Ok(passage)
     }
--- a/crates/proxy/src/fleet/asker.rs
+++ b/crates/proxy/src/fleet/asker.rs
@@ -4,7 +4,7 @@
 use crate::fleet::me::Me;
 use crate::fleet::outbound::Links;
 use crate::fleet::wire::Frame;
-use pumicebay_accord::{Answer, Ask, AskId, Name, Reply, Want};
+use pumicebay_accord::{Answer, Name, Operation, OperationId, OperationKind, Reply};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,7 +20,7 @@
 const LOOK: Duration = Duration::from_millis(25);
 
 struct Order {
-    ask: Ask,
+    ask: Operation,
     until: Instant,
     done: oneshot::Sender<Reply>,
 }
@@ -40,7 +40,7 @@
     }
 
     /// `Unknown` where nobody answered in time: it may have been done.
-    pub async fn ask(&self, ask: Ask, patience: Duration) -> Reply {
+    pub async fn ask(&self, ask: Operation, patience: Duration) -> Reply {
         let (done, answer) = oneshot::channel();
         let order = Order { ask, until: Instant::now() + patience, done };
         if self.orders.send(order).await.is_err() {
@@ -49,9 +49,9 @@
         answer.await.unwrap_or(Reply::Unknown)
     }
 
-    pub async fn want(&self, want: Want, patience: Duration) -> Reply {
-        let id = AskId { who: self.me.who.clone(), number: self.number() };
-        self.ask(Ask { id, want }, patience).await
+    pub async fn want(&self, want: OperationKind, patience: Duration) -> Reply {
+        let id = OperationId { process: self.me.who.clone(), number: self.number() };
+        self.ask(Operation { id, kind: want }, patience).await
     }
 }
 
@@ -66,7 +66,7 @@
     links: Links,
     own: Option<Door>,
     own_answers: mpsc::Sender<Frame>,
-    open: HashMap<AskId, Open>,
+    open: HashMap<OperationId, Open>,
     /// Who answered last: the first to be asked next.
     good: Option<Name>,
 }
@@ -124,14 +124,14 @@
     fn look(&mut self) {
         let now = Instant::now();
         let over = |open: &Open| open.order.until <= now || open.order.done.is_closed();
-        let ended: Vec<AskId> =
+        let ended: Vec<OperationId> =
             self.open.iter().filter(|(_, open)| over(open)).map(|(id, _)| id.clone()).collect();
         for id in &ended {
             let Some(open) = self.open.remove(id) else { continue };
             self.mistrust(open.asked);
             let _ = open.order.done.send(Reply::Unknown);
         }
-        let due: Vec<AskId> =
+        let due: Vec<OperationId> =
             self.open.iter().filter(|(_, open)| open.next <= now).map(|(id, _)| id.clone()).collect();
         due.iter().for_each(|id| self.try_next(id));
     }
@@ -146,7 +146,7 @@
     }
 
     /// Asks who answered last, or the next after whom it was asked last.
-    fn try_next(&mut self, id: &AskId) {
+    fn try_next(&mut self, id: &OperationId) {
         if let Some(asked) = self.open.get(id).and_then(|open| open.asked.clone()) {
             self.mistrust(Some(asked));
         }
--- a/crates/proxy/src/fleet/call.rs
+++ b/crates/proxy/src/fleet/call.rs
@@ -4,7 +4,7 @@
 use crate::fleet::me::incarnation;
 use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
 use anyhow::{Context, Result};
-use pumicebay_accord::Holder;
+use pumicebay_accord::ProcessId;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, timeout_at};
@@ -20,7 +20,7 @@
 
 impl Called {
     pub async fn call(fleet: &FleetConfig, at: SocketAddr) -> Result<Called> {
-        let who = Holder { name: "command".into(), incarnation: incarnation() };
+        let who = ProcessId { name: "command".into(), incarnation: incarnation() };
         let own = Hello::new(&fleet.name, &who, Role::Command, None);
         let (link, hello) = Link::connect(at, &own).await?;
         Ok(Called { link, hello })
--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -10,7 +10,7 @@
 use crate::fleet::drive::{self, drive};
 use crate::fleet::me::{Me, draw};
 use crate::fleet::wire::{CarrierStatus, Frame};
-use pumicebay_accord::{Held, Reply};
+use pumicebay_accord::{HeldLease, Reply};
 use pumicebay_carrier::{
     Change, Child, Down, Host, Kept, Member, Nanos, Node, Outcome, Place, Publisher, Resource, Scope, Terms,
     Up, Version,
@@ -339,7 +339,7 @@
         }
     }
 
-    fn lease(&mut self, now: Nanos, held: Option<Held>, holder: Option<String>) {
+    fn lease(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
         let root = if held.is_some() { Some(self.me.who.name.clone()) } else { holder };
         if root != self.root {
             tracing::info!("carrier: {} publishes", root.as_deref().unwrap_or("nobody that is known"));
--- a/crates/proxy/src/fleet/carrier/door.rs
+++ b/crates/proxy/src/fleet/carrier/door.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::carrier::apply::Refusal;
 use crate::fleet::wire::Frame;
-use pumicebay_accord::{Held, Reply};
+use pumicebay_accord::{HeldLease, Reply};
 use pumicebay_carrier::{Change, Child, Down, Up, Version};
 use tokio::sync::mpsc;
 
@@ -24,7 +24,7 @@
     Reread,
     Kept(Version),
     /// The lease, and who has it where that is another.
-    Lease(Option<Held>, Option<String>),
+    Lease(Option<HeldLease>, Option<String>),
     /// Answers to the publisher of this number.
     Read(u64, Reply),
     Written(u64, Reply),
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -4,7 +4,7 @@
 use crate::fleet::carrier::door::{Door, Event};
 use crate::fleet::lease::Lease;
 use crate::fleet::wire::Frame;
-use pumicebay_accord::{Held, Reply, Shared, Token, Want};
+use pumicebay_accord::{HeldLease, OperationKind, Reply, SharedRecord, Token};
 use pumicebay_carrier::{Outcome, PublisherHost, Resource, Version, Written};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -62,7 +62,7 @@
     fn read(&mut self) {
         let (asker, door, number) = (self.asker.clone(), self.door.clone(), self.number);
         tokio::spawn(async move {
-            let reply = asker.want(Want::Read, PATIENCE).await;
+            let reply = asker.want(OperationKind::Read, PATIENCE).await;
             door.say(Event::Read(number, reply)).await;
         });
     }
@@ -70,7 +70,7 @@
     fn write(&mut self, text: String, version: u64) {
         let (asker, door, number) = (self.asker.clone(), self.door.clone(), self.number);
         let fence = Some((NAME.into(), self.token));
-        let want = Want::Put { name: NAME.into(), text, version: Some(version), fence };
+        let want = OperationKind::Put { name: NAME.into(), text, expected_version: Some(version), fence };
         tokio::spawn(async move {
             let reply = asker.want(want, PATIENCE).await;
             door.say(Event::Written(number, reply)).await;
@@ -93,7 +93,7 @@
 }
 
 /// When the record was founded, and the value in it.
-pub fn entry(record: &Shared) -> (u64, Option<(&str, u64)>) {
+pub fn entry(record: &SharedRecord) -> (u64, Option<(&str, u64)>) {
     let entry = record.0.values.get(NAME).map(|entry| (entry.text.as_str(), entry.version));
     (record.0.founded, entry)
 }
@@ -115,11 +115,11 @@
     loop {
         let mut lease = Lease::want(asker.clone(), NAME, LEASE);
         let (mut held, mut holder) = (lease.held.clone(), lease.holder.clone());
-        let mut told: Option<(Option<Held>, Option<String>)> = None;
+        let mut told: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
             let now = (*held.borrow_and_update(), holder.borrow_and_update().clone());
             // Another grant of the same token only prolongs it.
-            let token = |held: &Option<Held>| held.map(|held| held.token);
+            let token = |held: &Option<HeldLease>| held.map(|held| held.token);
             let same = told.as_ref().is_some_and(|(was, by)| token(was) == token(&now.0) && *by == now.1);
             if !same {
                 door.say(Event::Lease(now.0, now.1.clone())).await;
--- a/crates/proxy/src/fleet/command.rs
+++ b/crates/proxy/src/fleet/command.rs
@@ -10,7 +10,9 @@
 use crate::fleet::{run, start_command, store};
 use anyhow::{Context, Result, bail, ensure};
 use lexopt::prelude::*;
-use pumicebay_accord::{Holder, Lease, Member, Record, Reply, Seen, Shared, Want, outlasted};
+use pumicebay_accord::{
+    Lease, Member, OperationKind, PeerState, ProcessId, Record, Reply, SharedRecord, max_lease_wait,
+};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -136,7 +138,7 @@
             }
             _ => {}
         }
-        let who = Holder { name: format!("command-{:08x}", draw() as u32), incarnation: incarnation() };
+        let who = ProcessId { name: format!("command-{:08x}", draw() as u32), incarnation: incarnation() };
         let clock = FleetClock::new(config.clock_ppm);
         let me = Me { who, config, clock };
         let mut actors = JoinSet::new();
@@ -149,7 +151,7 @@
                 run::run(asker, lease, time, give_up, program, arguments).await
             }
             ("run", []) => bail!("run: no command; it follows --"),
-            ("take-away", [name]) => done(asker.want(Want::TakeAway(name.clone()), PATIENCE).await),
+            ("take-away", [name]) => done(asker.want(OperationKind::TakeAway(name.clone()), PATIENCE).await),
             ("get", [name]) => {
                 let record = read(&asker).await?;
                 let entry = record.0.values.get(name).with_context(|| format!("no value {name:?}"))?;
@@ -158,7 +160,7 @@
             }
             ("put", [name, text]) => {
                 let (name, text) = (name.clone(), text.clone());
-                let want = Want::Put { name, text, version: self.version, fence: None };
+                let want = OperationKind::Put { name, text, expected_version: self.version, fence: None };
                 done(asker.want(want, PATIENCE).await)
             }
             ("replace", [out]) => replace(&asker, out, out).await,
@@ -189,8 +191,8 @@
     }
 }
 
-async fn read(asker: &Asker) -> Result<Shared> {
-    match asker.want(Want::Read, PATIENCE).await {
+async fn read(asker: &Asker) -> Result<SharedRecord> {
+    match asker.want(OperationKind::Read, PATIENCE).await {
         Reply::Record(record) => Ok(record),
         Reply::Unknown => bail!("no majority of the voters answered in time; see pumicebay fleet status"),
         other => bail!("unexpected answer {other:?}"),
@@ -216,17 +218,18 @@
     }
     let founded = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64;
     let record = match survived {
-        None => Record::found(founded, voters),
+        None => Record::bootstrap(founded, voters),
         Some(survived) => {
             // All voters are empty now: nobody renews a lease of the record before, whose holders stop in their time.
-            let wait = wait.unwrap_or_else(|| Duration::from_nanos(outlasted(&survived, config.drift_ppm)));
+            let wait =
+                wait.unwrap_or_else(|| Duration::from_nanos(max_lease_wait(&survived, config.drift_ppm)));
             eprintln!(
                 "pumicebay: version {} goes on in {:.1} s: what was agreed after it is lost",
                 survived.version,
                 wait.as_secs_f64()
             );
             sleep(wait).await;
-            Record::found_from(founded, voters, &survived)
+            Record::bootstrap_from(founded, voters, &survived)
         }
     };
     for one in &mut called {
@@ -278,13 +281,13 @@
     let disk = hello.voter.with_context(|| format!("{new} does not vote, or its disk is not open"))?;
     let record = read(asker).await?;
     // Asked again after an answer that was lost.
-    if record.0.votes(disk.store) {
+    if record.0.is_voter(disk.store) {
         return Ok(ExitCode::SUCCESS);
     }
-    let old = record.0.member(out).with_context(|| format!("{out} is no voter"))?;
+    let old = record.0.voter_named(out).with_context(|| format!("{out} is no voter"))?;
     ensure!(disk.empty || disk.store == old.store, "{new} has voted before: empty its folder first");
     let voter = Member { name: new.into(), store: disk.store };
-    done(asker.want(Want::Seat { out: out.into(), voter }, PATIENCE).await)
+    done(asker.want(OperationKind::ReplaceVoter { replaced: out.into(), voter }, PATIENCE).await)
 }
 
 async fn status(config: &FleetConfig, as_json: bool) -> Result<ExitCode> {
@@ -308,7 +311,7 @@
     let newest = there.iter().max_by_key(|status| (status.record.0.founded, status.record.0.version));
     let record = newest.map(|status| status.record.clone()).unwrap_or_default();
     let same = |status: &&&Status| status.record == record && status.seated && status.trouble.is_none();
-    let agreed = record.0.settled_by(&there.iter().filter(same).map(|status| status.disk.store).collect());
+    let agreed = record.0.has_quorum(&there.iter().filter(same).map(|status| status.disk.store).collect());
     let shown = shown(&all, &record, agreed);
     if as_json {
         println!("{shown:#}");
@@ -318,7 +321,7 @@
     Ok(if agreed { ExitCode::SUCCESS } else { ExitCode::from(3) })
 }
 
-fn shown(all: &BTreeMap<String, Result<Status>>, record: &Shared, agreed: bool) -> Json {
+fn shown(all: &BTreeMap<String, Result<Status>>, record: &SharedRecord, agreed: bool) -> Json {
     let voters = all.iter().map(|(name, status)| match status {
         Ok(status) => json!({
             "name": name, "standing": format!("{:?}", status.standing), "seated": status.seated,
@@ -328,8 +331,9 @@
         Err(error) => json!({"name": name, "standing": "unreachable", "trouble": format!("{error:#}")}),
     });
     // Who is there: the best that any voter says of it, and the newest life.
-    let rank = |seen: &Seen| matches!(seen, Seen::Up) as u8 * 2 + matches!(seen, Seen::Silent) as u8;
-    let mut present: BTreeMap<&String, (u64, u8, &Seen, u64)> = BTreeMap::new();
+    let rank =
+        |seen: &PeerState| matches!(seen, PeerState::Up) as u8 * 2 + matches!(seen, PeerState::Silent) as u8;
+    let mut present: BTreeMap<&String, (u64, u8, &PeerState, u64)> = BTreeMap::new();
     for (name, life, seen, ago) in all.values().flatten().flat_map(|status| &status.present) {
         let this = (*life, rank(seen), seen, *ago);
         let best = present.entry(name).or_insert(this);
@@ -344,12 +348,12 @@
     };
     let lease = |(name, lease): (&String, &Lease)| {
         json!({
-            "name": name, "holder": lease.holder.as_ref().map(Holder::to_string), "token": lease.token,
-            "seconds": lease.time as f64 / 1e9, "left_s": left(name) as f64 / 1e9, "taken_away": lease.taken,
+            "name": name, "holder": lease.holder.as_ref().map(ProcessId::to_string), "token": lease.token,
+            "seconds": lease.duration as f64 / 1e9, "left_s": left(name) as f64 / 1e9, "taken_away": lease.revoked,
         })
     };
     json!({
-        "agreed": agreed, "founded": record.0.founded, "version": record.0.version, "bytes": record.0.size(),
+        "agreed": agreed, "founded": record.0.founded, "version": record.0.version, "bytes": record.0.encoded_size(),
         "seats": record.0.voters.iter().map(|member| &member.name).collect::<Vec<_>>(),
         "voters": voters.collect::<Vec<_>>(),
         "proxies": present.iter().map(|(name, (life, _, seen, ago))| {
--- a/crates/proxy/src/fleet/door.rs
+++ b/crates/proxy/src/fleet/door.rs
@@ -1,7 +1,7 @@
 //! The way to the voter, for links, askers and the probes: it needs nothing of the voter but its mailbox.
 
 use crate::fleet::wire::{self, Frame, Role, Status};
-use pumicebay_accord::{Ask, Holder, Message, Record, Store};
+use pumicebay_accord::{Message, Operation, ProcessId, Record, StoreId};
 use tokio::sync::{broadcast, mpsc, oneshot, watch};
 
 const MAILBOX: usize = 1024;
@@ -11,13 +11,13 @@
 /// What can happen to a voter.
 pub enum Event {
     /// A process said hello or gave a beat.
-    Heard(Holder, Role, Option<wire::Disk>),
+    Heard(ProcessId, Role, Option<wire::Disk>),
     /// Its link went down, in order or not.
-    Lost(Holder, bool),
+    Lost(ProcessId, bool),
     /// To this store, from that.
-    Vote(Store, Store, Message),
+    Vote(StoreId, StoreId, Message),
     /// The answer goes to this link.
-    Ask(Ask, mpsc::Sender<Frame>),
+    Ask(Operation, mpsc::Sender<Frame>),
     Found(Record, oneshot::Sender<bool>),
     Trust(oneshot::Sender<bool>),
     Status(oneshot::Sender<Status>),
--- a/crates/proxy/src/fleet/inbound.rs
+++ b/crates/proxy/src/fleet/inbound.rs
@@ -38,7 +38,7 @@
     ended
 }
 
-async fn talk(door: &Door, link: &mut Link, who: &pumicebay_accord::Holder, role: Role) -> Result<()> {
+async fn talk(door: &Door, link: &mut Link, who: &pumicebay_accord::ProcessId, role: Role) -> Result<()> {
     let (answers, mut answered) = mpsc::channel(ANSWERS);
     let mut passed = door.passed();
     let mut beat = interval(BEAT);
--- a/crates/proxy/src/fleet/lease.rs
+++ b/crates/proxy/src/fleet/lease.rs
@@ -1,14 +1,14 @@
 //! One lease, asked for and renewed for as long as somebody wants it.
 
 use crate::fleet::asker::Asker;
-use pumicebay_accord::{Held, Holding, Name, Reply};
+use pumicebay_accord::{HeldLease, LeaseClient, Name, Reply};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
 /// What is held now, as of the last change; whoever acts looks at the clock too.
 pub struct Lease {
-    pub held: watch::Receiver<Option<Held>>,
+    pub held: watch::Receiver<Option<HeldLease>>,
     /// The name of who has it where that is another, as of the last refusal.
     pub holder: watch::Receiver<Option<Name>>,
     give_back: Option<oneshot::Sender<oneshot::Sender<()>>>,
@@ -22,7 +22,7 @@
         let (give_back, given) = oneshot::channel();
         let me = &asker.me;
         let nanos = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
-        let holding = Holding::new(me.clock.now(), me.who.clone(), name, nanos, me.config.drift_ppm);
+        let holding = LeaseClient::new(me.clock.now(), me.who.clone(), name, nanos, me.config.drift_ppm);
         tokio::spawn(run(asker, holding, time, (tell, tell_holder), given));
         Lease { held, holder, give_back: Some(give_back) }
     }
@@ -38,9 +38,9 @@
 
 async fn run(
     asker: Asker,
-    mut holding: Holding,
+    mut holding: LeaseClient,
     time: Duration,
-    (tell, tell_holder): (watch::Sender<Option<Held>>, watch::Sender<Option<Name>>),
+    (tell, tell_holder): (watch::Sender<Option<HeldLease>>, watch::Sender<Option<Name>>),
     mut given: oneshot::Receiver<oneshot::Sender<()>>,
 ) {
     let clock = asker.me.clock;
@@ -48,7 +48,7 @@
     let mut newest = 0;
     loop {
         let now = clock.now();
-        if let Some(ask) = holding.ask(now, asker.number()) {
+        if let Some(ask) = holding.next_operation(now, asker.number()) {
             newest = ask.id.number;
             let (asker, answers) = (asker.clone(), answers.clone());
             tokio::spawn(async move {
@@ -76,9 +76,9 @@
                         changed
                     });
                 }
-                holding.answered(clock.now(), number, &reply);
+                holding.answer_received(clock.now(), number, &reply);
             }
-            () = sleep_until(Instant::now() + clock.until(holding.due())) => {}
+            () = sleep_until(Instant::now() + clock.until(holding.wake_at())) => {}
             done = &mut given => {
                 let ask = holding.give_back(clock.now(), asker.number());
                 tell.send_replace(None);
--- a/crates/proxy/src/fleet/me.rs
+++ b/crates/proxy/src/fleet/me.rs
@@ -1,7 +1,7 @@
 //! Who a process is to the others of its fleet, and its clock.
 
 use crate::fleet::config::FleetConfig;
-use pumicebay_accord::{Holder, Nanos};
+use pumicebay_accord::{Nanos, ProcessId};
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -49,7 +49,7 @@
 /// Who this process is to the others.
 #[derive(Clone, Debug)]
 pub struct Me {
-    pub who: Holder,
+    pub who: ProcessId,
     pub config: Arc<FleetConfig>,
     pub clock: FleetClock,
 }
@@ -57,6 +57,6 @@
 impl Me {
     pub fn new(name: &str, config: Arc<FleetConfig>) -> Me {
         let clock = FleetClock::new(config.clock_ppm);
-        Me { who: Holder { name: name.into(), incarnation: incarnation() }, config, clock }
+        Me { who: ProcessId { name: name.into(), incarnation: incarnation() }, config, clock }
     }
 }
--- a/crates/proxy/src/fleet/outbound.rs
+++ b/crates/proxy/src/fleet/outbound.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    fn heard(&self, who: &pumicebay_accord::Holder, disk: Option<crate::fleet::wire::Disk>) {
+    fn heard(&self, who: &pumicebay_accord::ProcessId, disk: Option<crate::fleet::wire::Disk>) {
         if let Some(own) = &self.own {
             own.post(Event::Heard(who.clone(), Role::Proxy, disk));
         }
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -8,7 +8,7 @@
 use crate::fleet::outbound::Links;
 use crate::fleet::prober::{Event, Mailbox};
 use crate::fleet::wire::{Frame, News};
-use pumicebay_accord::{Name, Token, Watch, WatchHost};
+use pumicebay_accord::{Name, ProbeCoordinator, ProbeHost, Token};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::sync::{broadcast, mpsc};
@@ -32,21 +32,21 @@
     answer: Vec<(Name, bool)>,
 }
 
-impl WatchHost for Acts {
+impl ProbeHost for Acts {
     fn probe(&mut self, node: &str) {
         self.probe.push(node.into());
     }
-    fn answer(&mut self, node: &str, answered: bool) {
+    fn deliver_outcome(&mut self, node: &str, answered: bool) {
         self.answer.push((node.into(), answered));
     }
-    fn tell(&mut self, token: Token, node: &str, answered: bool) {
+    fn publish_outcome(&mut self, token: Token, node: &str, answered: bool) {
         let (zone, number) = (self.asker.me.config.zone.clone(), self.asker.number());
         self.spread(&Frame::News(News { zone, token, number, node: node.into(), answered }));
     }
-    fn ask_for(&mut self, node: &str) {
+    fn request_probe(&mut self, node: &str) {
         self.spread(&Frame::Wanted(self.asker.me.config.zone.clone(), node.into()));
     }
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.random.rand_float()
     }
 }
@@ -83,18 +83,18 @@
     let mut passed = own.as_ref().map(Door::passed);
     let random = oorandom::Rand64::new(u128::from(crate::fleet::me::draw()));
     let mut acts = Acts { asker, links, own, random, probe: Vec::new(), answer: Vec::new() };
-    let (mut watch, mut lease, mut lately) = (Watch::default(), None::<Lease>, VecDeque::new());
+    let (mut watch, mut lease, mut lately) = (ProbeCoordinator::default(), None::<Lease>, VecDeque::new());
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
             event = mailbox.recv() => match event {
                 Some(Event::Wanted(uid)) => {
-                    watch.wanted(clock.now(), &uid, &mut acts);
+                    watch.outcome_wanted(clock.now(), &uid, &mut acts);
                     None
                 }
                 Some(Event::Probed(uid, answered)) => {
-                    watch.probed(clock.now(), &uid, answered, &mut acts);
+                    watch.probe_finished(clock.now(), &uid, answered, &mut acts);
                     None
                 }
                 None => return,
@@ -104,11 +104,11 @@
             _ = tick.tick() => {
                 let held = lease.as_ref().and_then(|lease| *lease.held.borrow());
                 // A lease that can't outlast a probe is none: the next holder may probe already.
-                let held = held.filter(|held| clock.now() + crate::desk::PROBE.as_nanos() as u64 <= held.until);
-                watch.held(held.map(|held| held.token));
+                let held = held.filter(|held| clock.now() + crate::desk::PROBE.as_nanos() as u64 <= held.valid_until);
+                watch.set_lease_token(held.map(|held| held.token));
                 watch.tick(clock.now(), &mut acts);
                 // Nobody probes while nothing is down, and nobody keeps a lease for it.
-                match (&mut lease, watch.needed()) {
+                match (&mut lease, watch.lease_needed()) {
                     (None, true) => lease = Some(Lease::want(acts.asker.clone(), &name, LEASE)),
                     (Some(held), false) => {
                         held.give_back().await;
@@ -125,9 +125,9 @@
                 while lately.len() > LATELY {
                     lately.pop_front();
                 }
-                watch.told(clock.now(), news.token, &news.node, news.answered, &mut acts);
+                watch.outcome_received(clock.now(), news.token, &news.node, news.answered, &mut acts);
             }
-            Some(Frame::Wanted(of, node)) if of == zone => watch.asked_for(clock.now(), &node),
+            Some(Frame::Wanted(of, node)) if of == zone => watch.probe_requested(clock.now(), &node),
             _ => {}
         }
         for uid in acts.probe.drain(..) {
--- a/crates/proxy/src/fleet/run.rs
+++ b/crates/proxy/src/fleet/run.rs
@@ -8,7 +8,7 @@
 use crate::fleet::lease::Lease;
 use crate::fleet::me::FleetClock;
 use anyhow::{Context, Result};
-use pumicebay_accord::{Held, Nanos};
+use pumicebay_accord::{HeldLease, Nanos};
 use rustix::process::{Pid, Signal, kill_process_group};
 use std::process::{ExitCode, ExitStatus, Stdio};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     let far = Instant::now() + give_up.unwrap_or(Duration::from_secs(366 * 86_400));
     let token = loop {
         let held = *lease.held.borrow_and_update();
-        if let Some(Held { token, .. }) = held {
+        if let Some(HeldLease { token, .. }) = held {
             break token;
         }
         tokio::select! {
@@ -64,14 +64,14 @@
     let mut asked = false;
     let ended = loop {
         let held = (*lease.held.borrow_and_update()).filter(|held| held.token == token);
-        let left = held.map_or(Duration::ZERO, |held| clock.until(held.until));
+        let left = held.map_or(Duration::ZERO, |held| clock.until(held.valid_until));
         if left <= time / KILL {
             group.send(Signal::KILL);
             guard.wait().await?;
             break None;
         }
         if let Some(held) = held.filter(|_| !asked) {
-            tell(&mut orders, held.until).await;
+            tell(&mut orders, held.valid_until).await;
         }
         asked |= left <= time / ORDER;
         let next = if asked { left - time / KILL } else { left - time / ORDER };
--- a/crates/proxy/src/fleet/seat.rs
+++ b/crates/proxy/src/fleet/seat.rs
@@ -7,7 +7,10 @@
 use crate::fleet::store::{Disk, Found};
 use crate::fleet::wire::{self, Frame, Role, Status};
 use anyhow::{Context, Result};
-use pumicebay_accord::{Acts, Answer, AskId, Kept, Name, Nanos, Shared, Standing, Store, Terms, Voter};
+use pumicebay_accord::{
+    Answer, DurableState, Effects, Name, Nanos, OperationId, SharedRecord, StoreId, Voter, VoterConfig,
+    VotingState,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,24 +34,24 @@
     open: Option<(Voter, Arc<Disk>)>,
     trouble: Option<String>,
     /// What the decisions asked for since the disk was synced last.
-    acts: Acts,
+    acts: Effects,
     random: oorandom::Rand64,
     /// Which voter has which store, by what they said last.
-    stores: BTreeMap<Store, Name>,
+    stores: BTreeMap<StoreId, Name>,
     /// Where answers go.
-    askers: HashMap<AskId, mpsc::Sender<Frame>>,
+    askers: HashMap<OperationId, mpsc::Sender<Frame>>,
 }
 
 /// Runs the voter as long as the process lives.
 pub async fn run(me: Me, links: Links, mailbox: Mailbox) {
     let Mailbox(mut events, tell) = mailbox;
     let random = oorandom::Rand64::new(u128::from(draw()));
-    let (acts, stores, askers) = (Acts::default(), BTreeMap::new(), HashMap::new());
+    let (acts, stores, askers) = (Effects::default(), BTreeMap::new(), HashMap::new());
     let mut seat = Seat { me, links, tell, open: None, trouble: None, acts, random, stores, askers };
     let mut again = interval(AGAIN);
     again.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let wait = seat.acts.wake.map_or(AGAIN, |at| seat.me.clock.until(at));
+        let wait = seat.acts.wake_at.map_or(AGAIN, |at| seat.me.clock.until(at));
         tokio::select! {
             event = events.recv() => match event {
                 Some(event) => {
@@ -73,15 +76,15 @@
 }
 
 impl Seat {
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> VoterConfig {
         let config = &self.me.config;
-        Terms {
+        VoterConfig {
             drift_ppm: config.drift_ppm,
-            round: ROUND,
-            ask: ASK,
-            asks: config.asks,
-            may_vote: config.callable().map(|(name, _)| name.clone()).collect(),
-            cautious: config.cautious,
+            round_timeout: ROUND,
+            operation_timeout: ASK,
+            max_pending: config.asks,
+            eligible_voters: config.callable().map(|(name, _)| name.clone()).collect(),
+            require_extra_confirmation: config.cautious,
         }
     }
 
@@ -110,7 +113,7 @@
         }
         self.trouble = Some(trouble);
         self.open = None;
-        self.acts = Acts::default();
+        self.acts = Effects::default();
         self.askers.clear();
     }
 
@@ -135,59 +138,61 @@
             return;
         };
         let acts = &mut self.acts;
-        acts.chance = self.random.rand_float();
+        acts.random = self.random.rand_float();
         match event {
             Event::Heard(who, role, disk) => {
                 if role == Role::Proxy {
                     let store = disk.as_ref().map(|disk| (disk.store, disk.empty));
-                    voter.present.heard(now, &who.name, who.incarnation, store);
+                    voter.presence.heard_from(now, &who.name, who.incarnation, store);
                 }
                 if let Some(disk) = disk {
-                    let own = voter.kept().store;
+                    let own = voter.durable_state().store;
                     let knows = disk.known.iter().find(|(store, _)| *store == own).map_or(0, |(_, n)| *n);
-                    voter.greeted(now, disk.store, disk.written, knows, acts);
+                    voter.hello_received(now, disk.store, disk.written, knows, acts);
                 }
             }
-            Event::Lost(who, in_order) => voter.present.lost(&who.name, who.incarnation, in_order),
-            Event::Vote(to, from, message) if to == voter.kept().store => voter.got(now, from, message, acts),
+            Event::Lost(who, in_order) => voter.presence.link_lost(&who.name, who.incarnation, in_order),
+            Event::Vote(to, from, message) if to == voter.durable_state().store => {
+                voter.message_received(now, from, message, acts)
+            }
             Event::Vote(..) => {}
             Event::Ask(ask, link) => {
                 self.askers.insert(ask.id.clone(), link);
-                voter.asked(now, ask, acts);
+                voter.submit(now, ask, acts);
             }
             Event::Found(record, done) => {
-                let _ = done.send(voter.found(now, record, acts));
+                let _ = done.send(voter.bootstrap(now, record, acts));
             }
             Event::Trust(done) => {
-                let _ = done.send(voter.trusted(now, acts));
+                let _ = done.send(voter.trust_disk(now, acts));
             }
             Event::Status(_) => {}
         }
-        acts.hear_itself(now, voter);
+        acts.deliver_to_self(now, voter);
     }
 
     fn woke(&mut self) {
         let now = self.me.clock.now();
-        self.acts.wake = None;
-        self.acts.chance = self.random.rand_float();
+        self.acts.wake_at = None;
+        self.acts.random = self.random.rand_float();
         if let Some((voter, _)) = &mut self.open {
-            voter.woke(now, &mut self.acts);
-            self.acts.hear_itself(now, voter);
+            voter.timer_fired(now, &mut self.acts);
+            self.acts.deliver_to_self(now, voter);
         }
     }
 
     /// Syncs what is to be kept, and only then lets out what was said.
     async fn flush(&mut self) -> Result<()> {
         let Some((voter, disk)) = &self.open else { return Ok(()) };
-        let own = voter.kept().store;
-        self.acts.settled.clear();
-        if let Some(kept) = self.acts.kept.drain(..).next_back() {
+        let own = voter.durable_state().store;
+        self.acts.committed.clear();
+        if let Some(kept) = self.acts.to_persist.drain(..).next_back() {
             let disk = disk.clone();
             spawn_blocking(move || disk.write(&kept)).await.context("writing").flatten()?;
         }
-        let said = said(voter.kept());
+        let said = said(voter.durable_state());
         self.tell.send_if_modified(|now| now.replace(said.clone()).as_ref() != Some(&said));
-        for (to, message) in self.acts.sent.drain(..) {
+        for (to, message) in self.acts.messages.drain(..) {
             if let Some(name) = self.stores.get(&to) {
                 self.links.send(name, Frame::Vote(to, own, message));
             }
@@ -198,14 +203,14 @@
                 let _ = link.try_send(Frame::Answer(answer));
             }
         }
-        if let Some(standing) = self.acts.standing.take() {
-            let Kept { incarnation, written, accepted, .. } = voter.kept();
+        if let Some(standing) = self.acts.voting_state.take() {
+            let DurableState { incarnation, write_count: written, accepted, .. } = voter.durable_state();
             tracing::info!(
                 "fleet: voter {standing:?}, store {own:016x} opened {incarnation} times, written {written}, \
                  accepted round {}",
                 accepted.round
             );
-            if standing == Standing::Behind {
+            if standing == VotingState::Behind {
                 // The others take this voter in again under a new store.
                 disk.set_aside()?;
                 self.open = None;
@@ -222,27 +227,33 @@
                     .tell
                     .borrow()
                     .clone()
-                    .unwrap_or_else(|| said(&Kept::empty(&self.me.config.name, 0))),
-                standing: Standing::Empty,
+                    .unwrap_or_else(|| said(&DurableState::empty(&self.me.config.name, 0))),
+                standing: VotingState::Empty,
                 seated: false,
                 trouble: Some(self.trouble.clone().unwrap_or_else(|| "its disk is being opened".into())),
-                record: Shared::default(),
+                record: SharedRecord::default(),
                 left: Vec::new(),
                 present: Vec::new(),
             };
         };
-        let kept = voter.kept();
+        let kept = voter.durable_state();
         Status {
             name: self.me.who.name.clone(),
             disk: said(kept),
-            standing: voter.standing(),
-            seated: voter.seated(),
+            standing: voter.voting_state(),
+            seated: voter.is_current_voter(),
             trouble: self.trouble.clone(),
             record: kept.record.clone(),
-            left: kept.record.0.leases.keys().map(|name| (name.clone(), voter.left(now, name))).collect(),
+            left: kept
+                .record
+                .0
+                .leases
+                .keys()
+                .map(|name| (name.clone(), voter.remaining(now, name)))
+                .collect(),
             present: voter
-                .present
-                .all(now)
+                .presence
+                .peers(now)
                 .map(|(name, life, seen, ago)| (name.clone(), life, seen, ago))
                 .collect(),
         }
@@ -250,26 +261,26 @@
 }
 
 /// What a voter tells others of its disk.
-fn said(kept: &Kept) -> wire::Disk {
+fn said(kept: &DurableState) -> wire::Disk {
     wire::Disk {
         store: kept.store,
         empty: kept.is_empty(),
-        written: kept.written,
+        written: kept.write_count,
         founded: kept.record.0.founded,
-        known: kept.known.iter().map(|(store, written)| (*store, *written)).collect(),
+        known: kept.known_write_counts.iter().map(|(store, written)| (*store, *written)).collect(),
     }
 }
 
 /// Opens a voter's folder: what it has, or a new store where that is nothing or can't be trusted.
-fn open(folder: &std::path::Path, fleet: &str) -> Result<Option<(Disk, Kept)>> {
+fn open(folder: &std::path::Path, fleet: &str) -> Result<Option<(Disk, DurableState)>> {
     let Some(disk) = Disk::open(folder)? else { return Ok(None) };
     let kept = match disk.read(fleet)? {
         Found::Whole(kept) => *kept,
-        Found::Nothing => Kept::empty(fleet, draw()),
+        Found::Nothing => DurableState::empty(fleet, draw()),
         Found::Spoilt(why) => {
             tracing::error!("fleet: the voter's file is set aside, it must not vote from it: {why}");
             disk.set_aside()?;
-            Kept::empty(fleet, draw())
+            DurableState::empty(fleet, draw())
         }
     };
     Ok(Some((disk, kept)))
--- a/crates/proxy/src/fleet/store.rs
+++ b/crates/proxy/src/fleet/store.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::sealed::Sealed;
 use anyhow::Result;
-use pumicebay_accord::{Fault, Kept, planted};
+use pumicebay_accord::{DurableState, Fault, planted};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum Found {
     Nothing,
-    Whole(Box<Kept>),
+    Whole(Box<DurableState>),
     /// Why it can't be trusted.
     Spoilt(String),
 }
@@ -43,7 +43,7 @@
     }
 
     /// Returns once it would survive a loss of power.
-    pub fn write(&self, kept: &Kept) -> Result<()> {
+    pub fn write(&self, kept: &DurableState) -> Result<()> {
         if planted(Fault::AnswerBeforeSync) {
             return Ok(());
         }
@@ -57,6 +57,6 @@
 }
 
 /// What a voter's file says, or why it can't be trusted.
-pub fn decode(bytes: &[u8]) -> Result<Kept> {
+pub fn decode(bytes: &[u8]) -> Result<DurableState> {
     FILE.decode(bytes)
 }
--- a/crates/proxy/src/fleet/wire.rs
+++ b/crates/proxy/src/fleet/wire.rs
@@ -5,7 +5,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use pumicebay_accord::{
-    Answer, Ask, Holder, LARGEST, Message, Name, Nanos, Record, Seen, Shared, Standing, Store, Token,
+    Answer, MAX_RECORD_BYTES, Message, Name, Nanos, Operation, PeerState, ProcessId, Record, SharedRecord,
+    StoreId, Token, VotingState,
 };
 use pumicebay_carrier::{Change, Down, Outcome, Sum, Up, Version};
 use pumicebay_replication::{Message as Replicated, Stamp, Status as ReplicationStatus};
@@ -26,7 +27,7 @@
 /// Since when those of replication are.
 pub const REPLICATION: u16 = 3;
 /// A record and what goes with it.
-const LONGEST: usize = LARGEST + 16 * 1024;
+const LONGEST: usize = MAX_RECORD_BYTES + 16 * 1024;
 /// How long a connection may take to come up.
 const CONNECT: Duration = Duration::from_secs(1);
 /// How long a hello may take, and a frame to leave.
@@ -53,7 +54,7 @@
     oldest: u16,
     newest: u16,
     pub fleet: String,
-    pub who: Holder,
+    pub who: ProcessId,
     pub role: Role,
     /// Of a voter.
     pub voter: Option<Disk>,
@@ -62,11 +63,11 @@
 /// What a voter says of its disk, and what it knows of others'.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Disk {
-    pub store: Store,
+    pub store: StoreId,
     pub empty: bool,
     pub written: u64,
     pub founded: u64,
-    pub known: Vec<(Store, u64)>,
+    pub known: Vec<(StoreId, u64)>,
 }
 
 /// What a voter shows of itself.
@@ -74,17 +75,17 @@
 pub struct Status {
     pub name: String,
     pub disk: Disk,
-    pub standing: Standing,
+    pub standing: VotingState,
     /// Whether the newest record that it knows counts its store.
     pub seated: bool,
     /// Why it can't write, if so.
     pub trouble: Option<String>,
     /// As its disk has it; what is agreed a read tells.
-    pub record: Shared,
+    pub record: SharedRecord,
     /// How much longer each lease may be held, in nanoseconds.
     pub left: Vec<(String, Nanos)>,
     /// Who is there as it sees it: name, incarnation, how, and nanoseconds since it was heard.
-    pub present: Vec<(String, u64, Seen, Nanos)>,
+    pub present: Vec<(String, u64, PeerState, Nanos)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -102,8 +103,8 @@
     /// The link is up; of a voter, what it says of its disk now.
     Beat(Option<Disk>),
     /// To the voter with this store, from the one with that.
-    Vote(Store, Store, Message),
-    Ask(Ask),
+    Vote(StoreId, StoreId, Message),
+    Ask(Operation),
     Answer(Answer),
     Found(Record),
     /// A person's word that the voter's disk is no older copy.
@@ -177,7 +178,7 @@
 }
 
 impl Hello {
-    pub fn new(fleet: &str, who: &Holder, role: Role, voter: Option<Disk>) -> Hello {
+    pub fn new(fleet: &str, who: &ProcessId, role: Role, voter: Option<Disk>) -> Hello {
         let (fleet, who) = (fleet.into(), who.clone());
         Hello { magic: MAGIC, oldest: OLDEST, newest: NEWEST, fleet, who, role, voter }
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -23,7 +23,7 @@
 use crate::turns;
 use crate::upstream::pool::{self, Pool};
 use anyhow::{Context, Result, bail, ensure};
-use pumicebay_accord::Fences;
+use pumicebay_accord::FencingTokens;
 use pumicebay_carrier::Resource;
 use rustix::io::Errno;
 use socket2::Socket;
@@ -172,7 +172,7 @@
                 module.maintained(clock.now(), uid, true);
                 module.maintained(clock.now(), uid, false);
             }
-            let fences = Fences::default();
+            let fences = FencingTokens::default();
             actors.spawn(Bans { desk: desk.clone(), folder, out, fences, replication }.run(calls));
             if let Some(listener) = operator {
                 let counters = shared.counters.clone();
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -8,7 +8,7 @@
 use pumicebay::config::parse;
 use pumicebay::fleet::carrier::{apply, disk};
 use pumicebay::fleet::wire::{Frame, Hello, Role};
-use pumicebay_accord::Holder;
+use pumicebay_accord::ProcessId;
 use pumicebay_carrier::{Attachment, Interest, Kept, Member, Resource, Scope, Up, Version};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -177,7 +177,8 @@
     assert_eq!(code, 0, "{said}");
     assert_eq!(holds(fleet.ask("fresh").await), 8);
     // What can't be read ends its link, and nothing else.
-    let (c1, who) = (&fleet.section["carrier"]["control"]["c1"], Holder { name: "x".into(), incarnation: 1 });
+    let (c1, who) =
+        (&fleet.section["carrier"]["control"]["c1"], ProcessId { name: "x".into(), incarnation: 1 });
     let foreign = Attachment { member: Member { name: "y".into(), incarnation: 1 }, number: 1 };
     let up = Up::Subscribe { who: foreign, wants: Interest::All, holds: Version::default(), digest: 0 };
     let up = postcard::to_stdvec(&Frame::Up(Box::new(up))).unwrap();
--- a/crates/proxy/tests/proxy/fleet.rs
+++ b/crates/proxy/tests/proxy/fleet.rs
@@ -9,7 +9,9 @@
 use pumicebay::fleet::start_command;
 use pumicebay::fleet::store::{Disk, Found};
 use pumicebay::fleet::wire::{Frame, Hello, Link, Role};
-use pumicebay_accord::{Answer, Ballot, Holder, Kept, Member, Message, Record, Reply, Shared, Want};
+use pumicebay_accord::{
+    Answer, Ballot, DurableState, Member, Message, OperationKind, ProcessId, Record, Reply, SharedRecord,
+};
 use serde_json::{Value as Json, json};
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +20,17 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-fn kept() -> Kept {
+fn kept() -> DurableState {
     let voters = ["a", "b", "c"].iter().zip(1..).map(|(name, store)| Member { name: (*name).into(), store });
-    let record = Shared(Arc::new(Record::found(77, voters.collect())));
+    let record = SharedRecord(Arc::new(Record::bootstrap(77, voters.collect())));
     let ballot = Ballot { round: 3, store: 1, incarnation: 2 };
-    Kept { promised: ballot, accepted: ballot, record, written: 9, ..Kept::empty("harbour", 1) }
+    DurableState {
+        promised: ballot,
+        accepted: ballot,
+        record,
+        write_count: 9,
+        ..DurableState::empty("harbour", 1)
+    }
 }
 
 /// Cut at every byte and flipped at every bit, a voter's file is either whole or known to be spoilt.
@@ -57,7 +65,7 @@
 }
 
 fn hello(fleet: &str, name: &str) -> Hello {
-    Hello::new(fleet, &Holder { name: name.into(), incarnation: 1 }, Role::Proxy, None)
+    Hello::new(fleet, &ProcessId { name: name.into(), incarnation: 1 }, Role::Proxy, None)
 }
 
 /// Both ends' words after one of them dialled.
@@ -253,7 +261,7 @@
     let patience = Duration::from_millis(500);
     let mut replies = Vec::new();
     for _ in 0..4 {
-        replies.push(asker.want(Want::TakeAway("l".into()), patience).await);
+        replies.push(asker.want(OperationKind::TakeAway("l".into()), patience).await);
     }
     assert!(replies[1..].contains(&Reply::Done), "{replies:?}");
     assert_eq!(replies[3], Reply::Done, "and then who answers is");
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -7,7 +7,7 @@
 use expect_test::expect;
 use pumicebay::config::parse;
 use pumicebay::fleet::wire::{Frame, Hello, Role};
-use pumicebay_accord::Holder;
+use pumicebay_accord::ProcessId;
 use pumicebay_replication::Message;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -243,7 +243,7 @@
         ("p1", framed(&took)),
     ] {
         let mut stream = TcpStream::connect(address).await.unwrap();
-        let who = Holder { name: name.into(), incarnation: 1 };
+        let who = ProcessId { name: name.into(), incarnation: 1 };
         let hello = postcard::to_stdvec(&Hello::new("absurd", &who, Role::Proxy, None)).unwrap();
         stream.write_all(&framed(&hello)).await.unwrap();
         let _ = stream.write_all(&bytes).await;
