--- a/crates/accord/src/apply.rs
+++ b/crates/accord/src/apply.rs
@@ -1,4 +1,4 @@
-//! What becomes of an ask: the one place that changes a record, and the one that says when a lease has ended.
+//! Applies operations to a record, and decides when a lease has ended. Nothing else changes a record.
 
 use crate::message::{Answer, Operation, OperationKind, Reply, SharedRecord};
 use crate::planted::{Fault, planted};
@@ -6,13 +6,15 @@
 use crate::{Nanos, Presence};
 use std::collections::BTreeMap;
 
-/// Leases as this voter has seen them, each since when by its clock. A lease is judged by its sight alone: its holder
-/// counted from before it asked, and nobody can see it before that.
+/// The lease states that this voter has observed, each with the time of its clock at which it first did. A
+/// lease's age is measured from there alone: the holder counts from before it sent its operation, and no
+/// voter can observe the lease before that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseObservations(BTreeMap<Name, (Lease, Nanos)>);
 
 impl LeaseObservations {
-    /// Takes in a record, agreed or not: what is on its way may have been answered already.
+    /// Takes note of the leases of a record, committed or not: a record that is still being voted on may
+    /// already have been answered.
     pub fn observe(&mut self, now: Nanos, record: &Record) {
         self.0.retain(|name, _| record.leases.contains_key(name));
         for (name, lease) in &record.leases {
@@ -24,8 +26,9 @@
         }
     }
 
-    /// How much longer its holder may believe that it holds it, at the most. One that was not seen as it stands, such as
-    /// one given a moment ago in the same batch, counts from now: two who ask together must not both get it.
+    /// How much longer the holder can at most believe that it holds the lease, in nanoseconds. A state that
+    /// was not observed, such as one granted earlier in the same batch, counts from now: two processes that
+    /// ask at the same time must not both get the lease.
     pub fn remaining(&self, now: Nanos, name: &str, lease: &Lease, drift_ppm: u64) -> Nanos {
         if lease.holder.is_none() {
             return 0;
@@ -36,7 +39,7 @@
     }
 }
 
-/// Whether these are one state of a lease.
+/// Whether these are the same state of a lease.
 fn same_state(seen: &Lease, lease: &Lease) -> bool {
     if planted(Fault::RenewalNotObserved) {
         return seen.token == lease.token && seen.holder == lease.holder;
@@ -44,7 +47,8 @@
     seen == lease
 }
 
-/// A time by a clock that may be fast, when the other's may be slow.
+/// A duration that another process measures, as an upper bound on this process's clock: this clock may be
+/// fast while the other is slow.
 pub fn lengthen_for_drift(duration: Nanos, drift_ppm: u64) -> Nanos {
     if planted(Fault::DriftIgnored) {
         return duration;
@@ -52,7 +56,7 @@
     duration.saturating_add(drift_allowance(duration, drift_ppm))
 }
 
-/// The same by the clock of who holds.
+/// The duration for which the holder may rely on a lease by its own clock, which may be slow.
 pub fn shorten_for_drift(duration: Nanos, drift_ppm: u64) -> Nanos {
     if planted(Fault::DriftIgnored) {
         return duration;
@@ -60,30 +64,34 @@
     duration - drift_allowance(duration, drift_ppm)
 }
 
-/// Rounded up: what is allowed for drift is never less than stated.
+/// The most by which a duration can be off. Rounded up, so that it is never less than the configured drift.
 fn drift_allowance(duration: Nanos, ppm: u64) -> Nanos {
     let allowance = (u128::from(duration) * u128::from(ppm)).div_ceil(1_000_000);
     Nanos::try_from(allowance).unwrap_or(Nanos::MAX)
 }
 
-/// How long until no lease of this record can be held any more, from when none is renewed: its holder's clock and that of
-/// who waits may both be off.
+/// After which time no lease of this record can be held any more, in nanoseconds from the moment when
+/// renewals stop. Both the holder's clock and that of the waiting process may be off, hence twice the drift.
 pub fn max_lease_wait(record: &Record, drift_ppm: u64) -> Nanos {
     let longest_duration = record.leases.values().map(|lease| lease.duration).max().unwrap_or(0);
     lengthen_for_drift(longest_duration, 2 * drift_ppm)
 }
 
-/// What asks are judged by.
+/// The context in which operations are applied.
 pub struct ApplyContext<'a> {
+    /// The time on this voter's clock.
     pub now: Nanos,
+    /// The lease states that this voter has observed.
     pub observations: &'a LeaseObservations,
+    /// How much faster or slower than real time a clock may run, in millionths.
     pub drift_ppm: u64,
-    /// Names that may vote.
+    /// The names of the processes that may vote.
     pub eligible_voters: &'a [Name],
 }
 
 impl ApplyContext<'_> {
-    /// Changes the record as asked, or leaves it; `None` for a read, which is answered with what gets settled.
+    /// Applies an operation to the record, or leaves the record unchanged where it is refused. Returns `None`
+    /// for a read, which is answered with the record that gets committed.
     pub fn apply(&self, record: &mut Record, operation: &Operation) -> Option<Answer> {
         let original = record.clone();
         let reply = match &operation.kind {
@@ -118,7 +126,8 @@
         let number = operation.id.number;
         if let Some(lease) = record.leases.get(name) {
             if lease.held_by(&operation.id.process) && !lease.revoked {
-                // Asked again after the round that did it was given up, or from before a later ask.
+                // A repetition, as the round that granted the lease was given up after it took effect, or an
+                // operation from before a later one.
                 match number.cmp(&lease.operation_number) {
                     std::cmp::Ordering::Equal => return Reply::Granted(lease.token),
                     std::cmp::Ordering::Less => return Reply::Refused("an old ask".into()),
@@ -171,7 +180,8 @@
         if operation.id.number == lease.operation_number && lease.held_by(&operation.id.process) {
             return Reply::Granted(token);
         }
-        // Whoever may have been told that it ended must not be told otherwise.
+        // A process that may have been told that its lease ended must not be told afterwards that it was
+        // renewed.
         if !revived && (lease.revoked || remaining == 0 || operation.id.number < lease.operation_number) {
             return Reply::Denied(None, remaining);
         }
@@ -254,12 +264,13 @@
     Reply::Written(record.version + 1)
 }
 
-/// Answers to reads, from a record that is settled.
+/// The answer to a read, from a committed record.
 pub fn read_answer(operation: &Operation, record: &SharedRecord) -> Answer {
     Answer { id: operation.id.clone(), reply: Reply::Record(record.clone()) }
 }
 
-/// Who voters take in again: a process under a voter's name whose store is new, seen here by its own link.
+/// The operation that readmits a voter with a new store: a process under a voter's name that this process
+/// sees on its own link, and whose store is another one and empty.
 pub fn find_voter_to_readmit(record: &Record, presence: &Presence, now: Nanos) -> Option<OperationKind> {
     let returned = |member: &&Member| {
         presence.store_of(&member.name, now).is_some_and(|store| store != member.store)
@@ -273,7 +284,7 @@
     })
 }
 
-/// A holder as words.
+/// Formats a process as its name and incarnation, as in `name#7`.
 impl std::fmt::Display for ProcessId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}#{}", self.name, self.incarnation)
--- a/crates/accord/src/effects.rs
+++ b/crates/accord/src/effects.rs
@@ -1,27 +1,32 @@
-//! A host that only notes down what a voter asks for, to be carried out once something has happened to it.
+//! A host that records what a voter requests, so that it can be carried out once the voter has handled an
+//! event.
 
 use crate::Nanos;
 use crate::message::{Answer, Message, SharedRecord};
 use crate::record::StoreId;
 use crate::voter::{DurableState, Host, Voter, VotingState};
 
-/// What a voter asked for, in order.
+/// The requests of a voter, in order.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// The last is what its disk is to have before anything below goes out.
+    /// States to persist. The last one must be on disk before any message or answer below is sent.
     pub to_persist: Vec<DurableState>,
+    /// Messages to voters, by store.
     pub messages: Vec<(StoreId, Message)>,
+    /// Answers to operations.
     pub answers: Vec<Answer>,
+    /// Records that were found to be committed.
     pub committed: Vec<SharedRecord>,
-    /// The earliest that it wants to be woken.
+    /// The earliest time at which the voter wants to be woken.
     pub wake_at: Option<Nanos>,
+    /// The voting state, if it has changed.
     pub voting_state: Option<VotingState>,
-    /// What chance says meanwhile, drawn by whoever owns this.
+    /// The random number between 0 and 1 that the voter gets, drawn by the owner of this value.
     pub random: f64,
 }
 
 impl Effects {
-    /// What a voter says to itself needs no link, only its turn.
+    /// Delivers the messages that the voter sent to itself: they need no link.
     pub fn deliver_to_self(&mut self, now: Nanos, voter: &mut Voter) {
         let own_store = voter.durable_state().store;
         while let Some(at) = self.messages.iter().position(|(to, _)| *to == own_store) {
--- a/crates/accord/src/fencing.rs
+++ b/crates/accord/src/fencing.rs
@@ -1,33 +1,37 @@
-//! What an act's token is held against by whatever it acts on: the highest that was seen of each lease.
+//! Fencing: a resource compares the token of each action with the highest token that it has seen of the same
+//! lease, so that a former holder of the lease can no longer act.
 
 use crate::record::{Name, Token};
 use std::collections::BTreeMap;
 
-/// What becomes of an act.
+/// The result of checking an action's token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceCheck {
-    /// Its token is the highest so far.
+    /// No higher token of the lease is known: the action may go on.
     Current,
-    /// Another has had a higher one since, which is given.
+    /// A higher token, which is given, has been used since.
     Superseded(Token),
-    /// Too many leases are known already to keep this one in mind.
+    /// Too many leases are known already to remember another one.
     TooManyLeases,
 }
 
+/// The highest known token of each lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FencingTokens(BTreeMap<Name, Token>);
 
 impl FencingTokens {
-    /// Leases that are kept in mind. None is ever forgotten: its next call could come with a lower token.
+    /// How many leases are remembered. None is ever forgotten, as an action under a lower token could still
+    /// come.
     pub const MAX_LEASES: usize = 256;
 
-    /// What was seen before: by another process, or in an earlier life.
+    /// Records a token that was used before: by this process, by another one, or in an earlier incarnation.
     pub fn observe(&mut self, lease: &str, token: Token) {
         let known = self.0.entry(lease.into()).or_default();
         *known = token.max(*known);
     }
 
-    /// Whether an act under this token may go on. It changes nothing: what passes is kept first, and `saw` after.
+    /// Checks whether an action under this token may go on. Changes nothing: the caller first stores a token
+    /// that passes, and then calls [`observe`](FencingTokens::observe).
     pub fn check(&self, lease: &str, token: Token) -> FenceCheck {
         match self.0.get(lease) {
             Some(&highest) if token < highest => FenceCheck::Superseded(highest),
--- a/crates/accord/src/lease_client.rs
+++ b/crates/accord/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! A lease from the side of who wants it: when to ask, and until when it may act.
+//! The requesting side of a lease: when to send which operation, and until when the lease may be used.
 
 use crate::Nanos;
 use crate::apply::shorten_for_drift;
@@ -7,18 +7,20 @@
 use crate::record::{Name, ProcessId, Token};
 use std::collections::BTreeMap;
 
-/// What it has.
+/// A lease that is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
+    /// The fencing token of the grant.
     pub token: Token,
-    /// No act may last beyond this, by the holder's own clock.
+    /// No action under the lease may last beyond this time of the holder's clock.
     pub valid_until: Nanos,
 }
 
-/// Asks not answered are kept so many: an answer to an older one says nothing that a newer one does not.
+/// How many operations without an answer are remembered: the answer to an older one says nothing that a newer
+/// one does not.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// One lease that somebody wants, for as long as this lives.
+/// One lease that a process wants, for as long as this value lives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     process: ProcessId,
@@ -26,32 +28,36 @@
     duration: Nanos,
     drift_ppm: u64,
     held: Option<HeldLease>,
-    /// When it asks next.
+    /// When the next operation is due.
     operation_due: Nanos,
-    /// Asks on their way and when each was made: an answer counts from there.
+    /// Unanswered operations by number: when each was issued, from where its lease counts, and whether it is
+    /// a renewal.
     in_flight: BTreeMap<u64, (Nanos, bool)>,
 }
 
 impl LeaseClient {
+    /// Creates a client that wants the lease with this name for `duration` at a time. `drift_ppm` is how much
+    /// faster or slower than real time a clock may run, in millionths.
     pub fn new(now: Nanos, process: ProcessId, name: &str, duration: Nanos, drift_ppm: u64) -> LeaseClient {
         let (name, in_flight) = (name.into(), BTreeMap::new());
         LeaseClient { process, name, duration, drift_ppm, held: None, operation_due: now, in_flight }
     }
 
-    /// When it wants to ask, or its time is up.
+    /// When the next operation is due or the lease ends, whichever is first.
     pub fn wake_at(&self) -> Nanos {
         self.held.map_or(self.operation_due, |held| held.valid_until.min(self.operation_due))
     }
 
-    /// What to ask now, if anything, under this number, which is higher than any before of this holder. It is renewed at a
-    /// third of its time, and asked for again while no answer comes.
+    /// The operation to send now, if one is due. `number` must be higher than any before of this process. A
+    /// lease is renewed at a third of its duration, and operations are repeated while no answer comes.
     pub fn next_operation(&mut self, now: Nanos, number: u64) -> Option<Operation> {
         self.drop_expired(now);
         if now < self.operation_due {
             return None;
         }
         let (duration, name) = (self.duration, self.name.clone());
-        // Each grant has a token of its own: two that came of one impatient asker would end its first act.
+        // Each grant has a token of its own: repeating an acquisition too early would lead to two grants, and
+        // the second token would end an action that was started under the first.
         let (kind, next_after) = match self.held {
             Some(HeldLease { token, .. }) => (OperationKind::Renew(name, duration, token), duration / 12),
             None => (OperationKind::Acquire(name, duration), duration / 2),
@@ -60,14 +66,14 @@
         Some(self.track(now, number, kind))
     }
 
-    /// An answer to the ask of this number.
+    /// Handles the answer to the operation with this number.
     pub fn answer_received(&mut self, now: Nanos, number: u64, reply: &Reply) {
         let Some((asked_at, is_renewal)) = self.in_flight.remove(&number) else { return };
         self.drop_expired(now);
         match reply {
             Reply::Granted(token) => {
-                // A renewal that was answered after its lease had ended here, or a grant from before it was given
-                // back, gives nothing: it has to be asked for anew.
+                // A renewal whose answer came after the lease had ended here, or a grant from before the
+                // lease was given back, grants nothing: the lease has to be acquired anew.
                 if is_renewal && self.held.is_none_or(|held| held.token != *token) {
                     return;
                 }
@@ -84,7 +90,7 @@
                 }
             }
             Reply::Denied(_, remaining) if is_renewal => {
-                // It is somebody else's, or was taken away.
+                // Another process holds the lease, or it was revoked.
                 self.held = None;
                 self.operation_due = now + (*remaining).max(self.duration / 12);
             }
@@ -98,30 +104,33 @@
         }
     }
 
-    /// The token to act under, for an act that takes so long; `None` where it might not end in time.
+    /// The token for an action that takes this long; `None` where the action might outlast the lease.
     pub fn token_if_valid_for(&self, now: Nanos, act_duration: Nanos) -> Option<Token> {
         self.held.filter(|held| now + act_duration < held.valid_until).map(|held| held.token)
     }
 
-    /// Whether this is its holder.
+    /// Whether this is the lease client of that process.
     pub fn belongs_to(&self, process: &ProcessId) -> bool {
         self.process == *process
     }
 
+    /// The lease, if it is held as of the last call that was given the time.
     pub fn held(&self) -> Option<HeldLease> {
         self.held
     }
 
-    /// Stops at once, and says what to send so that others need not wait for the time to end.
+    /// Stops using the lease at once. Returns the operation that tells the voters, so that others need not
+    /// wait for the lease to end; `None` where it is not held.
     pub fn give_back(&mut self, now: Nanos, number: u64) -> Option<Operation> {
         self.drop_expired(now);
-        // What is still on its way counts no more.
+        // Answers to earlier operations no longer count.
         self.in_flight.clear();
         let HeldLease { token, .. } = self.held.take()?;
         self.operation_due = now + self.duration / 3;
         Some(self.track(now, number, OperationKind::GiveBack(self.name.clone(), token)))
     }
 
+    /// Remembers an operation until it is answered.
     fn track(&mut self, now: Nanos, number: u64, kind: OperationKind) -> Operation {
         self.in_flight.insert(number, (now, matches!(kind, OperationKind::Renew(..))));
         while self.in_flight.len() > MAX_IN_FLIGHT {
@@ -130,6 +139,7 @@
         Operation { id: OperationId { process: self.process.clone(), number }, kind }
     }
 
+    /// Drops the lease if it has ended, and makes the next operation due at once.
     fn drop_expired(&mut self, now: Nanos) {
         if self.held.is_some_and(|held| now >= held.valid_until) {
             self.held = None;
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,9 +1,11 @@
-//! One small record that the processes of a fleet agree on, and leases that two never hold at once. Decisions alone: no
-//! I/O, no clock, no chance of its own. `docs/accord.md` has the options weighed, the scheme and what is promised.
+//! A small record that the processes of a fleet agree on by majority vote, and leases of which at most one
+//! process holds each at a time. This crate makes decisions only: it does no I/O, reads no clock and draws no
+//! random numbers.
 //!
-//! A process that votes drives a [`Voter`]: one method for each thing that can happen, which acts by calls to its
-//! [`Host`]. Who wants a lease drives a [`Holding`] and sends the [`Ask`]s that it gives to any voter. Times are whole
-//! nanoseconds of the process's own clock, which must run on through suspension and stay within the stated drift.
+//! A process that votes drives a [`Voter`]: the voter has one method for each event, and reacts by calling
+//! its [`Host`]. A process that wants a lease drives a [`LeaseClient`] and sends the [`Operation`]s that it
+//! returns to any voter. Times are whole nanoseconds of the process's own clock, which must keep running
+//! while the machine is suspended and must stay within the configured drift.
 
 mod apply;
 mod effects;
@@ -28,5 +30,5 @@
 pub use record::{Entry, Lease, MAX_RECORD_BYTES, Member, Name, ProcessId, Record, StoreId, Token};
 pub use voter::{DurableState, Host, Voter, VoterConfig, VotingState};
 
-/// Whole nanoseconds.
+/// A time or a duration in whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -1,11 +1,11 @@
-//! What voters and askers say to each other.
+//! Messages between voters, and the operations and answers exchanged with the processes that use them.
 
 use crate::record::{Member, Name, ProcessId, Record, StoreId, Token};
 use crate::{Lease, Nanos};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Ballots are never used twice: a round of one life of one store.
+/// A ballot number: one round of one incarnation of one store. No ballot is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
@@ -13,66 +13,71 @@
     pub incarnation: u64,
 }
 
-/// Between voters. The last number of most is how often the sender has written its disk: by it others know an older copy.
+/// A message between voters. The last number of most variants is the sender's
+/// [`write_count`](crate::DurableState::write_count): a receiver that knows a higher count for a store can
+/// tell that this store was rolled back to an older copy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
+    /// Asks for a promise to accept no lower ballot.
     Prepare(Ballot, u64),
-    /// The ballot asked for, and what was accepted before it.
+    /// The ballot that is promised, and the ballot and record that were accepted before it.
     Promise(Ballot, Ballot, SharedRecord, u64),
+    /// Asks the receiver to accept this record under this ballot.
     Accept(Ballot, SharedRecord, u64),
+    /// The record of this ballot was accepted.
     Accepted(Ballot, u64),
-    /// The ballot refused, and the one promised instead.
+    /// The ballot that is refused, and the higher ballot that was promised instead.
     Refuse(Ballot, Ballot),
-    /// What is accepted now: the number is the asker's own, to tell answers apart.
+    /// Asks for the accepted ballot and record. The number is chosen by the sender to match the answers to
+    /// the question.
     Peek(u64),
+    /// Answers `Peek`: its number, and the accepted ballot and record.
     Peeked(u64, Ballot, SharedRecord, u64),
 }
 
-/// A record that is sent to many. Two are the same when they say the same.
+/// A record behind a shared pointer, as it is sent to many. Two are equal when their records are equal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SharedRecord(pub Arc<Record>);
 
-/// Who asked, and the number that it gave its ask. Numbers only grow within an incarnation.
+/// Identifies an operation: the process that issued it, and a number that only grows within an incarnation of
+/// this process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationId {
     pub process: ProcessId,
     pub number: u64,
 }
 
+/// An operation on the record, as it is sent to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Operation {
     pub id: OperationId,
     pub kind: OperationKind,
 }
 
+/// What an operation does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OperationKind {
-    /// A lease for so long, by the asker's clock, from before it asked.
+    /// Acquires a lease for this duration by the requester's clock, counted from before the operation was
+    /// sent.
     Acquire(Name, Nanos),
-    /// The lease held under this token, for so long again.
+    /// Renews the lease that is held under this token for this duration, counted in the same way.
     Renew(Name, Nanos, Token),
+    /// Gives back the lease that is held under this token, so that others need not wait for its end.
     GiveBack(Name, Token),
-    /// A person's word: whoever holds it renews it no more.
+    /// Revokes a lease on an operator's command: its holder can no longer renew it.
     TakeAway(Name),
-    /// A value, if its version is still this one (0: not there), and if this lease is held under this token. An empty
-    /// text removes it.
-    Put {
-        name: Name,
-        text: String,
-        expected_version: Option<u64>,
-        fence: Option<(Name, Token)>,
-    },
-    /// A voter in place of another, or a new store under the same name.
-    ReplaceVoter {
-        replaced: Name,
-        voter: Member,
-    },
-    /// The whole record.
+    /// Writes a value, provided that its version is still `expected_version` (0: the value does not exist)
+    /// and that the lease `fence.0` is still held under the token `fence.1`. A condition that is `None` is
+    /// not checked. An empty text removes the value.
+    Put { name: Name, text: String, expected_version: Option<u64>, fence: Option<(Name, Token)> },
+    /// Replaces a voter by another one, or by a new store under the same name.
+    ReplaceVoter { replaced: Name, voter: Member },
+    /// Reads the whole record.
     Read,
 }
 
 impl OperationKind {
-    /// What a voter that has too much to do turns away first: the higher, the sooner.
+    /// The order in which a voter that is overloaded rejects operations: those with the highest value first.
     pub fn shed_priority(&self) -> u8 {
         match self {
             OperationKind::Read => 2,
@@ -85,31 +90,37 @@
     }
 }
 
+/// The answer to the operation with this id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Answer {
     pub id: OperationId,
     pub reply: Reply,
 }
 
+/// The outcome of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// Got or renewed, under this token.
+    /// The lease was acquired or renewed under this token.
     Granted(Token),
-    /// Somebody else's, or ended: who holds it, and about how much longer.
+    /// The lease is held by another process, or it has ended: who holds it, and about how much longer, in
+    /// nanoseconds.
     Denied(Option<ProcessId>, Nanos),
+    /// The operation was applied, or it had nothing left to do.
     Done,
-    /// The value stands in the record since this version of it.
+    /// The value was written, and this is its version in the record.
     Written(u64),
-    /// Why not, in words.
+    /// The operation was rejected, for the reason given in the text.
     Refused(String),
+    /// The committed record, in answer to a read.
     Record(SharedRecord),
-    /// No majority answered in time; whether it was done is not known.
+    /// No majority answered in time; the operation may or may not have been applied.
     Unknown,
-    /// Too much to do; ask again later, or another voter.
+    /// The voter is overloaded or does not vote; ask again later, or ask another voter.
     Busy,
 }
 
 impl Lease {
+    /// Whether this process, in this incarnation, holds the lease.
     pub fn held_by(&self, process: &ProcessId) -> bool {
         self.holder.as_ref() == Some(process)
     }
--- a/crates/accord/src/planted.rs
+++ b/crates/accord/src/planted.rs
@@ -1,34 +1,39 @@
-//! Faults planted on purpose, to see that the proofs find them. In a build without the feature nothing is planted and
-//! nothing is asked.
+//! Fault injection: deliberate faults that the tests must detect. The cargo feature `planted` compiles them
+//! in; without it (and outside this crate's own tests) no fault can be injected and the checks compile to
+//! nothing.
 
 pub use now::{plant, planted};
 
+/// A fault that can be injected. Tools select it by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// A voter answers before its disk has what it says.
+    /// A voter answers before its state is synced to disk.
     AnswerBeforeSync = 1,
-    /// A holder counts its time from the answer.
+    /// A holder counts the duration of its lease from the answer instead of from before the operation was
+    /// sent.
     LeaseCountedFromAnswer,
-    /// A lease goes to another under the old token.
+    /// A lease passes to another holder under the old token.
     TokenNotIncremented,
-    /// Neither side allows for clocks that differ.
+    /// Neither the holder nor the voter allows for clock drift.
     DriftIgnored,
-    /// A voter that comes back empty votes as if it remembered.
+    /// A voter that restarts with an empty disk votes as if it remembered its promises.
     EmptyDiskVotes,
-    /// A renewal that comes late brings an ended lease back to its old holder.
+    /// A late renewal gives an ended lease back to its former holder.
     LateRenewalRevivesLease,
-    /// A write under a lease does not look at the token.
+    /// A write under a lease does not check the token.
     FencingTokenIgnored,
-    /// One voter settles a change alone.
+    /// A single voter commits a change.
     MinorityCommits,
-    /// A voter takes a renewal for one that it has seen before, and so judges a lease too old.
+    /// A voter mistakes a renewal for a lease state that it has already observed, and so takes the lease for
+    /// older than it is.
     RenewalNotObserved,
-    /// What is asked next is built on an exchange of voters that is not settled yet.
+    /// A voter builds the next change on a change of voters that is not committed yet.
     UncommittedVoterChange,
 }
 
 impl Fault {
+    /// All faults, in the order of their numbers.
     pub const ALL: [Fault; 10] = [
         Fault::AnswerBeforeSync,
         Fault::LeaseCountedFromAnswer,
@@ -47,7 +52,7 @@
 mod now {
     std::thread_local!(static PLANTED: std::cell::Cell<u8> = const { std::cell::Cell::new(0) });
 
-    /// Plants this fault, or none, for this thread.
+    /// Injects this fault, or none, in this thread.
     pub fn plant(fault: Option<super::Fault>) {
         PLANTED.set(fault.map_or(0, |fault| fault as u8));
     }
@@ -63,7 +68,7 @@
 
     static PLANTED: AtomicU8 = AtomicU8::new(0);
 
-    /// Plants this fault, or none, in the whole process.
+    /// Injects this fault, or none, in the whole process.
     pub fn plant(fault: Option<super::Fault>) {
         PLANTED.store(fault.map_or(0, |fault| fault as u8), Ordering::Relaxed);
     }
@@ -75,7 +80,7 @@
 
 #[cfg(not(any(test, feature = "planted")))]
 mod now {
-    /// Nothing can be planted in this build.
+    /// Does nothing: this build has no fault injection.
     pub fn plant(_: Option<super::Fault>) {}
 
     #[inline(always)]
--- a/crates/accord/src/presence.rs
+++ b/crates/accord/src/presence.rs
@@ -1,44 +1,49 @@
-//! Who is there, as one process sees it from its own links: a view, which decides nothing but what is shown and who is
-//! offered a seat. Whoever is lost from it goes on by itself.
+//! The processes that are present, as one process sees them over its own links. This view is used for display
+//! and to decide which voter is readmitted with a new store; nothing else depends on it. A process that is
+//! missing from it keeps working.
 
 use crate::Nanos;
 use crate::record::{Name, StoreId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// The state of another process. The variants' names are shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerState {
-    /// Its link is up, and it was heard lately.
+    /// Its link is up, and it was heard recently.
     Up,
-    /// Its link is up or just lost, and it says nothing.
+    /// It was not heard recently, or its link was lost a short time ago.
     Silent,
-    /// Not heard for long.
+    /// It has not been heard for a long time.
     Gone,
 }
 
+/// What is known of another process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Peer {
     incarnation: u64,
-    /// Of a voter: its store, and whether that never had a record.
+    /// For a voter: its store, and whether this store has never had a record.
     store: Option<(StoreId, bool)>,
     last_heard: Nanos,
     linked: bool,
 }
 
-/// How long without a word until a process counts as silent, and as gone, in nanoseconds.
+/// After how long without a message a process counts as silent, and as gone, in nanoseconds.
 const SILENT_AFTER: Nanos = 3_000_000_000;
 const GONE_AFTER: Nanos = 10_000_000_000;
-/// Forgotten after so long: names of short-lived askers must not pile up.
+/// After how long a process is forgotten, in nanoseconds. Without it the names of short-lived commands would
+/// accumulate.
 const FORGET_AFTER: Nanos = 3_600_000_000_000;
 
+/// The known processes by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Presence(BTreeMap<Name, Peer>);
 
 impl Presence {
-    /// It said hello on a link, or said anything since.
+    /// Records that a process said hello on a link, or sent anything after that.
     pub fn heard_from(&mut self, now: Nanos, name: &str, incarnation: u64, store: Option<(StoreId, bool)>) {
         if let Some(peer) = self.0.get_mut(name) {
-            // A late word of an earlier life tells nothing.
+            // A late message of an earlier incarnation says nothing about the present one.
             if incarnation >= peer.incarnation {
                 *peer = Peer { incarnation, store, last_heard: now, linked: true };
             }
@@ -48,7 +53,7 @@
         self.0.insert(name.into(), Peer { incarnation, store, last_heard: now, linked: true });
     }
 
-    /// Its link went down. One that ended it in order is forgotten at once.
+    /// Records that a process's link went down. A process that closed the link in order is removed at once.
     pub fn link_lost(&mut self, name: &str, incarnation: u64, in_order: bool) {
         let Some(peer) = self.0.get_mut(name).filter(|peer| peer.incarnation == incarnation) else { return };
         peer.linked = false;
@@ -57,16 +62,18 @@
         }
     }
 
+    /// The store of the voter with this name, if the voter is up.
     pub fn store_of(&self, name: &str, now: Nanos) -> Option<StoreId> {
         let peer = self.0.get(name).filter(|peer| peer.state(now) == PeerState::Up)?;
         peer.store.map(|(store, _)| store)
     }
 
+    /// Whether the voter with this name last reported a store that has never had a record.
     pub fn has_empty_store(&self, name: &str) -> bool {
         self.0.get(name).and_then(|peer| peer.store).is_some_and(|(_, empty)| empty)
     }
 
-    /// Name, incarnation, how it is seen, and how long ago it was heard.
+    /// All known processes: name, incarnation, state, and nanoseconds since it was last heard.
     pub fn peers(&self, now: Nanos) -> impl Iterator<Item = (&Name, u64, PeerState, Nanos)> {
         self.0.iter().map(move |(name, peer)| {
             (name, peer.incarnation, peer.state(now), now.saturating_sub(peer.last_heard))
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -1,77 +1,89 @@
-//! What is agreed on: named values, leases and who votes.
+//! The record that the voters agree on: named values, leases and the set of voters.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most that a record may take, as it goes over the links, in bytes.
+/// The largest encoded size of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// A disk of a voter: a number drawn when its folder was empty. Never two disks, and never zero.
+/// Identifies the disk of a voter: a random number drawn when its folder was empty. It is never zero, and no
+/// two disks have the same.
 pub type StoreId = u64;
-/// Grows with each grant of a lease, and is never given twice.
+/// A fencing token: it grows with each grant of a lease, and no two grants have the same.
 pub type Token = u64;
+/// The name of a process, a lease or a value.
 pub type Name = String;
 
-/// A process that votes.
+/// A voter: its name and its store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub name: Name,
     pub store: StoreId,
 }
 
-/// Who holds or asks: a name and which life of it.
+/// Identifies one run of a process: its name, and an incarnation that is higher after each restart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
     pub name: Name,
     pub incarnation: u64,
 }
 
+/// A lease: the right of one process at a time to do something.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Lease {
+    /// Who holds the lease; `None` where it was given back.
     pub holder: Option<ProcessId>,
-    /// The number that the holder gave the ask which got or renewed it. It only grows within an incarnation, so no two
-    /// states of a lease look alike: a voter that judges age by sight must not take a new renewal for an old one.
+    /// The number of the operation by which the holder acquired or last renewed the lease. It only grows
+    /// within an incarnation, so that no two states of a lease are equal: a voter measures a lease's age from
+    /// when it first observed its state, and must not take a new renewal for one that it already knows.
     pub operation_number: u64,
-    /// How long it lasts, by the holder's clock, from before it asked.
+    /// How long the lease lasts by the holder's clock, counted from before the operation was sent.
     pub duration: Nanos,
+    /// The token of the last grant.
     pub token: Token,
-    /// An operator has taken it away: it is renewed no more, and goes on to another when its time has ended.
+    /// Whether an operator has revoked the lease: it is no longer renewed, and another process can acquire it
+    /// once its duration has passed.
     pub revoked: bool,
 }
 
+/// A named value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
     pub text: String,
-    /// The record's version when it was written last: never the same for two texts.
+    /// The version of the record in which the value was last written. No two texts of a value have the same
+    /// version.
     pub version: u64,
-    /// Who wrote it last, and that ask's number.
+    /// The process that wrote the value last, and the number of the operation that did.
     pub written_by: (ProcessId, u64),
 }
 
+/// The replicated record. It is replaced as a whole with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// When the fleet was founded, in milliseconds of Unix time; voters of another founding are strangers. Tokens begin
-    /// above it, so that they grow over a loss of all disks too.
+    /// When the fleet was founded, in milliseconds of Unix time. A voter that has a record ignores those of another founding.
+    /// Tokens start above this time, so that they keep growing even after all disks were lost.
     pub founded: u64,
-    /// Changes since then.
+    /// The number of changes since the founding.
     pub version: u64,
     pub voters: Vec<Member>,
-    /// The voters of the record that this one was made from. Both sets have to accept it.
+    /// The voters of the record that this one was derived from. A majority of both sets has to accept the
+    /// record.
     pub previous_voters: Vec<Member>,
     pub leases: BTreeMap<Name, Lease>,
     pub values: BTreeMap<Name, Entry>,
 }
 
 impl Record {
-    /// The first record of a fleet.
+    /// Creates the first record of a fleet.
     pub fn bootstrap(founded: u64, voters: Vec<Member>) -> Record {
         Record { founded, previous_voters: voters.clone(), voters, ..Record::default() }
     }
 
-    /// The first record of a fleet whose majority was lost, from what a voter that survived has: its values, and its leases
-    /// with their tokens, which nobody holds any more. What was settled after it is lost. Tokens go on above the new
-    /// founding: those that the survivor had not heard of lie below it.
+    /// Creates the first record of a fleet that lost the majority of its voters, from the record of a voter
+    /// that survived: with its values, and with its leases and their tokens but without holders. Changes
+    /// committed after the surviving record are lost. Tokens continue above the new founding time, because
+    /// the tokens that the survivor did not know of lie below it.
     pub fn bootstrap_from(founded: u64, voters: Vec<Member>, survived: &Record) -> Record {
         let mut record = Record::bootstrap(founded.max(survived.founded + 1), voters);
         record.version = survived.version + 1;
@@ -84,26 +96,27 @@
         record
     }
 
-    /// All stores that this record concerns.
+    /// The stores of the voters and of the previous voters.
     pub fn all_stores(&self) -> BTreeSet<StoreId> {
         self.voters.iter().chain(&self.previous_voters).map(|member| member.store).collect()
     }
 
-    /// Whether those that said yes are a majority of the voters, and of those before where they differ.
+    /// Whether the stores that accepted include a majority of the voters, and also of the previous voters.
     pub fn has_quorum(&self, accepted_by: &BTreeSet<StoreId>) -> bool {
         is_majority(&self.voters, accepted_by) && is_majority(&self.previous_voters, accepted_by)
     }
 
-    /// Who votes under this name.
+    /// The voter with this name, or `None`.
     pub fn voter_named(&self, name: &str) -> Option<&Member> {
         self.voters.iter().find(|member| member.name == name)
     }
 
+    /// Whether this store belongs to one of the voters.
     pub fn is_voter(&self, store: StoreId) -> bool {
         self.voters.iter().any(|member| member.store == store)
     }
 
-    /// In bytes, as it goes over the links.
+    /// The size of the encoded record in bytes.
     pub fn encoded_size(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(usize::MAX)
     }
@@ -111,7 +124,8 @@
 
 fn is_majority(voters: &[Member], accepted_by: &BTreeSet<StoreId>) -> bool {
     let count = voters.iter().filter(|member| accepted_by.contains(&member.store)).count();
-    // A minority settles: the split that a majority is there to prevent.
+    // A minority commits a change: this lets two halves of a split fleet decide differently, which the
+    // majority rule prevents.
     if crate::planted(crate::Fault::MinorityCommits) {
         return count >= 1;
     }
--- a/crates/accord/src/round.rs
+++ b/crates/accord/src/round.rs
@@ -1,28 +1,24 @@
-//! What a voter knows of the round that it runs.
+//! The state of the round that a voter runs.
 
 use crate::message::{Answer, Ballot, SharedRecord};
 use crate::record::StoreId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What others said that they had accepted.
+/// The ballot and record that each store reported as accepted.
 pub type AcceptedReports = BTreeMap<StoreId, (Ballot, SharedRecord)>;
 
+/// The round in progress, if any.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Round {
+    /// No round is running.
     Idle,
-    /// Looks whether a majority has accepted one ballot: enough for reads.
-    Peek {
-        number: u64,
-        recipients: BTreeSet<StoreId>,
-        reports: AcceptedReports,
-    },
-    /// Waits for promises.
-    Prepare {
-        ballot: Ballot,
-        recipients: BTreeSet<StoreId>,
-        reports: AcceptedReports,
-    },
-    /// Waits for a majority to accept what came of the first `covered` asks, whose answers wait here.
+    /// Finds out whether a majority has accepted the same ballot, which is enough to answer reads.
+    Peek { number: u64, recipients: BTreeSet<StoreId>, reports: AcceptedReports },
+    /// Waits for a majority of promises.
+    Prepare { ballot: Ballot, recipients: BTreeSet<StoreId>, reports: AcceptedReports },
+    /// Waits for a majority to accept the record that results from the first `covered` pending operations.
+    /// Their answers are kept until then; `None` stands for a read, which is answered with the committed
+    /// record.
     Accept {
         ballot: Ballot,
         record: SharedRecord,
@@ -32,8 +28,9 @@
     },
 }
 
-/// The newest record among those said, and whether it is settled for sure; `None` until a majority of its voters has
-/// spoken. A record among them may name voters that were not asked: these come second.
+/// The newest reported ballot and record, and whether the reports show that it is committed; `None` until a
+/// majority of its voters has reported. The second value is the set of the newest record's stores while their
+/// reports are missing, as it can name voters that were not asked.
 pub fn newest_accepted(
     reports: &AcceptedReports,
 ) -> (Option<(Ballot, SharedRecord, bool)>, BTreeSet<StoreId>) {
--- a/crates/accord/src/voter.rs
+++ b/crates/accord/src/voter.rs
@@ -1,5 +1,7 @@
-//! A process that votes: it promises and accepts, and runs rounds for those who ask it. What it says is on its disk
-//! first: the host lets nothing out before what was kept ahead of it is synced.
+//! A process that votes. It answers the prepare and accept messages of other voters, and runs rounds for the
+//! operations that are submitted to it (single-decree Paxos on a record that is replaced as a whole).
+//! Whatever it says is on its disk first: the host sends no message or answer before the state that was
+//! persisted ahead of it is synced.
 
 use crate::Nanos;
 use crate::apply::{self, ApplyContext, LeaseObservations};
@@ -11,41 +13,48 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// What a voter asks of the process that it lives in.
+/// The process around a voter, which carries out its requests.
 pub trait Host {
-    /// Syncs this to disk before anything that is sent or answered after it goes out.
+    /// Syncs this state to disk before anything that is sent or answered after this call leaves the process.
     fn persist(&mut self, state: &DurableState);
-    /// To a voter, by its store; lost where it can't be had.
+    /// Sends a message to the voter with this store. It may be lost.
     fn send(&mut self, to: StoreId, message: Message);
+    /// Sends an answer to the process that issued the operation.
     fn answer(&mut self, answer: Answer);
-    /// This record is settled.
+    /// This record was found to be committed.
     fn committed(&mut self, record: &SharedRecord);
-    /// To be woken at this time, or sooner.
+    /// Calls [`Voter::timer_fired`] at this time, or sooner.
     fn wake_at(&mut self, at: Nanos);
-    /// Between 0 and 1.
+    /// A random number between 0 and 1.
     fn random(&mut self) -> f64;
-    /// Its standing has changed.
+    /// The voting state has changed.
     fn voting_state_changed(&mut self, state: VotingState);
 }
 
-/// What a voter has on its disk.
+/// The state that a voter keeps on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
+    /// The name of the fleet.
     pub fleet: Name,
+    /// The id of this disk.
     pub store: StoreId,
-    /// How often it was opened.
+    /// How often the disk was opened.
     pub incarnation: u64,
-    /// How often it was written: others know a copy by it.
+    /// How often the state was written since the disk was empty. Other voters remember it, and so recognize a
+    /// disk that was rolled back to an older copy.
     pub write_count: u64,
+    /// The highest ballot promised: lower ones are refused.
     pub promised: Ballot,
+    /// The ballot under which the record was accepted; the default where there is no record yet.
     pub accepted: Ballot,
+    /// The record accepted last.
     pub record: SharedRecord,
-    /// How often others had written theirs, as this one heard.
+    /// The highest write counts that were heard of other voters' disks.
     pub known_write_counts: BTreeMap<StoreId, u64>,
 }
 
 impl DurableState {
-    /// That of an empty folder, for which a store was drawn.
+    /// The state of an empty folder, for which this store id was drawn.
     pub fn empty(fleet: &str, store: StoreId) -> DurableState {
         DurableState {
             fleet: fleet.into(),
@@ -59,76 +68,85 @@
         }
     }
 
-    /// Whether it has never had a record.
+    /// Whether the disk has never had a record.
     pub fn is_empty(&self) -> bool {
         self.accepted == Ballot::default()
     }
 }
 
-/// Why a voter votes, or does not.
+/// Whether a voter votes, and why not if it doesn't. The variants' names are shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum VotingState {
-    /// Its folder was empty: it waits for the fleet to be founded, or to be taken in by the others.
+    /// Its folder was empty: it waits until the fleet is founded or until the other voters readmit it.
     Empty,
-    /// Back from a start: it votes once enough others have said that they know nothing newer of it.
+    /// It has restarted, and votes once enough other voters have confirmed that they know of no newer state
+    /// of its disk.
     Doubts,
+    /// It votes.
     Votes,
-    /// Others know more of this store than it does: its disk is an older copy, and must not vote again.
+    /// Other voters know of later writes to its store: its disk is an older copy and must not vote again.
     Behind,
 }
 
-/// What all voters of a fleet are set to alike.
+/// The configuration of a voter. It must be the same at all voters of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterConfig {
     /// How much faster or slower than real time a clock may run, in millionths.
     pub drift_ppm: u64,
-    /// How long a round may take before it is begun again.
+    /// How long a round may take before it is started again. The time doubles with each round that fails.
     pub round_timeout: Nanos,
-    /// How long an ask is kept.
+    /// How long an operation is kept before it is answered with [`Reply::Unknown`].
     pub operation_timeout: Nanos,
-    /// Asks that wait at once; the least needed are turned away.
+    /// The most operations that can be pending; beyond it those of the lowest importance are rejected.
     pub max_pending: usize,
-    /// Names that may vote.
+    /// The names of the processes that may vote.
     pub eligible_voters: Vec<Name>,
-    /// Whether a voter that comes back asks one more of the others than makes a majority with it. Then an older copy of
-    /// its disk is found wherever what it forgot was settled; without, only where one of those that it hears from
-    /// has heard of a later write.
+    /// Whether a voter that restarts needs a confirmation from one voter more than would make a majority
+    /// together with it. With it, an older copy of its disk is detected wherever what the copy lacks was
+    /// committed; without it, only where one of the voters that answer has heard of a later write.
     pub require_extra_confirmation: bool,
 }
 
-/// The ballot of the record that a fleet is founded with.
+/// The ballot of the record with which a fleet is founded.
 const FOUNDING_BALLOT: Ballot = Ballot { round: 1, store: 0, incarnation: 0 };
-/// Backing off grows up to so many doublings.
+/// The most times that the round timeout is doubled after failed rounds.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
+/// A voter. Each method handles one event and reacts by calling the host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
+    /// The name of the process.
     pub name: Name,
     pub(crate) config: VoterConfig,
     pub(crate) durable: DurableState,
     pub(crate) voting_state: VotingState,
-    /// Other voters that knew nothing newer of this one, since it started.
+    /// The other voters that have confirmed, since the start, that they know of no newer state of this disk.
     pub(crate) confirmed_by: BTreeSet<StoreId>,
+    /// The processes that this one sees over its links.
     pub presence: Presence,
     pub(crate) observations: LeaseObservations,
-    /// Asks and until when they are kept, the oldest first.
+    /// Pending operations and until when each is kept, the oldest first.
     pub(crate) pending: VecDeque<(Operation, Nanos)>,
     pub(crate) round: Round,
-    /// When the round is given up, or the next may begin.
+    /// When the running round times out, or else the earliest start of the next one.
     pub(crate) round_due: Nanos,
-    /// Rounds given up in a row.
+    /// How many rounds in a row have timed out.
     failed_rounds: u32,
-    /// The highest round seen anywhere.
+    /// The highest round number seen in any ballot.
     highest_round: u64,
-    /// The last ballot under which it saw an exchange of voters settled. That alone tells it: with answers lost in turns,
-    /// what others say may leave it open each time, and it would settle the same exchange again and again.
+    /// The last ballot under which this voter saw a change of voters committed. Without it, if different
+    /// answers are lost each time, the reports may never show that the change is committed, and the voter
+    /// would commit the same change again and again.
     committed_voter_change: Ballot,
+    /// How many read-only rounds were started: the number of the last.
     peek_count: u64,
+    /// How many operations this voter has issued itself: the number of the last.
     own_operations: u64,
 }
 
 impl Voter {
-    /// From what was on the disk, opened once more; its new incarnation is kept before anything is said.
+    /// Starts a voter from the state that was read from its disk, which counts as opened once more. The new
+    /// incarnation is persisted before anything is sent.
     pub fn start(
         now: Nanos,
         name: &str,
@@ -155,43 +173,47 @@
             peek_count: 0,
             own_operations: 0,
         };
-        // Not counted as written: others may know as many writes as were on the disk, and one that knows of more tells
-        // that this is an older copy.
+        // This write is not counted: other voters may know as many writes as were on the disk, and one that
+        // knows of more shows that the disk is an older copy.
         host.persist(&voter.durable);
         voter.observations.observe(now, &voter.durable.record.0);
         host.voting_state_changed(voting_state);
         voter
     }
 
+    /// The state on the disk, including what was passed to [`Host::persist`] last.
     pub fn durable_state(&self) -> &DurableState {
         &self.durable
     }
 
+    /// The configuration.
     pub fn config(&self) -> &VoterConfig {
         &self.config
     }
 
+    /// Whether this voter votes, and why not if it doesn't.
     pub fn voting_state(&self) -> VotingState {
         self.voting_state
     }
 
-    /// Whether the newest record that it knows counts this store.
+    /// Whether this store is one of the voters in the newest record that it knows.
     pub fn is_current_voter(&self) -> bool {
         self.durable.record.0.is_voter(self.durable.store)
     }
 
-    /// How often another voter's disk was written, as far as this one has heard.
+    /// How often another voter's disk was written, as far as this voter has heard.
     pub fn known_write_count(&self, store: StoreId) -> u64 {
         self.durable.known_write_counts.get(&store).copied().unwrap_or(0)
     }
 
-    /// How much longer the holder of a lease may believe that it holds it.
+    /// How much longer the holder of a lease can believe that it holds it, in nanoseconds.
     pub fn remaining(&self, now: Nanos, lease: &str) -> Nanos {
         let stands = self.durable.record.0.leases.get(lease);
         stands.map_or(0, |stands| self.observations.remaining(now, lease, stands, self.config.drift_ppm))
     }
 
-    /// The fleet's first record, by an operator's word. Whether it was taken.
+    /// Takes the fleet's first record, on an operator's command. Returns whether this voter now has the
+    /// record of this founding.
     pub fn bootstrap(&mut self, now: Nanos, record: Record, host: &mut impl Host) -> bool {
         if !self.durable.is_empty()
             || !record.is_voter(self.durable.store)
@@ -208,7 +230,8 @@
         true
     }
 
-    /// Another voter said hello: its store, how often that was written, and how often it believes that ours was.
+    /// Another voter said hello: its store, how often that was written, and how often, as far as it knows,
+    /// this voter's store was written.
     pub fn hello_received(
         &mut self,
         now: Nanos,
@@ -219,7 +242,8 @@
     ) {
         self.record_write_count(store, write_count);
         if known_write_count > self.durable.write_count {
-            // A voter whose disk was set back to an older copy has forgotten what it promised and accepted.
+            // A voter whose disk was rolled back to an older copy has forgotten what it promised and
+            // accepted.
             self.set_voting_state(VotingState::Behind, host);
         } else if self.voting_state == VotingState::Doubts && write_count > 0 {
             self.confirmed_by.insert(store);
@@ -230,7 +254,8 @@
         }
     }
 
-    /// A person's word that this disk is no older copy, where those who could say so are gone for good. Whether it helped.
+    /// An operator confirms that this disk is not an older copy, for the case that the voters that could
+    /// confirm it are lost for good. Returns whether this voter votes now.
     pub fn trust_disk(&mut self, now: Nanos, host: &mut impl Host) -> bool {
         if self.voting_state != VotingState::Doubts {
             return self.voting_state == VotingState::Votes;
@@ -240,7 +265,8 @@
         true
     }
 
-    /// What it settled with others, one of these must have heard of.
+    /// Whether enough voters have confirmed: whatever this voter committed together with others, one of them
+    /// must have heard of.
     fn confirmed_by_enough(&self) -> bool {
         let DurableState { store, record, .. } = &self.durable;
         let enough_of = |voters: &[Member]| {
@@ -252,18 +278,18 @@
         enough_of(&record.0.voters) && enough_of(&record.0.previous_voters)
     }
 
-    /// Somebody wants something.
+    /// Takes an operation to be applied in one of the next rounds, or answers it at once.
     pub fn submit(&mut self, now: Nanos, operation: Operation, host: &mut impl Host) {
         let busy = |id: OperationId| Answer { id, reply: Reply::Busy };
         if self.voting_state != VotingState::Votes {
             return host.answer(busy(operation.id));
         }
-        // Sent again while it waits.
+        // A repetition of an operation that is still pending.
         if self.pending.iter().any(|(pending, _)| pending.id == operation.id) {
             return;
         }
-        // Many that wait for one lease must not cost a round each: a no promises nothing, so what this voter knows is
-        // enough for it.
+        // Many processes waiting for one lease must not cost a round each. A denial promises nothing, so it
+        // can be given from what this voter knows.
         if let OperationKind::Acquire(name, _) = &operation.kind
             && let Some(lease) = self.durable.record.0.leases.get(name)
             && !lease.held_by(&operation.id.process)
@@ -273,7 +299,8 @@
             return host.answer(Answer { id: operation.id, reply });
         }
         if self.pending.len() >= self.config.max_pending {
-            // Of those that no round has taken up yet the least needed goes, the newest first; it may be this one.
+            // Of the operations that no running round covers, the least important is rejected, the newest
+            // first; it can be the one just submitted.
             let covered = match &self.round {
                 Round::Accept { covered, .. } => *covered,
                 _ => 0,
@@ -294,7 +321,8 @@
         self.start_round(now, host);
     }
 
-    /// The time that was asked for has come, or some other has.
+    /// Handles timeouts; to be called at the time that was requested by [`Host::wake_at`], and harmless at
+    /// any other.
     pub fn timer_fired(&mut self, now: Nanos, host: &mut impl Host) {
         if self.round != Round::Idle && now >= self.round_due {
             self.round_timed_out(now, host);
@@ -308,7 +336,8 @@
         }
         if self.voting_state == VotingState::Votes && self.is_current_voter() && self.no_replacement_pending()
         {
-            // Who is back empty under a voter's name gets its seat again, by agreement.
+            // A voter that is back with an empty disk is readmitted under its new store, by a regular
+            // operation.
             if let Some(kind) = apply::find_voter_to_readmit(&self.durable.record.0, &self.presence, now) {
                 self.own_operations += 1;
                 let process = ProcessId { name: self.name.clone(), incarnation: self.durable.incarnation };
@@ -322,6 +351,7 @@
         }
     }
 
+    /// Whether no replacement of a voter is pending.
     fn no_replacement_pending(&self) -> bool {
         !self
             .pending
@@ -329,7 +359,7 @@
             .any(|(operation, _)| matches!(operation.kind, OperationKind::ReplaceVoter { .. }))
     }
 
-    /// A message from another voter, or from itself.
+    /// Handles a message from another voter, or from this one itself.
     pub fn message_received(&mut self, now: Nanos, from: StoreId, message: Message, host: &mut impl Host) {
         match message {
             Message::Prepare(ballot, write_count) => {
@@ -383,7 +413,7 @@
         }
     }
 
-    // What it does as one of the voters.
+    // The acceptor: answers to the rounds of any voter.
 
     fn handle_prepare(&mut self, from: StoreId, ballot: Ballot, host: &mut impl Host) {
         if !self.may_respond() {
@@ -409,7 +439,7 @@
         record: SharedRecord,
         host: &mut impl Host,
     ) {
-        // Two foundings by two operators at once must not mix.
+        // Two operators who found the fleet at the same time must not mix their records.
         let other_fleet = !self.durable.is_empty() && self.durable.record.0.founded != record.0.founded;
         if !self.may_respond() || other_fleet {
             return;
@@ -429,13 +459,16 @@
         host.send(from, Message::Accepted(ballot, self.durable.write_count));
     }
 
-    /// One whose folder is empty may be asked under its new store alone, which nobody has counted before.
+    /// Whether this voter may answer prepare and accept messages. A voter with an empty folder may: it is
+    /// asked under its new store only, which no earlier majority counted.
     fn may_respond(&self) -> bool {
         matches!(self.voting_state, VotingState::Votes | VotingState::Empty)
     }
 
-    // What it does for those who ask.
+    // The proposer: rounds for submitted operations.
 
+    /// Starts a round if there are pending operations, none is running and the pause after the last one is
+    /// over.
     fn start_round(&mut self, now: Nanos, host: &mut impl Host) {
         if self.round != Round::Idle || self.pending.is_empty() || self.voting_state != VotingState::Votes {
             return;
@@ -456,6 +489,7 @@
         self.start_prepare(now, recipients, host);
     }
 
+    /// Starts the first phase of a round: asks for promises under a new ballot.
     fn start_prepare(&mut self, now: Nanos, recipients: BTreeSet<StoreId>, host: &mut impl Host) {
         self.highest_round += 1;
         let DurableState { store, incarnation, .. } = self.durable;
@@ -490,7 +524,8 @@
                 reads.iter().for_each(|(operation, _)| host.answer(apply::read_answer(operation, &record)));
                 self.round_finished(now, &record, host);
             }
-            // A majority has spoken, and not alike: only a round tells which it is.
+            // A majority has reported, but different ballots: only a full round can tell which record is
+            // committed.
             Some((_, _, false)) => {
                 let recipients = recipients.clone();
                 self.start_prepare(now, recipients, host);
@@ -499,6 +534,9 @@
         }
     }
 
+    /// Starts the second phase of a round once a majority has promised: applies the pending operations to the
+    /// newest accepted record and asks the voters to accept the result. If nothing changes and the record is
+    /// committed already, the round ends here.
     fn check_promises(&mut self, now: Nanos, host: &mut impl Host) {
         let Round::Prepare { ballot, recipients, reports } = &mut self.round else { return };
         let (ballot, (newest_report, added)) = (*ballot, newest_accepted(reports));
@@ -509,8 +547,8 @@
         let Some((newest_ballot, newest, committed)) = newest_report else { return };
         let committed = committed || newest_ballot == self.committed_voter_change;
         self.observations.observe(now, &newest.0);
-        // A change of voters has to be settled before anything is built on it: else who knows only the voters before
-        // it could agree without those after it.
+        // A change of voters has to be committed before another change is built on it. Otherwise voters that
+        // only know the previous voters could agree on a record without the new voters.
         let must_commit_first = !committed
             && newest.0.previous_voters != newest.0.voters
             && !crate::planted(crate::Fault::UncommittedVoterChange);
@@ -543,13 +581,14 @@
         });
     }
 
+    /// Ends a round whose record is committed, and answers the operations that it covers.
     fn finish_accept(&mut self, now: Nanos, host: &mut impl Host) {
         let Round::Accept { ballot, record, covered, answers, .. } =
             std::mem::replace(&mut self.round, Round::Idle)
         else {
             return;
         };
-        // Settled as it was found.
+        // The round committed the newest record as it was found, without applying any operations.
         if covered == 0 {
             self.committed_voter_change = ballot;
         }
@@ -565,27 +604,29 @@
         self.start_round(now, host);
     }
 
-    /// No majority answers: asking again soon would not help.
+    /// No majority answered: a retry soon after would not help.
     fn round_timed_out(&mut self, now: Nanos, host: &mut impl Host) {
         let max_delay = self.config.round_timeout << self.failed_rounds.min(MAX_BACKOFF_DOUBLINGS);
         self.failed_rounds += 1;
         self.back_off(now, max_delay / 2, host);
     }
 
-    /// Another was quicker. Two that collide would do so for ever at equal pauses, so these are by chance; they stay short,
-    /// as one that runs round after round would else keep out the one that waits longer and longer.
+    /// Another voter has used a higher ballot. Equal pauses would make two competing voters collide for ever,
+    /// so the pauses are random. They stay short: if they grew, a voter that runs round after round would
+    /// keep out the one whose pauses become longer and longer.
     fn yield_to_higher_ballot(&mut self, now: Nanos, host: &mut impl Host) {
         self.back_off(now, self.config.round_timeout / 4, host);
     }
 
+    /// Gives up the round, and pauses for a random time of at most `max_delay`.
     fn back_off(&mut self, now: Nanos, max_delay: Nanos, host: &mut impl Host) {
         self.round = Round::Idle;
         self.round_due = now + (max_delay as f64 * host.random()) as Nanos;
         host.wake_at(self.round_due);
     }
 
-    /// Calls all of these, itself first: its own yes is on its disk before the others hear of the call, and they hear with
-    /// it how often that was written.
+    /// Sends a message to all these stores, to itself first: its own acceptance is then on its disk before
+    /// the others receive the message, and the message carries the write count after it.
     fn broadcast(
         &mut self,
         now: Nanos,
@@ -602,11 +643,13 @@
         others.for_each(|&store| host.send(store, message.clone()));
     }
 
+    /// Remembers the highest write count of another voter's disk.
     fn record_write_count(&mut self, store: StoreId, write_count: u64) {
         let known = self.durable.known_write_counts.entry(store).or_default();
         *known = write_count.max(*known);
     }
 
+    /// Persists the state as one more write.
     fn persist(&mut self, host: &mut impl Host) {
         self.durable.write_count += 1;
         host.persist(&self.durable);
