--- a/crates/accord/src/apply.rs
+++ b/crates/accord/src/apply.rs
@@ -64,14 +64,14 @@
     duration - drift_allowance(duration, drift_ppm)
 }
 
-/// The most by which a duration can be off. Rounded up, so that it is never less than the configured drift.
+/// The most by which a duration can be off with this drift, rounded up so that it is never too small.
 fn drift_allowance(duration: Nanos, ppm: u64) -> Nanos {
     let allowance = (u128::from(duration) * u128::from(ppm)).div_ceil(1_000_000);
     Nanos::try_from(allowance).unwrap_or(Nanos::MAX)
 }
 
-/// After which time no lease of this record can be held any more, in nanoseconds from the moment when
-/// renewals stop. Both the holder's clock and that of the waiting process may be off, hence twice the drift.
+/// How long after renewals stop no lease of this record can be held any more, in nanoseconds. Both the
+/// holder's clock and that of the waiting process may be off, hence twice the drift.
 pub fn max_lease_wait(record: &Record, drift_ppm: u64) -> Nanos {
     let longest_duration = record.leases.values().map(|lease| lease.duration).max().unwrap_or(0);
     lengthen_for_drift(longest_duration, 2 * drift_ppm)
@@ -105,7 +105,7 @@
                     lease.revoked = lease.holder.is_some();
                     Reply::Done
                 }
-                None => Reply::Refused(format!("no lease {name:?}")),
+                None => Reply::Refused(format!("lease {name:?} does not exist")),
             },
             OperationKind::Put { name, text, expected_version, fence } => {
                 put(record, operation, name, text, *expected_version, fence.as_ref())
@@ -115,7 +115,7 @@
         };
         let reply = if record.encoded_size() > MAX_RECORD_BYTES {
             *record = original;
-            Reply::Refused(format!("the record would be over {MAX_RECORD_BYTES} bytes"))
+            Reply::Refused(format!("the record would exceed {MAX_RECORD_BYTES} bytes"))
         } else {
             reply
         };
@@ -130,7 +130,7 @@
                 // operation from before a later one.
                 match number.cmp(&lease.operation_number) {
                     std::cmp::Ordering::Equal => return Reply::Granted(lease.token),
-                    std::cmp::Ordering::Less => return Reply::Refused("an old ask".into()),
+                    std::cmp::Ordering::Less => return Reply::Refused("an outdated operation".into()),
                     std::cmp::Ordering::Greater => {}
                 }
             } else if lease.holder.is_some() {
@@ -159,6 +159,7 @@
         Reply::Granted(token)
     }
 
+    /// How much longer the lease can be held at most, in nanoseconds.
     fn remaining(&self, name: &str, lease: &Lease) -> Nanos {
         self.observations.remaining(self.now, name, lease, self.drift_ppm)
     }
@@ -201,16 +202,16 @@
         }
         if !self.eligible_voters.contains(&voter.name) {
             return Reply::Refused(format!(
-                "{:?} is not among the fleet's voters in the configuration",
+                "{:?} is not listed among the fleet's voters in the configuration",
                 voter.name
             ));
         }
         if replaced != voter.name && record.voter_named(&voter.name).is_some() {
-            return Reply::Refused(format!("{:?} votes already", voter.name));
+            return Reply::Refused(format!("{:?} is a voter already", voter.name));
         }
         match record.voters.iter_mut().find(|member| member.name == replaced) {
             Some(member) => *member = voter.clone(),
-            None => return Reply::Refused(format!("{replaced:?} is no voter")),
+            None => return Reply::Refused(format!("{replaced:?} is not a voter")),
         }
         Reply::Done
     }
@@ -247,12 +248,12 @@
         let held_by_writer = |lease: &Lease| lease.token == *token && lease.held_by(&operation.id.process);
         if !planted(Fault::FencingTokenIgnored) && !record.leases.get(lease).is_some_and(held_by_writer) {
             return Reply::Refused(format!(
-                "{lease:?} is no longer held under {token}, its newest is {newest_token}"
+                "lease {lease:?} is no longer held under token {token}; its newest token is {newest_token}"
             ));
         }
     }
     if let Some(expected) = expected_version.filter(|expected| *expected != current_version) {
-        return Reply::Refused(format!("{name:?} is at version {current_version}, not {expected}"));
+        return Reply::Refused(format!("value {name:?} is at version {current_version}, not {expected}"));
     }
     if text.is_empty() {
         record.values.remove(name);
--- a/crates/accord/src/lease_client.rs
+++ b/crates/accord/src/lease_client.rs
@@ -105,8 +105,8 @@
     }
 
     /// The token for an action that takes this long; `None` where the action might outlast the lease.
-    pub fn token_if_valid_for(&self, now: Nanos, act_duration: Nanos) -> Option<Token> {
-        self.held.filter(|held| now + act_duration < held.valid_until).map(|held| held.token)
+    pub fn token_if_valid_for(&self, now: Nanos, action_duration: Nanos) -> Option<Token> {
+        self.held.filter(|held| now + action_duration < held.valid_until).map(|held| held.token)
     }
 
     /// Whether this is the lease client of that process.
--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -8,8 +8,11 @@
 /// A ballot number: one round of one incarnation of one store. No ballot is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
+    /// The number of the round; ballots are ordered by it first.
     pub round: u64,
+    /// The store of the voter that runs the round.
     pub store: StoreId,
+    /// The incarnation of that voter.
     pub incarnation: u64,
 }
 
@@ -28,8 +31,8 @@
     Accepted(Ballot, u64),
     /// The ballot that is refused, and the higher ballot that was promised instead.
     Refuse(Ballot, Ballot),
-    /// Asks for the accepted ballot and record. The number is chosen by the sender to match the answers to
-    /// the question.
+    /// Asks for the accepted ballot and record. The sender chooses the number, by which it matches
+    /// the answers.
     Peek(u64),
     /// Answers `Peek`: its number, and the accepted ballot and record.
     Peeked(u64, Ballot, SharedRecord, u64),
@@ -43,18 +46,22 @@
 /// this process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperationId {
+    /// The process that issued the operation.
     pub process: ProcessId,
+    /// The number of the operation.
     pub number: u64,
 }
 
 /// An operation on the record, as it is sent to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Operation {
+    /// Identifies the operation; a repetition has the same id.
     pub id: OperationId,
+    /// What the operation does.
     pub kind: OperationKind,
 }
 
-/// What an operation does.
+/// The kinds of operations, with their arguments.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OperationKind {
     /// Acquires a lease for this duration by the requester's clock, counted from before the operation was
@@ -93,7 +100,9 @@
 /// The answer to the operation with this id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Answer {
+    /// The id of the operation that is answered.
     pub id: OperationId,
+    /// Its outcome.
     pub reply: Reply,
 }
 
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -18,14 +18,18 @@
 /// A voter: its name and its store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
+    /// The name of the process.
     pub name: Name,
+    /// The disk under which it votes.
     pub store: StoreId,
 }
 
-/// Identifies one run of a process: its name, and an incarnation that is higher after each restart.
+/// Identifies one run of a process: its name and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
+    /// The name, which stays the same over restarts.
     pub name: Name,
+    /// Tells the runs of the process apart; a later run has a higher number.
     pub incarnation: u64,
 }
 
@@ -50,6 +54,7 @@
 /// A named value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// The value.
     pub text: String,
     /// The version of the record in which the value was last written. No two texts of a value have the same
     /// version.
@@ -61,16 +66,20 @@
 /// The replicated record. It is replaced as a whole with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// When the fleet was founded, in milliseconds of Unix time. A voter that has a record ignores those of another founding.
-    /// Tokens start above this time, so that they keep growing even after all disks were lost.
+    /// When the fleet was founded, in milliseconds of Unix time. A voter that has a record ignores those of
+    /// another founding. Tokens start above this time, so that they keep growing even after all disks were
+    /// lost.
     pub founded: u64,
     /// The number of changes since the founding.
     pub version: u64,
+    /// The processes that vote.
     pub voters: Vec<Member>,
     /// The voters of the record that this one was derived from. A majority of both sets has to accept the
     /// record.
     pub previous_voters: Vec<Member>,
+    /// The leases by name, including those that nobody holds.
     pub leases: BTreeMap<Name, Lease>,
+    /// The values by name.
     pub values: BTreeMap<Name, Entry>,
 }
 
@@ -84,11 +93,11 @@
     /// that survived: with its values, and with its leases and their tokens but without holders. Changes
     /// committed after the surviving record are lost. Tokens continue above the new founding time, because
     /// the tokens that the survivor did not know of lie below it.
-    pub fn bootstrap_from(founded: u64, voters: Vec<Member>, survived: &Record) -> Record {
-        let mut record = Record::bootstrap(founded.max(survived.founded + 1), voters);
-        record.version = survived.version + 1;
-        record.values = survived.values.clone();
-        record.leases = survived.leases.clone();
+    pub fn bootstrap_from(founded: u64, voters: Vec<Member>, survivor: &Record) -> Record {
+        let mut record = Record::bootstrap(founded.max(survivor.founded + 1), voters);
+        record.version = survivor.version + 1;
+        record.values = survivor.values.clone();
+        record.leases = survivor.leases.clone();
         for lease in record.leases.values_mut() {
             (lease.holder, lease.revoked) = (None, false);
             lease.token = lease.token.max(record.founded);
--- a/crates/accord/src/voter.rs
+++ b/crates/accord/src/voter.rs
@@ -1,7 +1,7 @@
 //! A process that votes. It answers the prepare and accept messages of other voters, and runs rounds for the
-//! operations that are submitted to it (single-decree Paxos on a record that is replaced as a whole).
-//! Whatever it says is on its disk first: the host sends no message or answer before the state that was
-//! persisted ahead of it is synced.
+//! operations that are submitted to it (Paxos on a single register: each round reads the newest
+//! accepted record and replaces it as a whole). Whatever it says is on its disk first: the host sends no
+//! message or answer before the state that was persisted ahead of it is synced.
 
 use crate::Nanos;
 use crate::apply::{self, ApplyContext, LeaseObservations};
@@ -97,7 +97,8 @@
     pub round_timeout: Nanos,
     /// How long an operation is kept before it is answered with [`Reply::Unknown`].
     pub operation_timeout: Nanos,
-    /// The most operations that can be pending; beyond it those of the lowest importance are rejected.
+    /// The most operations that can be pending; beyond it the least important ones are answered with
+    /// [`Reply::Busy`].
     pub max_pending: usize,
     /// The names of the processes that may vote.
     pub eligible_voters: Vec<Name>,
@@ -206,10 +207,10 @@
         self.durable.known_write_counts.get(&store).copied().unwrap_or(0)
     }
 
-    /// How much longer the holder of a lease can believe that it holds it, in nanoseconds.
-    pub fn remaining(&self, now: Nanos, lease: &str) -> Nanos {
-        let stands = self.durable.record.0.leases.get(lease);
-        stands.map_or(0, |stands| self.observations.remaining(now, lease, stands, self.config.drift_ppm))
+    /// How much longer the holder of the lease with this name can believe that it holds it, in nanoseconds.
+    pub fn remaining(&self, now: Nanos, name: &str) -> Nanos {
+        let lease = self.durable.record.0.leases.get(name);
+        lease.map_or(0, |lease| self.observations.remaining(now, name, lease, self.config.drift_ppm))
     }
 
     /// Takes the fleet's first record, on an operator's command. Returns whether this voter now has the
@@ -598,6 +599,7 @@
         self.round_finished(now, &record, host);
     }
 
+    /// Ends the pauses, reports the committed record and starts the next round if operations are pending.
     fn round_finished(&mut self, now: Nanos, record: &SharedRecord, host: &mut impl Host) {
         (self.round_due, self.failed_rounds) = (now, 0);
         host.committed(record);
--- a/crates/accord/tests/voter.rs
+++ b/crates/accord/tests/voter.rs
@@ -1,4 +1,4 @@
-//! One voter by itself: what it says when, as a trace.
+//! A single voter: the trace of what it persists, sends and answers.
 
 use expect_test::expect;
 use pumicebay_accord::{
@@ -17,7 +17,7 @@
 
 impl Host for Trace {
     fn persist(&mut self, state: &DurableState) {
-        self.lines += &format!("keep {} promised {}\n", state.write_count, state.promised.round);
+        self.lines += &format!("persist {} promised {}\n", state.write_count, state.promised.round);
     }
     fn send(&mut self, to: StoreId, message: Message) {
         if let Message::Prepare(ballot, _) = message {
@@ -53,7 +53,7 @@
         eligible_voters: vec!["a".into(), "b".into(), "c".into()],
         require_extra_confirmation: false,
     };
-    let mut voter = Voter::start(0, "a", DurableState::empty("harbour", 1), config, trace);
+    let mut voter = Voter::start(0, "a", DurableState::empty("fleet", 1), config, trace);
     assert!(voter.bootstrap(0, Record::bootstrap(7, voters.collect()), trace));
     voter
 }
@@ -67,10 +67,10 @@
     operation(number, OperationKind::Put { name, text, expected_version: None, fence: None })
 }
 
-/// A voter that others are quicker than comes back soon each time: with pauses that grew it was kept out for good by one
-/// that ran round after round.
+/// Guards against starvation: a voter that keeps losing to higher ballots must retry after short pauses. When
+/// the pauses grew, another voter that ran round after round kept it out for good.
 #[test]
-fn who_is_always_beaten_does_not_wait_longer_and_longer() {
+fn pauses_after_higher_ballots_do_not_grow() {
     let mut trace = Trace::default();
     let mut voter = voter(&mut trace, 8);
     let mut now = 0;
@@ -86,9 +86,10 @@
     }
 }
 
-/// Too much to do: what is needed least goes first, and renewals never do.
+/// Guards against an overloaded voter dropping renewals: when the queue is full, the least important
+/// operations are rejected first, and renewals never are.
 #[test]
-fn a_full_voter_turns_away_what_is_needed_least() {
+fn a_full_voter_rejects_the_least_important_operations() {
     let mut trace = Trace::default();
     let mut voter = voter(&mut trace, 2);
     trace.lines.clear();
@@ -99,7 +100,7 @@
     voter.submit(0, operation(5, OperationKind::Read), &mut trace);
     voter.submit(0, operation(6, OperationKind::GiveBack("l".into(), 8)), &mut trace);
     expect![[r#"
-        keep 2 promised 2
+        persist 2 promised 2
         to 1: Promise
         to 2: Prepare
         to 3: Prepare
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -1,5 +1,5 @@
 //! Probes of nodes that are down, for the whole of a zone: the actor between the module, which wants their outcomes, and the
-//! fleet, in which one process probes for all. The choices are `pumicebay_accord::Watch`'s.
+//! fleet, in which one process probes for all. The choices are `pumicebay_accord::ProbeCoordinator`'s.
 
 use crate::desk::Desk;
 use crate::fleet::asker::Asker;
@@ -104,7 +104,8 @@
             _ = tick.tick() => {
                 let held = lease.as_ref().and_then(|lease| *lease.held.borrow());
                 // A lease that can't outlast a probe is none: the next holder may probe already.
-                let held = held.filter(|held| clock.now() + crate::desk::PROBE.as_nanos() as u64 <= held.valid_until);
+                let held =
+                    held.filter(|held| clock.now() + crate::desk::PROBE.as_nanos() as u64 <= held.valid_until);
                 watch.set_lease_token(held.map(|held| held.token));
                 watch.tick(clock.now(), &mut acts);
                 // Nobody probes while nothing is down, and nobody keeps a lease for it.
