--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,32 +1,34 @@
-//! One small record that the processes of a fleet agree on, and leases that two never hold at once. Decisions alone: no
-//! I/O, no clock, no chance of its own. `docs/accord.md` has the options weighed, the scheme and what is promised.
+//! A small record that the processes of a fleet agree on by majority vote, and leases of which at most one
+//! process holds each at a time. This crate makes decisions only: it does no I/O, reads no clock and draws no
+//! random numbers.
 //!
-//! A process that votes drives a [`Voter`]: one method for each thing that can happen, which acts by calls to its
-//! [`Host`]. Who wants a lease drives a [`Holding`] and sends the [`Ask`]s that it gives to any voter. Times are whole
-//! nanoseconds of the process's own clock, which must run on through suspension and stay within the stated drift.
+//! A process that votes drives a [`Voter`]: the voter has one method for each event, and reacts by calling
+//! its [`Host`]. A process that wants a lease drives a [`LeaseClient`] and sends the [`Operation`]s that it
+//! returns to any voter. Times are whole nanoseconds of the process's own clock, which must keep running
+//! while the machine is suspended and must stay within the configured drift.
 
-mod acts;
-mod fences;
-mod holding;
-mod judge;
+mod apply;
+mod effects;
+mod fencing;
+mod lease_client;
 mod message;
 mod planted;
 mod presence;
+mod probe_coordinator;
 mod record;
 mod round;
 mod voter;
-mod watch;
 
-pub use acts::Acts;
-pub use fences::{Fences, Passage};
-pub use holding::{Held, Holding};
-pub use judge::outlasted;
-pub use message::{Answer, Ask, AskId, Ballot, Message, Reply, Shared, Want};
+pub use apply::max_lease_wait;
+pub use effects::Effects;
+pub use fencing::{FenceCheck, FencingTokens};
+pub use lease_client::{HeldLease, LeaseClient};
+pub use message::{Answer, Ballot, Message, Operation, OperationId, OperationKind, Reply, SharedRecord};
 pub use planted::{Fault, plant, planted};
-pub use presence::{Presence, Seen};
-pub use record::{Entry, Holder, LARGEST, Lease, Member, Name, Record, Store, Token};
-pub use voter::{Host, Kept, Standing, Terms, Voter};
-pub use watch::{Watch, WatchHost};
+pub use presence::{PeerState, Presence};
+pub use probe_coordinator::{ProbeCoordinator, ProbeHost};
+pub use record::{Entry, Lease, MAX_RECORD_BYTES, Member, Name, ProcessId, Record, StoreId, Token};
+pub use voter::{DurableState, Host, Voter, VoterConfig, VotingState};
 
-/// Whole nanoseconds.
+/// A time or a duration in whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/accord/src/round.rs
+++ b/crates/accord/src/round.rs
@@ -1,47 +1,47 @@
-//! What a voter knows of the round that it runs.
+//! The state of the round that a voter runs.
 
-use crate::message::{Answer, Ballot, Shared};
-use crate::record::Store;
+use crate::message::{Answer, Ballot, SharedRecord};
+use crate::record::StoreId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What others said that they had accepted.
-pub type Accepted = BTreeMap<Store, (Ballot, Shared)>;
+/// The ballot and record that each store reported as accepted.
+pub type AcceptedReports = BTreeMap<StoreId, (Ballot, SharedRecord)>;
 
+/// The round in progress, if any.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Round {
-    None,
-    /// Looks whether a majority has accepted one ballot: enough for reads.
-    Peek {
-        number: u64,
-        asked: BTreeSet<Store>,
-        said: Accepted,
-    },
-    /// Waits for promises.
-    Prepare {
-        ballot: Ballot,
-        asked: BTreeSet<Store>,
-        said: Accepted,
-    },
-    /// Waits for a majority to accept what came of the first `covered` asks, whose answers wait here.
+    /// No round is running.
+    Idle,
+    /// Finds out whether a majority has accepted the same ballot, which is enough to answer reads.
+    Peek { number: u64, recipients: BTreeSet<StoreId>, reports: AcceptedReports },
+    /// Waits for a majority of promises.
+    Prepare { ballot: Ballot, recipients: BTreeSet<StoreId>, reports: AcceptedReports },
+    /// Waits for a majority to accept the record that results from the first `covered` pending operations.
+    /// Their answers are kept until then; `None` stands for a read, which is answered with the committed
+    /// record.
     Accept {
         ballot: Ballot,
-        record: Shared,
-        yes: BTreeSet<Store>,
+        record: SharedRecord,
+        accepted_by: BTreeSet<StoreId>,
         covered: usize,
         answers: Vec<Option<Answer>>,
     },
 }
 
-/// The newest record among those said, and whether it is settled for sure; `None` until a majority of its voters has
-/// spoken. A record among them may name voters that were not asked: these come second.
-pub fn newest(said: &Accepted) -> (Option<(Ballot, Shared, bool)>, BTreeSet<Store>) {
-    let Some((ballot, record)) = said.values().max_by_key(|(ballot, _)| *ballot) else {
+/// The newest reported ballot and record, and whether the reports show that it is committed; `None` until a
+/// majority of its voters has reported. The second value is the set of the newest record's stores while their
+/// reports are missing, as it can name voters that were not asked.
+pub fn newest_accepted(
+    reports: &AcceptedReports,
+) -> (Option<(Ballot, SharedRecord, bool)>, BTreeSet<StoreId>) {
+    let Some((ballot, record)) = reports.values().max_by_key(|(ballot, _)| *ballot) else {
         return (None, BTreeSet::new());
     };
-    let spoke: BTreeSet<Store> = said.keys().copied().collect();
-    if !record.0.settled_by(&spoke) {
-        return (None, record.0.stores());
+    let reporters: BTreeSet<StoreId> = reports.keys().copied().collect();
+    if !record.0.has_quorum(&reporters) {
+        return (None, record.0.all_stores());
     }
-    let same = said.iter().filter(|(_, (other, _))| other == ballot).map(|(store, _)| *store).collect();
-    (Some((*ballot, record.clone(), record.0.settled_by(&same))), BTreeSet::new())
+    let same_ballot =
+        reports.iter().filter(|(_, (other, _))| other == ballot).map(|(store, _)| *store).collect();
+    (Some((*ballot, record.clone(), record.0.has_quorum(&same_ballot))), BTreeSet::new())
 }
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -4,7 +4,7 @@
 
 use crate::control::{ControlHandle, NodeKind};
 use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
-use pumicebay_accord::{Fences, Passage, Token};
+use pumicebay_accord::{FenceCheck, FencingTokens, Token};
 use pumicebay_replication::{Lease, Refusal, ServiceState, Stamp};
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -113,7 +113,7 @@
     /// The nodes that the module was told are out of service.
     pub out: BTreeSet<String>,
     /// The highest tokens seen in calls under leases.
-    pub fences: Fences,
+    pub fences: FencingTokens,
     /// Set if orders are replicated in a group.
     pub replication: Option<Replication>,
 }
@@ -163,9 +163,11 @@
         // An earlier holder of the lease that was stopped in the middle of its work must not undo the next one's.
         if let Some((lease, token)) = lease {
             match self.check_fence(&lease, token) {
-                Ok(Passage::Passes) => {}
-                Ok(Passage::Late(highest)) => return MaintenanceResult::StaleToken(lease, highest),
-                Ok(Passage::Full) => return MaintenanceResult::Failed("too many leases are known".into()),
+                Ok(FenceCheck::Current) => {}
+                Ok(FenceCheck::Superseded(highest)) => return MaintenanceResult::StaleToken(lease, highest),
+                Ok(FenceCheck::TooManyLeases) => {
+                    return MaintenanceResult::Failed("too many leases are known".into());
+                }
                 Err(error) => return MaintenanceResult::Failed(error.to_string()),
             }
         }
@@ -206,12 +208,12 @@
 
     /// Decides whether a call under this token may act. If so, the token is on disk before the call acts, because the
     /// lease outlives a power loss.
-    fn check_fence(&mut self, lease: &str, token: Token) -> std::io::Result<Passage> {
+    fn check_fence(&mut self, lease: &str, token: Token) -> std::io::Result<FenceCheck> {
         let folder = self.folder.as_deref();
         let seen = folder.map(read_fences).transpose()?.unwrap_or_default();
-        seen.iter().for_each(|(lease, token)| self.fences.saw(lease, *token));
-        let passage = self.fences.passes(lease, token);
-        if passage == Passage::Passes {
+        seen.iter().for_each(|(lease, token)| self.fences.observe(lease, *token));
+        let passage = self.fences.check(lease, token);
+        if passage == FenceCheck::Current {
             if let Some(folder) = folder.filter(|_| !seen.contains(&(lease.into(), token))) {
                 let path =
                     |token: Token| folder.join(format!("{FENCE_FILE_PREFIX}{}-{token}", encode_hex(lease)));
@@ -220,7 +222,7 @@
                 let lower = seen.iter().filter(|(of, lower)| of == lease && *lower < token);
                 lower.for_each(|(_, lower)| _ = std::fs::remove_file(path(*lower)));
             }
-            self.fences.saw(lease, token);
+            self.fences.observe(lease, token);
         }
         Ok(passage)
     }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -23,7 +23,7 @@
 use crate::takeover::{Successor, TakeoverSocket};
 use crate::upstream::pool::{self, ConnectionPool};
 use anyhow::{Context, Result, bail, ensure};
-use pumicebay_accord::Fences;
+use pumicebay_accord::FencingTokens;
 use pumicebay_carrier::Resource;
 use rustix::io::Errno;
 use socket2::Socket;
@@ -204,7 +204,7 @@
                 dispatcher.set_maintenance(clock.now(), uid, true);
                 dispatcher.set_maintenance(clock.now(), uid, false);
             }
-            let fences = Fences::default();
+            let fences = FencingTokens::default();
             actors.spawn(
                 MaintenanceActor { desk: control.clone(), folder, out, fences, replication }.run(calls),
             );
