--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -4,8 +4,8 @@
 
 use crate::time_told::TimeTold;
 use hashbrown::HashMap;
-use pumicebay_model::registry::State;
-use pumicebay_model::spec::{Effect, Nodes, Scenario, Scope};
+use pumicebay_model::registry::NodeState;
+use pumicebay_model::spec::{DedupScope, NodeSpec, RetrySafety, Scenario};
 use pumicebay_model::{Nanos, SECOND, millis, seconds};
 use serde::Serialize;
 use std::collections::VecDeque;
@@ -79,7 +79,7 @@
 }
 
 pub struct Auditor {
-    nodes: Nodes,
+    nodes: NodeSpec,
     /// What one request of each route takes, in requests of mean work, and that mean in seconds.
     works: Vec<f64>,
     mean: f64,
@@ -90,7 +90,7 @@
     pub worst: f64,
     /// Falls that came mostly from proxies that could not know.
     pub uncharged: u64,
-    effects: Vec<(Effect, Scope, Nanos)>,
+    effects: Vec<(RetrySafety, DedupScope, Nanos)>,
     zones: usize,
     grace: Nanos,
     /// What measuring may be off by, and whether the same proxy may have two tries out.
@@ -99,7 +99,7 @@
     /// The exchanges in the order they were taken.
     line: VecDeque<(Nanos, u64)>,
     /// What each proxy was told of a node, and when.
-    told: HashMap<(usize, usize), Vec<(Nanos, State)>>,
+    told: HashMap<(usize, usize), Vec<(Nanos, NodeState)>>,
     pub time_told: TimeTold,
     pub broken: Vec<Broken>,
     pub counts: [u64; 5],
@@ -109,8 +109,9 @@
 impl Auditor {
     /// `slack` is what times may be off by: nothing in virtual time, what the machine takes on sockets.
     pub fn new(day: &Scenario, slack: Nanos) -> Auditor {
-        let effect =
-            |route: &pumicebay_model::spec::Route| (route.effect, route.scope, seconds(route.window_seconds));
+        let effect = |route: &pumicebay_model::spec::Route| {
+            (route.retry_safety, route.dedup_scope, seconds(route.dedup_window_seconds))
+        };
         let shares: f64 = day.route.iter().map(|route| route.share).sum();
         let mean = day.route.iter().map(|route| route.service_ms * route.share / shares).sum::<f64>();
         Auditor {
@@ -160,10 +161,10 @@
         };
         let (proxy, node_no) = (record.proxy, node.unwrap_or(usize::MAX));
         record.sent.push(Sent { at, node: node_no });
-        let before = |told: &&(Nanos, State)| told.0 <= at;
+        let before = |told: &&(Nanos, NodeState)| told.0 <= at;
         let Some(told) = self.told.get(&(proxy, node_no)) else { return };
         let Some(&(since, state)) = told.iter().rev().find(before) else { return };
-        if state != State::Ready && at > since + self.grace + self.slack {
+        if state != NodeState::Ready && at > since + self.grace + self.slack {
             let late = (at - since) as f64 / 1e9;
             let what = format!("p{} sent it new work {late:.3} s after it was told {state:?}", proxy + 1);
             self.breaks(3, xchg, node, at, what);
@@ -228,7 +229,7 @@
     }
 
     /// A proxy was told what becomes of a node.
-    pub fn told(&mut self, at: Nanos, proxy: usize, node: usize, state: State) {
+    pub fn told(&mut self, at: Nanos, proxy: usize, node: usize, state: NodeState) {
         let told = self.told.entry((proxy, node)).or_default();
         // Told again the same, it learned nothing.
         if told.last().is_none_or(|&(_, last)| last != state) {
@@ -264,7 +265,7 @@
         let starts = self.starts.get(&(record.proxy, node)).map_or(&[][..], Vec::as_slice);
         // Told of one before it, or of an age that is not its own, a proxy does not know that it is cold.
         let knew = starts.iter().any(|&(told, started)| told + self.slack <= sent && started >= cold.started);
-        let window = seconds(self.nodes.fall_seconds);
+        let window = seconds(self.nodes.overload_window_seconds);
         while cold.got.front().is_some_and(|(came, ..)| came + window <= at) {
             cold.got.pop_front();
         }
@@ -379,17 +380,20 @@
         let group = |node: usize| if node == usize::MAX { 0 } else { node % zones };
         for &(at, node) in &ran[1..] {
             let discarded = match (effect, scope) {
-                (Effect::Retriable, _) => true,
-                (Effect::NonRetriable, _) => false,
-                (Effect::Deduped, Scope::Fleet) => at <= first + window,
-                (Effect::Deduped, Scope::Zone) => at <= first + window && group(node) == group(at_node),
+                (RetrySafety::Retriable, _) => true,
+                (RetrySafety::NonRetriable, _) => false,
+                (RetrySafety::Deduped, DedupScope::Fleet) => at <= first + window,
+                (RetrySafety::Deduped, DedupScope::Zone) => {
+                    at <= first + window && group(node) == group(at_node)
+                }
             };
             if !discarded {
                 self.breaks(2, xchg, named(node), at, "took effect twice".into());
             }
         }
         let answer = record.answers.first();
-        let harmless = effect == Effect::Retriable || effect == Effect::Deduped && scope == Scope::Fleet;
+        let harmless =
+            effect == RetrySafety::Retriable || effect == RetrySafety::Deduped && scope == DedupScope::Fleet;
         if let Some(&(at, Final::Shed)) = answer
             && !harmless
             && first < at
@@ -415,12 +419,12 @@
 
 /// By how many requests of mean work within its window a cold node of that age falls: what the settings allow it
 /// then, and what may come on top by chance. None for one that can't.
-fn bound(nodes: &Nodes, mean: f64, age: Nanos) -> Option<f64> {
+fn bound(nodes: &NodeSpec, mean: f64, age: Nanos) -> Option<f64> {
     let warm = age as f64 / 1e9 / nodes.warm_up_seconds;
-    if warm.is_nan() || warm >= 1.0 || nodes.fall_multiple <= 0.0 {
+    if warm.is_nan() || warm >= 1.0 || nodes.overload_multiple <= 0.0 {
         return None;
     }
     let part = nodes.start_capacity + (1.0 - nodes.start_capacity) * warm;
-    let allowed = nodes.fall_multiple * nodes.cores as f64 * part * nodes.fall_seconds / mean;
+    let allowed = nodes.overload_multiple * nodes.cores as f64 * part * nodes.overload_window_seconds / mean;
     Some(allowed + 2.0 * allowed.sqrt() + 2.0)
 }
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -197,7 +197,7 @@
     paths.sort();
     for path in paths {
         let line = match scenario::read(&path, &[]) {
-            Ok(day) => day.about,
+            Ok(day) => day.description,
             Err(error) => format!("can't be read: {error:#}"),
         };
         say(&format!("{:<32} {line}\n", path.display().to_string()));
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,7 +1,7 @@
 //! The scenario's rules in the words of the platform's configuration: what the proxy on sockets reads from a
 //! file, and what the decisions get in virtual time by the same way.
 
-use pumicebay_model::spec::{Effect, Follow, Scenario, Scope};
+use pumicebay_model::spec::{DedupScope, DiscoveryMode, RetrySafety, Scenario};
 use serde_json::{Value as Json, json};
 
 /// The kind that the origin has in the list of nodes, and that of the caches.
@@ -21,13 +21,13 @@
     let routes = day.route.iter().map(|route| {
         json!({
             "name": route.name,
-            "effect": match route.effect {
-                Effect::Retriable => "repeatable",
-                Effect::Deduped => "by_key",
-                Effect::NonRetriable => "once",
+            "effect": match route.retry_safety {
+                RetrySafety::Retriable => "repeatable",
+                RetrySafety::Deduped => "by_key",
+                RetrySafety::NonRetriable => "once",
             },
-            "dedup-scope": match route.scope { Scope::Fleet => "all", Scope::Zone => "zone" },
-            "window-us": micros(route.window_seconds * 1000.0),
+            "dedup-scope": match route.dedup_scope { DedupScope::Fleet => "all", DedupScope::Zone => "zone" },
+            "window-us": micros(route.dedup_window_seconds * 1000.0),
             "latency-objective-us": micros(route.objective_ms),
             "overall-timeout-us": micros(route.timeout_ms),
             "payoff": route.payoff,
@@ -37,25 +37,29 @@
     let tenants = day.tenant.iter().map(|tenant| json!({"name": tenant.name, "quota-per-s": tenant.quota}));
     let tenants: Vec<Json> = tenants.collect();
     json!({
-        "discovery": match day.discovery.follow { Follow::Push => "push", Follow::Ask => "ask" },
+        "discovery": match day.discovery.mode { DiscoveryMode::Push => "push", DiscoveryMode::Poll => "ask" },
         "domain": {"mode": "aside", "origin-kind": 1},
-        "fleet-size": if day.proxies.said > 0 { day.proxies.said } else { day.proxies.count },
+        "fleet-size": if day.proxies.configured_count > 0 {
+            day.proxies.configured_count
+        } else {
+            day.proxies.count
+        },
         "me": me,
         "skus": [CACHE, ORIGIN],
         "failure-domains": (0..day.nodes.zones).map(zone).collect::<Vec<_>>(),
         "orgs": tenants,
         "permissions": {
             "may-probe": day.proxies.probes,
-            "retry-after": day.proxies.pauses,
-            "most-upstream-tries": day.proxies.tries,
-            "conn-idle-us": micros(day.nodes.idle_seconds * 1000.0),
+            "retry-after": day.proxies.retry_after,
+            "most-upstream-tries": day.proxies.max_attempts,
+            "conn-idle-us": micros(day.nodes.idle_timeout_seconds * 1000.0),
             "connect-timeout-us": micros(CONNECT_MS),
         },
         "routes": Json::Array(routes),
         "rules": {
             "cold-us": micros(day.nodes.warm_up_seconds * 1000.0),
-            "fall-us": micros(day.nodes.fall_seconds * 1000.0),
-            "fall-multiple": day.nodes.fall_multiple,
+            "fall-us": micros(day.nodes.overload_window_seconds * 1000.0),
+            "fall-multiple": day.nodes.overload_multiple,
             "start-capacity": day.nodes.start_capacity,
             "drain-grace-us": micros(day.nodes.drain_grace_ms),
         },
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -9,15 +9,15 @@
 use crate::world::warm;
 use anyhow::Result;
 use hashbrown::HashMap;
-use pumicebay_model::faults::{Change, absent};
+use pumicebay_model::faults::{WorldChange, initially_absent_nodes};
 use pumicebay_model::network::Network;
 use pumicebay_model::node::CacheNode;
 use pumicebay_model::origin::Origin;
-use pumicebay_model::registry::{Entry, Registry, State};
+use pumicebay_model::registry::{NodeEntry, NodeState, Registry};
 use pumicebay_model::seeds::{Rng, rng};
 use pumicebay_model::spec::Scenario;
-use pumicebay_model::station::{Job, JobId, Site, Verdict};
-use pumicebay_model::traffic::{self, Wish};
+use pumicebay_model::station::{Environment, Job, JobId, JobOutcome};
+use pumicebay_model::traffic::{self, Operation};
 use pumicebay_model::{Nanos, millis, seconds};
 use serde_json::{Value as Json, json};
 use std::cmp::Reverse;
@@ -37,7 +37,7 @@
 
 /// An exchange that the load generator has out.
 struct Out {
-    wish: Wish,
+    wish: Operation,
     proxy: usize,
     missed: Vec<usize>,
 }
@@ -45,7 +45,7 @@
 /// What jobs need while a node is at work.
 struct Desk {
     now: Nanos,
-    waiting: HashMap<JobId, oneshot::Sender<Verdict>>,
+    waiting: HashMap<JobId, oneshot::Sender<JobOutcome>>,
     xchgs: HashMap<JobId, u64>,
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
@@ -86,25 +86,25 @@
     cache: Option<usize>,
 }
 
-impl Site for Work<'_> {
-    fn finish(&mut self, at: Nanos, job: JobId) {
+impl Environment for Work<'_> {
+    fn schedule_completion(&mut self, at: Nanos, job: JobId) {
         // The clock of jobs ends with the fleet.
         let _ = self.desk.timers.send((at, self.node, job));
     }
 
-    fn ran(&mut self, job: JobId) {
+    fn execution_started(&mut self, job: JobId) {
         if let Some(&xchg) = self.desk.xchgs.get(&job) {
             self.desk.auditor.ran(self.desk.now, xchg, self.cache);
         }
     }
 
-    fn answer(&mut self, job: JobId, verdict: Verdict) {
+    fn respond(&mut self, job: JobId, verdict: JobOutcome) {
         if let Some(waiting) = self.desk.waiting.remove(&job) {
             let _ = waiting.send(verdict);
         }
     }
 
-    fn fell(&mut self, _now: Nanos) {
+    fn crashed(&mut self, _now: Nanos) {
         self.desk.fallen.push(self.node);
     }
 }
@@ -137,18 +137,19 @@
             left: vec![false; count],
             out: HashMap::new(),
         };
-        for node in absent(day) {
+        for node in initially_absent_nodes(day) {
             inner.nodes[node].up = false;
             inner.left[node] = true;
         }
         for (node, keys) in warm(day, &inner.nodes) {
-            keys.into_iter().for_each(|key| inner.nodes[node].store.keep(key, traffic::size(day, key)));
+            keys.into_iter()
+                .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(day, key)));
         }
         for node in 0..count {
             let entry = inner.actual(node);
-            inner.registry.set(entry);
+            inner.registry.update(entry);
         }
-        inner.registry.set(Entry { node: count, state: State::Ready, started: 0 });
+        inner.registry.update(NodeEntry { node: count, state: NodeState::Ready, started_at: 0 });
         let life = |node: usize| Life { listens: node == count || inner.nodes[node].up, epoch: 1 };
         let lives = (0..=count).map(|node| watch::channel(life(node)).0).collect();
         let version = watch::channel(inner.registry.version()).0;
@@ -224,7 +225,7 @@
 
     /// A try has come to a stand-in and told it how long it will be waited for: what is known of its exchange, one-way
     /// delay, and whether it gets here.
-    pub fn came(&self, xchg: u64, node: usize, told: Option<Nanos>) -> Option<(Wish, Nanos, bool)> {
+    pub fn came(&self, xchg: u64, node: usize, told: Option<Nanos>) -> Option<(Operation, Nanos, bool)> {
         let mut inner = self.lock();
         let cache = (node < self.origin()).then_some(node);
         let now = inner.desk.now;
@@ -235,11 +236,11 @@
         let zones = self.day.nodes.zones;
         let Inner { network, rng, .. } = &mut *inner;
         let delay = network.delay(rng, proxy % zones, cache.map_or(0, |node| node % zones));
-        Some((wish, delay, network.reaches(proxy, node)))
+        Some((wish, delay, network.can_reach(proxy, node)))
     }
 
     /// Puts the job to the node; its verdict comes by the channel, if it ever does.
-    pub fn arrive(&self, xchg: u64, node: usize, wish: &Wish) -> (JobId, oneshot::Receiver<Verdict>) {
+    pub fn arrive(&self, xchg: u64, node: usize, wish: &Operation) -> (JobId, oneshot::Receiver<JobOutcome>) {
         let mut inner = self.lock();
         let Inner { desk, nodes, origin, .. } = &mut *inner;
         desk.last += 1;
@@ -247,8 +248,8 @@
         let job = Job {
             id: desk.last,
             key: wish.key,
-            size: wish.size,
-            work: millis(route.service_ms),
+            value_bytes: wish.value_bytes,
+            service_time: millis(route.service_ms),
             write: route.write,
         };
         let (tell, told) = oneshot::channel();
@@ -257,8 +258,8 @@
         let now = desk.now;
         (node < nodes.len()).then(|| desk.auditor.got(now, xchg, node));
         match nodes.get_mut(node) {
-            Some(cache) => cache.arrive(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.arrive(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => cache.job_arrived(now, job, &mut Work { desk, node, cache: Some(node) }),
+            None => origin.job_arrived(now, job, &mut Work { desk, node, cache: None }),
         }
         self.falls(&mut inner);
         (job.id, told)
@@ -280,21 +281,21 @@
     }
 
     /// The verdict is on its way to the proxy.
-    pub fn answered(&self, job: JobId, xchg: u64, node: usize, verdict: Verdict) {
+    pub fn answered(&self, job: JobId, xchg: u64, node: usize, verdict: JobOutcome) {
         let mut inner = self.lock();
         let now = inner.desk.now;
         let cache = (node < self.origin()).then_some(node);
         inner.desk.auditor.over(now, xchg, cache);
         inner.desk.xchgs.remove(&job);
         match (cache, verdict) {
-            (Some(_), Verdict::Missed) => inner.desk.tally.misses += 1,
-            (Some(_), Verdict::Done) => inner.desk.tally.hits += 1,
+            (Some(_), JobOutcome::Missed) => inner.desk.tally.misses += 1,
+            (Some(_), JobOutcome::Completed) => inner.desk.tally.hits += 1,
             _ => {}
         }
-        if verdict == Verdict::Done {
+        if verdict == JobOutcome::Completed {
             inner.desk.tally.served(now, cache);
         }
-        if let (Some(node), Verdict::Missed) = (cache, verdict)
+        if let (Some(node), JobOutcome::Missed) = (cache, verdict)
             && let Some(out) = inner.out.get_mut(&xchg)
         {
             out.missed.push(node);
@@ -307,10 +308,10 @@
         let Inner { nodes, out, .. } = &mut *inner;
         let Some(Out { wish, missed, .. }) = out.get(&xchg) else { return };
         if self.day.route[wish.route].write {
-            nodes.iter_mut().for_each(|node| node.store.drop_copy(wish.key));
+            nodes.iter_mut().for_each(|node| node.store.remove(wish.key));
         } else {
             for &node in missed.iter().filter(|&&node| nodes[node].up).collect::<Vec<_>>() {
-                nodes[node].store.keep(wish.key, wish.size);
+                nodes[node].store.insert(wish.key, wish.value_bytes);
             }
         }
     }
@@ -320,8 +321,8 @@
         let Inner { desk, nodes, origin, .. } = &mut *inner;
         let now = desk.now;
         match nodes.get_mut(node) {
-            Some(cache) => cache.finished(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.finished(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => cache.job_finished(now, job, &mut Work { desk, node, cache: Some(node) }),
+            None => origin.job_finished(now, job, &mut Work { desk, node, cache: None }),
         }
         self.falls(&mut inner);
     }
@@ -332,7 +333,7 @@
         let now = inner.desk.now;
         match inner.nodes.get_mut(node) {
             Some(node) => node.connect(),
-            None => inner.origin.up(now),
+            None => inner.origin.is_up(now),
         }
     }
 
@@ -346,12 +347,12 @@
 
     /// Whether a node answers a probe.
     pub fn speaks(&self, node: usize) -> bool {
-        self.lock().nodes.get(node).is_none_or(|node| node.up && !node.silent)
+        self.lock().nodes.get(node).is_none_or(|node| node.up && !node.unresponsive)
     }
 
     // ---- Exchanges, as the load generator has them ------------------------------------------------
 
-    pub fn taken(&self, xchg: u64, wish: &Wish, proxy: usize, timeout: Nanos) {
+    pub fn taken(&self, xchg: u64, wish: &Operation, proxy: usize, timeout: Nanos) {
         let mut inner = self.lock();
         let now = inner.desk.now;
         inner.desk.tally.exchanges += 1;
@@ -392,7 +393,7 @@
         self.lock().out.remove(&xchg);
     }
 
-    pub fn wish(&self, wish: &Wish, end: End) {
+    pub fn wish(&self, wish: &Operation, end: End) {
         self.lock().desk.tally.wish(wish, end);
     }
 
@@ -406,28 +407,28 @@
     pub fn tells_after(&self) -> Option<Nanos> {
         use rand::RngExt;
         let mut inner = self.lock();
-        let usual = millis(self.day.discovery.told_ms);
+        let usual = millis(self.day.discovery.propagation_ms);
         let delay = inner.rng.random_range(usual..=2 * usual);
-        (!inner.registry.silent).then_some(delay + inner.late)
+        (!inner.registry.unresponsive).then_some(delay + inner.late)
     }
 
     /// The list as discovery has it for one proxy, which is told it with this: whole, or since a version.
     pub fn list(&self, proxy: usize, since: Option<u64>) -> Json {
         let mut inner = self.lock();
         let entries = match since {
-            Some(version) => inner.registry.since(version),
-            None => inner.registry.whole(),
+            Some(version) => inner.registry.changes_since(version),
+            None => inner.registry.snapshot(),
         };
         let now = inner.desk.now;
         for entry in entries.iter().filter(|entry| entry.node < self.origin()) {
             inner.desk.auditor.told(now, proxy, entry.node, entry.state);
-            inner.desk.auditor.told_start(now, proxy, entry.node, entry.started);
+            inner.desk.auditor.told_start(now, proxy, entry.node, entry.started_at);
         }
         let targets: Vec<Json> = entries.iter().map(|entry| self.target(entry)).collect();
         json!({"rev": inner.registry.version(), "all": since.is_none(), "targets": targets})
     }
 
-    fn target(&self, entry: &Entry) -> Json {
+    fn target(&self, entry: &NodeEntry) -> Json {
         let origin = entry.node == self.origin();
         let address = self.addresses.get().and_then(|all| all.get(entry.node)).map(ToString::to_string);
         let unix = self.unix.get().copied().unwrap_or(0);
@@ -438,11 +439,11 @@
             "model": if origin { platform::ORIGIN } else { platform::CACHE },
             "pod_group": 0,
             "state": match entry.state {
-                State::Ready => "active",
-                State::Draining => "leaving",
-                State::Left => "left",
+                NodeState::Ready => "active",
+                NodeState::Draining => "leaving",
+                NodeState::Left => "left",
             },
-            "boot_ms": if entry.started == 0 { 0 } else { unix + entry.started / 1_000_000 },
+            "boot_ms": if entry.started_at == 0 { 0 } else { unix + entry.started_at / 1_000_000 },
         })
     }
 
@@ -453,7 +454,7 @@
 
     fn says(&self, inner: &mut Inner, node: usize) {
         let entry = inner.actual(node);
-        if inner.registry.set(entry) {
+        if inner.registry.update(entry) {
             self.version.send_replace(inner.registry.version());
         }
     }
@@ -470,42 +471,42 @@
 
     // ---- What goes wrong --------------------------------------------------------------------------
 
-    pub async fn changes(self: &Arc<Self>, change: Change) {
+    pub async fn changes(self: &Arc<Self>, change: WorldChange) {
         let mut inner = self.lock();
-        let (now, noticed) = (inner.desk.now, millis(self.day.discovery.notice_ms));
+        let (now, noticed) = (inner.desk.now, millis(self.day.discovery.detection_ms));
         match change {
-            Change::Stop(node) => {
+            WorldChange::Stop(node) => {
                 self.node_stops(&mut inner, node);
                 self.notice(node, noticed);
             }
-            Change::Start(node) => {
+            WorldChange::Start(node) => {
                 self.node_starts(&mut inner, node);
                 self.notice(node, noticed);
             }
-            Change::NodeSpeed(node, factor) => inner.nodes[node].slow = factor,
-            Change::Pause(node, until) => inner.nodes[node].pause(until),
-            Change::Errors(node, share) => inner.nodes[node].errors = share,
-            Change::Spoils(node, share) => inner.nodes[node].spoils = share,
-            Change::Refuses(node, refuses) => {
-                inner.nodes[node].refuses = refuses;
+            WorldChange::NodeSpeed(node, factor) => inner.nodes[node].slowdown = factor,
+            WorldChange::Pause(node, until) => inner.nodes[node].pause(until),
+            WorldChange::Errors(node, share) => inner.nodes[node].error_share = share,
+            WorldChange::Spoils(node, share) => inner.nodes[node].corrupt_share = share,
+            WorldChange::Refuses(node, refuses) => {
+                inner.nodes[node].refuses_connections = refuses;
                 self.lives[node].send_modify(|life| life.listens = !refuses);
             }
-            Change::Silent(node, silent) => inner.nodes[node].silent = silent,
-            Change::Drain(node) => {
-                inner.nodes[node].drains = Some(now);
+            WorldChange::Silent(node, silent) => inner.nodes[node].unresponsive = silent,
+            WorldChange::Drain(node) => {
+                inner.nodes[node].draining_since = Some(now);
                 self.says(&mut inner, node);
             }
-            Change::Undrain(node) => {
-                inner.nodes[node].drains = None;
+            WorldChange::Undrain(node) => {
+                inner.nodes[node].draining_since = None;
                 self.says(&mut inner, node);
             }
-            Change::Leave(node) => {
+            WorldChange::Leave(node) => {
                 inner.left[node] = true;
                 self.node_stops(&mut inner, node);
                 self.says(&mut inner, node);
             }
-            Change::OriginSpeed(factor) => inner.origin.slow = factor,
-            Change::OriginDown(down) => {
+            WorldChange::OriginSpeed(factor) => inner.origin.slowdown = factor,
+            WorldChange::OriginDown(down) => {
                 inner.origin.down = down;
                 if down {
                     inner.origin.stop();
@@ -513,23 +514,23 @@
                 let listens = !down;
                 self.lives[self.origin()].send_modify(|life| *life = Life { listens, epoch: life.epoch + 1 });
             }
-            Change::Void => inner.nodes.iter_mut().for_each(|node| node.store.clear()),
-            Change::Kill(_) => {}
-            Change::Discovery(speaks) => inner.registry.silent = !speaks,
-            Change::DiscoveryLate(late) => inner.late = late,
-            Change::Freeze(node, frozen) => {
-                inner.registry.freeze(node, frozen);
+            WorldChange::Void => inner.nodes.iter_mut().for_each(|node| node.store.clear()),
+            WorldChange::Kill(_) => {}
+            WorldChange::Discovery(speaks) => inner.registry.unresponsive = !speaks,
+            WorldChange::DiscoveryLate(late) => inner.late = late,
+            WorldChange::Freeze(node, frozen) => {
+                inner.registry.set_frozen(node, frozen);
                 self.says(&mut inner, node);
             }
-            Change::Lie(node, lies) => {
+            WorldChange::Lie(node, lies) => {
                 inner.lies[node] = lies;
                 self.says(&mut inner, node);
             }
-            Change::Clock(node, off) => {
+            WorldChange::Clock(node, off) => {
                 inner.clock[node] = (off != 0).then_some(off);
                 self.says(&mut inner, node);
             }
-            Change::Cut(proxy, node, cut) => inner.network.cut(proxy, node, cut),
+            WorldChange::Cut(proxy, node, cut) => inner.network.set_partitioned(proxy, node, cut),
         }
     }
 
@@ -558,10 +559,10 @@
                 seconds(self.day.nodes.down_seconds)
             } else {
                 inner.desk.tally.origin_stops += 1;
-                if inner.origin.slow <= 1.0 {
+                if inner.origin.slowdown <= 1.0 {
                     inner.desk.auditor.origin_stopped(now);
                 }
-                seconds(self.day.origin.stop_seconds)
+                seconds(self.day.origin.down_seconds)
             };
             self.lives[node].send_modify(|life| *life = Life { listens: false, epoch: life.epoch + 1 });
             // The clock of jobs brings it back: a job of no number.
@@ -573,8 +574,8 @@
         let mut inner = self.lock();
         if node < self.origin() {
             self.node_starts(&mut inner, node);
-            self.notice(node, millis(self.day.discovery.notice_ms));
-        } else if inner.origin.up(inner.desk.now) {
+            self.notice(node, millis(self.day.discovery.detection_ms));
+        } else if inner.origin.is_up(inner.desk.now) {
             self.lives[node].send_modify(|life| life.listens = true);
         }
     }
@@ -595,9 +596,9 @@
 }
 
 impl Inner {
-    fn actual(&self, node: usize) -> Entry {
+    fn actual(&self, node: usize) -> NodeEntry {
         let gone = self.left[node] || self.lies[node];
-        self.nodes[node].entry(node, self.desk.now, gone, self.clock[node])
+        self.nodes[node].registry_entry(node, self.desk.now, gone, self.clock[node])
     }
 }
 
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -12,7 +12,9 @@
 use pumicebay::resp::{Frame, Resp};
 use pumicebay_model::seeds::{Rng, rng};
 use pumicebay_model::spec::Scenario;
-use pumicebay_model::traffic::{ASKS, LISTENS, Traffic, Wish, again};
+use pumicebay_model::traffic::{
+    CLIENT_TIMEOUT_MARGIN, MAX_CONNECTION_REFUSALS, Operation, Traffic, retry_delay,
+};
 use pumicebay_model::{Nanos, millis};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -61,8 +63,8 @@
     let mut late = Histogram::<u64>::new_with_bounds(1, 100_000_000, 3)?;
     let mut clients = JoinSet::new();
     for wish in Traffic::new(day, seed) {
-        sleep_until(load.fleet.instant(wish.at)).await;
-        late.saturating_record(load.fleet.now().saturating_sub(wish.at) / 1000 + 1);
+        sleep_until(load.fleet.instant(wish.start)).await;
+        late.saturating_record(load.fleet.now().saturating_sub(wish.start) / 1000 + 1);
         clients.spawn(load.clone().client(wish));
         while clients.try_join_next().is_some() {}
     }
@@ -81,7 +83,7 @@
 
 impl Load {
     /// One wish with all its retries.
-    async fn client(self: Arc<Self>, wish: Wish) {
+    async fn client(self: Arc<Self>, wish: Operation) {
         let count = self.proxies.len();
         let (mut proxy, mut tries, mut refused) = (wish.proxy % count, 0, 0);
         let write = self.day.route[wish.route].write;
@@ -93,17 +95,17 @@
                     tries -= 1;
                     refused += 1;
                     proxy = (proxy + 1) % count;
-                    if refused >= count.min(ASKS) {
+                    if refused >= count.min(MAX_CONNECTION_REFUSALS) {
                         break End::Lost;
                     }
                     continue;
                 }
                 Ended::Lost => {
                     proxy = (proxy + 1) % count;
-                    (End::Lost, millis(self.day.clients.notice_ms))
+                    (End::Lost, millis(self.day.clients.failover_ms))
                 }
                 Ended::Answer(Frame::Bulk(_)) => {
-                    break End::Served(self.fleet.now().saturating_sub(wish.at));
+                    break End::Served(self.fleet.now().saturating_sub(wish.start));
                 }
                 Ended::Answer(Frame::Error(text)) if text.starts_with(b"BUSY") => {
                     let pause =
@@ -123,10 +125,10 @@
 
     fn again(&self, tries: u32, pause: Nanos) -> Option<Nanos> {
         let mut rng = self.rng.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        again(&self.day, &mut rng, tries, pause)
+        retry_delay(&self.day, &mut rng, tries, pause)
     }
 
-    async fn exchange(&self, wish: &Wish, proxy: usize, retry: bool) -> Ended {
+    async fn exchange(&self, wish: &Operation, proxy: usize, retry: bool) -> Ended {
         let route = &self.day.route[wish.route];
         let patience = millis(route.timeout_ms);
         let xchg = self.last.fetch_add(1, Ordering::Relaxed) + 1;
@@ -134,9 +136,11 @@
         sleep(delay).await;
         self.fleet.taken(xchg, wish, proxy, patience);
         let words = self.words(wish, xchg, retry);
-        let carried =
-            timeout(Duration::from_nanos(patience + LISTENS), self.carry(proxy, xchg, patience, &words))
-                .await;
+        let carried = timeout(
+            Duration::from_nanos(patience + CLIENT_TIMEOUT_MARGIN),
+            self.carry(proxy, xchg, patience, &words),
+        )
+        .await;
         let ended = carried.unwrap_or(Ended::Lost);
         match &ended {
             Ended::Answer(frame) => self.answered(xchg, frame),
@@ -161,7 +165,7 @@
         self.fleet.final_answer(xchg, answer, sound);
     }
 
-    fn words(&self, wish: &Wish, xchg: u64, retry: bool) -> Frame {
+    fn words(&self, wish: &Operation, xchg: u64, retry: bool) -> Frame {
         let route = &self.day.route[wish.route];
         let mut labels = format!("c={}", route.name);
         if let Some(tenant) = self.day.tenant.get(wish.tenant) {
@@ -176,7 +180,7 @@
         let mut words = vec![text(command.into()), text(key_text(wish.key))];
         words.extend([text(format!("{xchg:016x}")), text(labels)]);
         if route.write {
-            words.push(Frame::Bulk(vec![b'w'; wish.size as usize].into()));
+            words.push(Frame::Bulk(vec![b'w'; wish.value_bytes as usize].into()));
         }
         Frame::Array(words)
     }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context, Result, ensure};
 use fleet::Fleet;
 use process::Proxies;
-use pumicebay_model::faults::{Change, timeline};
+use pumicebay_model::faults::{WorldChange, timeline};
 use pumicebay_model::spec::Scenario;
 use pumicebay_model::{Nanos, millis, seconds};
 use std::path::PathBuf;
@@ -87,7 +87,7 @@
         }
         while let Some((_, change)) = changes.next_if(|(at, _)| *at <= fleet.now()) {
             match change {
-                Change::Kill(number) => proxies.kill(number, &fleet).await,
+                WorldChange::Kill(number) => proxies.kill(number, &fleet).await,
                 change => fleet.changes(change).await,
             }
         }
--- a/crates/lab/src/real/process.rs
+++ b/crates/lab/src/real/process.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pumicebay_model::Nanos;
-use pumicebay_model::seeds::mix;
+use pumicebay_model::seeds::splitmix64;
 use pumicebay_model::spec::Scenario;
 use serde_json::{Value as Json, json};
 use std::collections::VecDeque;
@@ -126,7 +126,7 @@
         let section = self.day.proxies.fleet.then(|| self.section(number));
         let this = &mut self.proxies[number];
         this.life += 1;
-        let seed = mix(self.seed ^ mix(number as u64 ^ this.life << 32));
+        let seed = splitmix64(self.seed ^ splitmix64(number as u64 ^ this.life << 32));
         let mut config = json!({
             "name": format!("p{}", number + 1),
             "listen": this.address.to_string(),
@@ -226,7 +226,7 @@
                 let _ = kill(Pid::from_raw(id), Signal::SIGTERM);
             }
         }
-        let until = Instant::now() + Duration::from_secs_f64(self.day.proxies.ends_seconds);
+        let until = Instant::now() + Duration::from_secs_f64(self.day.proxies.shutdown_seconds);
         for (number, proxy) in self.proxies.iter_mut().enumerate() {
             let Some(mut child) = proxy.child.take() else { continue };
             if tokio::time::timeout_at(until, child.wait()).await.is_err() {
--- a/crates/lab/src/real/stand_ins.rs
+++ b/crates/lab/src/real/stand_ins.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use pumicebay::resp::{Frame, Resp};
-use pumicebay_model::station::Verdict;
+use pumicebay_model::station::JobOutcome;
 use pumicebay_model::{Nanos, millis};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -125,12 +125,12 @@
     xchg: u64,
     told: Option<u64>,
     gone: impl Future<Output = ()>,
-) -> Option<(Verdict, Bytes)> {
+) -> Option<(JobOutcome, Bytes)> {
     let mut this = Try { fleet, xchg, node, job: None, open: true };
     let carried = async {
         let Some((wish, delay, reaches)) = fleet.came(xchg, node, told) else {
             // Its client is gone: the request is already over.
-            return Some((Verdict::Busy, Bytes::new()));
+            return Some((JobOutcome::Rejected, Bytes::new()));
         };
         if !reaches {
             return std::future::pending().await;
@@ -139,13 +139,13 @@
         let (job, verdict) = fleet.arrive(xchg, node, &wish);
         this.job = Some(job);
         let Ok(verdict) = verdict.await else { return std::future::pending().await };
-        if node == fleet.origin() && verdict == Verdict::Done {
+        if node == fleet.origin() && verdict == JobOutcome::Completed {
             fleet.fetched(xchg);
         }
         sleep(Duration::from_nanos(delay)).await;
         fleet.answered(job, xchg, node, verdict);
         this.open = false;
-        Some((verdict, value(xchg, wish.size)))
+        Some((verdict, value(xchg, wish.value_bytes)))
     };
     tokio::select! {
         done = carried => done,
@@ -183,20 +183,20 @@
                 let told = words.get(3).and_then(|labels| told(labels));
                 match work(fleet, node, xchg, told, gone).await {
                     None => return,
-                    Some((Verdict::Spoilt, _)) => {
+                    Some((JobOutcome::Corrupted, _)) => {
                         let _ = framed.get_mut().write_all(b"*3\r\n$what?\r\n").await;
                         return;
                     }
-                    Some((Verdict::Done, value)) => {
+                    Some((JobOutcome::Completed, value)) => {
                         let how = Frame::Bulk(Bytes::from_static(b"hit"));
                         Frame::Array(vec![Frame::Bulk(value), how, Frame::Null])
                     }
-                    Some((Verdict::Missed, _)) => {
+                    Some((JobOutcome::Missed, _)) => {
                         let how = Frame::Bulk(Bytes::from_static(b"miss"));
                         Frame::Array(vec![Frame::Null, how, Frame::Null])
                     }
-                    Some((Verdict::Busy, _)) => Frame::error("BUSY"),
-                    Some((Verdict::Failed, _)) => Frame::error("ERR failed"),
+                    Some((JobOutcome::Rejected, _)) => Frame::error("BUSY"),
+                    Some((JobOutcome::Failed, _)) => Frame::error("ERR failed"),
                 }
             }
             _ => Frame::error("ERR unknown command"),
@@ -247,8 +247,8 @@
             let told = asked.header("x-labels").and_then(told);
             match work(fleet, node, xchg, told, gone).await {
                 None => return,
-                Some((Verdict::Done, value)) => Answer { status: 200, header: None, body: value },
-                Some((Verdict::Busy, _)) => {
+                Some((JobOutcome::Completed, value)) => Answer { status: 200, header: None, body: value },
+                Some((JobOutcome::Rejected, _)) => {
                     Answer { status: 503, header: Some(("X-Turned-Away", "1")), body: Bytes::new() }
                 }
                 Some(_) => Answer { status: 500, ..Answer::default() },
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -75,13 +75,13 @@
     pub fn check(&self, tree: Value) -> Result<Scenario> {
         let day: Scenario =
             tree.try_into().map_err(|error: toml::de::Error| anyhow!("{}", error.to_string().trim_end()))?;
-        let problems = day.problems();
+        let problems = day.validate();
         if problems.is_empty() {
             return Ok(day);
         }
         let lines = problems.iter().map(|problem| match line(&self.text, &problem.key) {
-            Some(line) => format!("line {line}: {}: {}", problem.key, problem.why),
-            None => format!("{}: {}", problem.key, problem.why),
+            Some(line) => format!("line {line}: {}: {}", problem.key, problem.message),
+            None => format!("{}: {}", problem.key, problem.message),
         });
         bail!("{}", lines.collect::<Vec<_>>().join("\n"))
     }
--- a/crates/lab/src/seat.rs
+++ b/crates/lab/src/seat.rs
@@ -10,8 +10,8 @@
 };
 use pumicebay_model::millis;
 use pumicebay_model::network::Network;
-use pumicebay_model::registry::{Entry, State};
-use pumicebay_model::seeds::{Rng, mix, rng};
+use pumicebay_model::registry::{NodeEntry, NodeState};
+use pumicebay_model::seeds::{Rng, rng, splitmix64};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
     },
     Listed {
         whole: bool,
-        entries: Arc<Vec<Entry>>,
+        entries: Arc<Vec<NodeEntry>>,
     },
     ListFailed,
     Probed {
@@ -47,7 +47,7 @@
     Kill,
     /// A new process, with the list it last had.
     Start {
-        entries: Arc<Vec<Entry>>,
+        entries: Arc<Vec<NodeEntry>>,
         life: u64,
     },
 }
@@ -257,11 +257,11 @@
     fn release_node(&mut self, _node: Node) {}
 
     fn watch_node_list(&mut self) {
-        self.post(self.network.least(), ToWorld::Follow);
+        self.post(self.network.min_delay(), ToWorld::Follow);
     }
 
     fn log(&mut self, line: &str) {
-        self.post(self.network.least(), ToWorld::Log(line.to_string()));
+        self.post(self.network.min_delay(), ToWorld::Log(line.to_string()));
     }
 }
 
@@ -349,7 +349,7 @@
         }
         let Some(policy) = &mut self.policy else {
             if let ToSeat::Arrived { xchg, .. } = what {
-                self.out.push((now + self.rules.network.least(), ToWorld::Refused { xchg }));
+                self.out.push((now + self.rules.network.min_delay(), ToWorld::Refused { xchg }));
             }
             return;
         };
@@ -383,7 +383,7 @@
             now,
             zones: *zones,
             network: network.clone(),
-            rng: rng(*seed, "seat", mix(self.number as u64) ^ life),
+            rng: rng(*seed, "seat", splitmix64(self.number as u64) ^ life),
             idle_limit: *idle_limit,
             idle: vec![VecDeque::new(); nodes + 1],
             open: HashMap::new(),
@@ -392,14 +392,14 @@
             order: 0,
             out: Vec::new(),
         };
-        let seed = mix(seed ^ mix(self.number as u64 ^ life << 32)).wrapping_add(*salt);
+        let seed = splitmix64(seed ^ splitmix64(self.number as u64 ^ life << 32)).wrapping_add(*salt);
         self.policy = policy::make(policy, acts, settings.clone(), seed, now);
         if let (Some(policy), Some(sets)) = (&mut self.policy, self.kept_sets.take()) {
             policy.put_sets(sets);
         }
     }
 
-    fn listed(&mut self, now: Nanos, whole: bool, entries: &[Entry]) {
+    fn listed(&mut self, now: Nanos, whole: bool, entries: &[NodeEntry]) {
         let (origin, zones) = (self.rules.nodes, self.rules.zones);
         let Some(policy) = &mut self.policy else { return };
         for entry in entries {
@@ -483,18 +483,18 @@
     pumicebay_names::stable_hash(&key_text(key))
 }
 
-pub fn listed(entry: &Entry, origin: Node, zones: usize) -> ListedNode {
+pub fn listed(entry: &NodeEntry, origin: Node, zones: usize) -> ListedNode {
     let is_origin = entry.node == origin;
     ListedNode {
         identity: pumicebay_names::stable_hash(&if is_origin { "origin".into() } else { uid(entry.node) }),
         zone: if is_origin { 0 } else { entry.node % zones },
         cell: 0,
         status: match entry.state {
-            State::Ready => NodeStatus::Ready,
-            State::Draining => NodeStatus::Draining,
-            State::Left => NodeStatus::Gone,
+            NodeState::Ready => NodeStatus::Ready,
+            NodeState::Draining => NodeStatus::Draining,
+            NodeState::Left => NodeStatus::Gone,
         },
-        started: entry.started,
+        started: entry.started_at,
         origin: is_origin,
         ..ListedNode::default()
     }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -4,7 +4,7 @@
 use crate::results::{Group, Latency, Load, Recovery, Results, SCHEMA, Second};
 use hdrhistogram::Histogram;
 use pumicebay_model::spec::Scenario;
-use pumicebay_model::traffic::Wish;
+use pumicebay_model::traffic::Operation;
 use pumicebay_model::{Nanos, SECOND, millis, seconds};
 
 /// Windows over which the worst stretch is looked for, in seconds.
@@ -86,7 +86,7 @@
     }
 
     /// A wish is over. What began in the warm-up is kept by second only.
-    pub fn wish(&mut self, wish: &Wish, end: End) {
+    pub fn wish(&mut self, wish: &Operation, end: End) {
         let route = &self.day.route[wish.route];
         let objective = millis(route.objective_ms);
         let add = |part: &mut Part| {
@@ -106,10 +106,10 @@
                 End::Lost => part.lost += 1,
             }
         };
-        if let Some(second) = self.seconds.get_mut((wish.at / SECOND) as usize) {
+        if let Some(second) = self.seconds.get_mut((wish.start / SECOND) as usize) {
             add(second);
         }
-        if wish.at < seconds(self.day.warm_up_seconds) {
+        if wish.start < seconds(self.day.warm_up_seconds) {
             return;
         }
         add(&mut self.all);
@@ -228,7 +228,7 @@
     }
 
     fn recovery(&self, fault: &pumicebay_model::faults::Fault) -> Recovery {
-        let at = fault.at as usize;
+        let at = fault.start_seconds as usize;
         let from = at.saturating_sub(BEFORE_SECONDS).max(self.day.warm_up_seconds as usize);
         let before = self.seconds.get(from..at).filter(|part| !part.is_empty()).map(mean_share);
         // The second in which it begins is the first that can suffer.
@@ -248,7 +248,7 @@
                 }
             }
         };
-        Recovery { fault: fault.title(), at: fault.at, lowest, seconds: before.and_then(back) }
+        Recovery { fault: fault.label(), at: fault.start_seconds, lowest, seconds: before.and_then(back) }
     }
 }
 
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -41,12 +41,12 @@
         seed,
         nodes: day.nodes.count,
         zones: day.nodes.zones,
-        idle_limit: seconds(day.nodes.idle_seconds * 0.9),
+        idle_limit: seconds(day.nodes.idle_timeout_seconds * 0.9),
         network: Network::new(&day.network),
     };
     let mut seats: Vec<Seat> = (0..day.proxies.count).map(|proxy| Seat::new(rules(proxy), proxy)).collect();
     let mut world = World::new(day, seed);
-    let window = Network::new(&day.network).least();
+    let window = Network::new(&day.network).min_delay();
     let (whole, mut order, mut told) = (seconds(day.seconds), 0, 0);
     loop {
         for (proxy, at, what) in world.mail() {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -7,15 +7,15 @@
 use hashbrown::HashMap;
 use pumicebay_core::table::rendezvous;
 use pumicebay_core::{Nanos, Node, Outcome, RequestId, RequestParams};
-use pumicebay_model::faults::{Change, absent, timeline};
+use pumicebay_model::faults::{WorldChange, initially_absent_nodes, timeline};
 use pumicebay_model::network::Network;
 use pumicebay_model::node::CacheNode;
 use pumicebay_model::origin::Origin;
-use pumicebay_model::registry::{Entry, Registry, State};
+use pumicebay_model::registry::{NodeEntry, NodeState, Registry};
 use pumicebay_model::seeds::{Rng, rng};
-use pumicebay_model::spec::{Follow, Scenario};
-use pumicebay_model::station::{Job, JobId, Site, Verdict};
-use pumicebay_model::traffic::{self, Traffic, Wish};
+use pumicebay_model::spec::{DiscoveryMode, Scenario};
+use pumicebay_model::station::{Environment, Job, JobId, JobOutcome};
+use pumicebay_model::traffic::{self, Operation, Traffic};
 use pumicebay_model::{SECOND, millis, seconds};
 use rand::RngExt;
 use std::collections::BinaryHeap;
@@ -35,7 +35,7 @@
 enum Event {
     Seat(usize, ToWorld),
     Finished(Node, JobId),
-    Changes(Change),
+    Changes(WorldChange),
     /// Discovery gets to know what a node says of itself.
     Notice(Node),
     /// A node that fell over comes back.
@@ -61,7 +61,7 @@
 }
 
 struct Wanted {
-    wish: Wish,
+    wish: Operation,
     tries: u32,
     /// Proxies that refused in a row.
     refused: usize,
@@ -124,32 +124,32 @@
     core: &'a mut Core,
     node: Node,
     /// What was done at last, for whoever had the node do it.
-    done: Option<(JobId, Verdict)>,
+    done: Option<(JobId, JobOutcome)>,
 }
 
-impl Site for Work<'_> {
-    fn finish(&mut self, at: Nanos, job: JobId) {
+impl Environment for Work<'_> {
+    fn schedule_completion(&mut self, at: Nanos, job: JobId) {
         self.core.at(at, Event::Finished(self.node, job));
     }
 
-    fn ran(&mut self, job: JobId) {
+    fn execution_started(&mut self, job: JobId) {
         let (now, node) = (self.core.now, self.core.cache(self.node));
         self.core.auditor.ran(now, job / TRIES, node);
     }
 
-    fn answer(&mut self, job: JobId, verdict: Verdict) {
+    fn respond(&mut self, job: JobId, verdict: JobOutcome) {
         self.done = Some((job, verdict));
         let Some(at) = self.core.jobs.remove(&job) else { return };
         let outcome = match verdict {
-            Verdict::Done => Outcome::Completed,
-            Verdict::Missed => Outcome::Missed,
-            Verdict::Busy => Outcome::Saturated,
-            Verdict::Failed | Verdict::Spoilt => Outcome::Errored,
+            JobOutcome::Completed => Outcome::Completed,
+            JobOutcome::Missed => Outcome::Missed,
+            JobOutcome::Rejected => Outcome::Saturated,
+            JobOutcome::Failed | JobOutcome::Corrupted => Outcome::Errored,
         };
         self.core.back(at, job, outcome, 0);
     }
 
-    fn fell(&mut self, _now: Nanos) {
+    fn crashed(&mut self, _now: Nanos) {
         self.core.fallen.push(self.node);
     }
 }
@@ -166,7 +166,7 @@
     left: Vec<bool>,
     proxies: Vec<Known>,
     traffic: Traffic,
-    next_wish: Option<Wish>,
+    next_wish: Option<Operation>,
     wishes: HashMap<u64, Wanted>,
     xchgs: HashMap<RequestId, Cx>,
     last_wish: u64,
@@ -228,19 +228,19 @@
     }
 
     fn begin(&mut self, seed: u64) {
-        for node in absent(&self.day) {
+        for node in initially_absent_nodes(&self.day) {
             self.nodes[node].up = false;
             self.left[node] = true;
         }
         for (node, keys) in warm(&self.day, &self.nodes) {
             for key in keys {
-                self.nodes[node].store.keep(key, traffic::size(&self.day, key));
+                self.nodes[node].store.insert(key, traffic::value_bytes(&self.day, key));
             }
         }
         for node in 0..self.nodes.len() {
-            self.registry.set(self.actual(node));
+            self.registry.update(self.actual(node));
         }
-        self.registry.set(Entry { node: self.nodes.len(), state: State::Ready, started: 0 });
+        self.registry.update(NodeEntry { node: self.nodes.len(), state: NodeState::Ready, started_at: 0 });
         // Proxies do not start in step.
         let mut starts = rng(seed, "starts", 0);
         for proxy in 0..self.proxies.len() {
@@ -248,7 +248,7 @@
             self.start(proxy, at);
         }
         for (at, change) in timeline(&self.day) {
-            if let Change::Kill(proxy) = change {
+            if let WorldChange::Kill(proxy) = change {
                 self.core.tell(proxy, at, ToSeat::Kill);
             }
             self.core.at(at, Event::Changes(change));
@@ -257,14 +257,14 @@
     }
 
     /// What a node is, as it says itself.
-    fn actual(&self, node: Node) -> Entry {
+    fn actual(&self, node: Node) -> NodeEntry {
         let gone = self.left[node] || self.lies[node];
-        self.nodes[node].entry(node, self.core.now, gone, self.clock[node])
+        self.nodes[node].registry_entry(node, self.core.now, gone, self.clock[node])
     }
 
     pub fn next_at(&self) -> Nanos {
         let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
-        event.min(self.next_wish.map_or(Nanos::MAX, |wish| wish.at))
+        event.min(self.next_wish.map_or(Nanos::MAX, |wish| wish.start))
     }
 
     /// Whether all that was asked for has come to its end.
@@ -292,8 +292,8 @@
     pub fn play(&mut self, until: Nanos) {
         while self.next_at() < until {
             let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
-            if let Some(wish) = self.next_wish.filter(|wish| wish.at <= event) {
-                self.core.now = wish.at;
+            if let Some(wish) = self.next_wish.filter(|wish| wish.start <= event) {
+                self.core.now = wish.start;
                 self.next_wish = self.traffic.next();
                 self.wish(wish);
             } else if let Some(due) = self.core.events.pop() {
@@ -312,7 +312,7 @@
             Event::Finished(node, job) => self.finished(node, job),
             Event::Changes(change) => self.changes(change),
             Event::Notice(node) => {
-                if self.registry.set(self.actual(node)) {
+                if self.registry.update(self.actual(node)) {
                     self.tell_all();
                 }
             }
@@ -322,7 +322,7 @@
             Event::Cut(xchg, died) => {
                 if self.xchgs.contains_key(&xchg) {
                     self.core.auditor.lost(died, xchg);
-                    self.ended(xchg, End::Lost, millis(self.day.clients.notice_ms));
+                    self.ended(xchg, End::Lost, millis(self.day.clients.failover_ms));
                 }
             }
             Event::Sweep => {
@@ -337,7 +337,7 @@
 
     // ---- Clients --------------------------------------------------------------------------------
 
-    fn wish(&mut self, wish: Wish) {
+    fn wish(&mut self, wish: Operation) {
         self.last_wish += 1;
         let wanted = Wanted { wish, tries: 0, refused: 0, last: End::Lost };
         self.wishes.insert(self.last_wish, wanted);
@@ -366,7 +366,7 @@
         self.core.auditor.taken(at, xchg, proxy, wish.route, at + timeout);
         self.core.auditor.client_waits_until(xchg, now + timeout);
         self.core.tell(proxy, at, ToSeat::Arrived { xchg, ask });
-        self.core.at(now + timeout + traffic::LISTENS, Event::TimedOut(xchg));
+        self.core.at(now + timeout + traffic::CLIENT_TIMEOUT_MARGIN, Event::TimedOut(xchg));
         self.xchgs.insert(xchg, Cx { wish: number, proxy, sent: now, missed: Vec::new() });
     }
 
@@ -379,7 +379,7 @@
         let repeatable = !self.day.route[wanted.wish.route].write || end == End::Shed;
         let again = match served || !repeatable {
             true => None,
-            false => traffic::again(&self.day, &mut self.retry_rng, wanted.tries, pause),
+            false => traffic::retry_delay(&self.day, &mut self.retry_rng, wanted.tries, pause),
         };
         match again {
             Some(wait) => {
@@ -405,7 +405,7 @@
         wanted.refused += 1;
         // Nothing was taken: it does not count as a try.
         wanted.tries -= 1;
-        if wanted.refused < self.day.proxies.count.min(traffic::ASKS) {
+        if wanted.refused < self.day.proxies.count.min(traffic::MAX_CONNECTION_REFUSALS) {
             self.ask(cx.wish, (cx.proxy + 1) % self.day.proxies.count);
         } else if let Some(wanted) = self.wishes.remove(&cx.wish) {
             self.core.tally.wish(&wanted.wish, End::Lost);
@@ -416,7 +416,7 @@
         self.core.auditor.answered(sent, xchg, answer, sound);
         let Some(cx) = self.xchgs.get(&xchg) else { return };
         debug_assert!(cx.sent <= sent);
-        let since = self.wishes.get(&cx.wish).map_or(sent, |wanted| wanted.wish.at);
+        let since = self.wishes.get(&cx.wish).map_or(sent, |wanted| wanted.wish.start);
         let end = match answer {
             Final::Served => End::Served(self.core.now - since),
             Final::Shed => End::Shed,
@@ -479,7 +479,7 @@
         let cache = self.core.cache(at.node);
         self.core.tally.tries += 1;
         self.core.auditor.sent(sent, xchg, cache);
-        if !self.core.network.reaches(at.proxy, at.node) {
+        if !self.core.network.can_reach(at.proxy, at.node) {
             if epoch.is_none() {
                 self.core.back(at, job, Outcome::Unreachable, millis(crate::platform::CONNECT_MS));
             }
@@ -490,7 +490,7 @@
                 Some(epoch) => self.nodes[node].up && epoch == self.core.epochs[node],
                 None => self.nodes[node].connect(),
             },
-            None => self.origin.up(now),
+            None => self.origin.is_up(now),
         };
         if !up {
             let lost = if epoch.is_some() { Outcome::Severed } else { Outcome::Unreachable };
@@ -505,16 +505,16 @@
         let job = Job {
             id: job,
             key: wish.key,
-            size: wish.size,
-            work: millis(route.service_ms),
+            value_bytes: wish.value_bytes,
+            service_time: millis(route.service_ms),
             write: route.write,
         };
         self.core.jobs.insert(job.id, at);
         cache.into_iter().for_each(|node| self.core.auditor.got(now, xchg, node));
         let mut work = Work { core: &mut self.core, node: at.node, done: None };
         match self.nodes.get_mut(at.node) {
-            Some(node) => node.arrive(now, job, &mut work),
-            None => self.origin.arrive(now, job, &mut work),
+            Some(node) => node.job_arrived(now, job, &mut work),
+            None => self.origin.job_arrived(now, job, &mut work),
         }
     }
 
@@ -523,24 +523,24 @@
         let asked = self.core.jobs.contains_key(&job);
         let mut work = Work { core: &mut self.core, node, done: None };
         match self.nodes.get_mut(node) {
-            Some(node) => node.finished(now, job, &mut work),
-            None => self.origin.finished(now, job, &mut work),
+            Some(node) => node.job_finished(now, job, &mut work),
+            None => self.origin.job_finished(now, job, &mut work),
         }
         // Others may have begun and ended at once, but this one's verdict was the first.
         let Some((_, verdict)) = work.done.filter(|(done, _)| *done == job) else { return };
         let xchg = job / TRIES;
         match (node < self.nodes.len(), verdict) {
-            (true, Verdict::Missed) => {
+            (true, JobOutcome::Missed) => {
                 self.core.tally.misses += 1;
                 if let Some(cx) = self.xchgs.get_mut(&xchg) {
                     cx.missed.push(node);
                 }
             }
-            (true, Verdict::Done) => {
+            (true, JobOutcome::Completed) => {
                 self.core.tally.hits += 1;
                 self.core.tally.served(now, Some(node));
             }
-            (false, Verdict::Done) => self.fetched(xchg, asked),
+            (false, JobOutcome::Completed) => self.fetched(xchg, asked),
             _ => {}
         }
     }
@@ -551,11 +551,11 @@
         let Some(cx) = self.xchgs.get(&xchg) else { return };
         let wish = self.wishes[&cx.wish].wish;
         if self.day.route[wish.route].write {
-            self.nodes.iter_mut().for_each(|node| node.store.drop_copy(wish.key));
+            self.nodes.iter_mut().for_each(|node| node.store.remove(wish.key));
         } else if asked {
             for &node in &cx.missed {
                 if self.nodes[node].up {
-                    self.nodes[node].store.keep(wish.key, wish.size);
+                    self.nodes[node].store.insert(wish.key, wish.value_bytes);
                 }
             }
         }
@@ -563,10 +563,10 @@
 
     fn probed(&mut self, proxy: usize, node: Node) {
         let now = self.core.now;
-        let there = self.core.network.reaches(proxy, node);
+        let there = self.core.network.can_reach(proxy, node);
         let (up, silent) = match self.nodes.get(node) {
-            Some(node) => (node.up && !node.refuses, node.silent),
-            None => (self.origin.up(now), false),
+            Some(node) => (node.up && !node.refuses_connections, node.unresponsive),
+            None => (self.origin.is_up(now), false),
         };
         let (outcome, after) = match (there, up, silent) {
             (false, ..) => (Outcome::Unreachable, millis(crate::platform::CONNECT_MS)),
@@ -582,17 +582,17 @@
 
     /// A proxy's process begins at that time, with the list as it is now.
     fn start(&mut self, proxy: usize, at: Nanos) {
-        let entries = self.registry.whole();
+        let entries = self.registry.snapshot();
         self.core.auditor.restarted(proxy);
         for entry in entries.iter().filter(|entry| entry.node < self.nodes.len()) {
             self.core.auditor.told(at, proxy, entry.node, entry.state);
-            self.core.auditor.told_start(at, proxy, entry.node, entry.started);
+            self.core.auditor.told_start(at, proxy, entry.node, entry.started_at);
         }
         let known = &mut self.proxies[proxy];
         known.life += 1;
         known.version = self.registry.version();
         known.told = at;
-        known.follows = self.day.discovery.follow == Follow::Push;
+        known.follows = self.day.discovery.mode == DiscoveryMode::Push;
         let life = known.life;
         self.core.tell(proxy, at, ToSeat::Start { entries: Arc::new(entries), life });
     }
@@ -604,24 +604,24 @@
     /// Tells a proxy what changed since it was last told.
     fn tell_list(&mut self, proxy: usize) {
         let known = &mut self.proxies[proxy];
-        if self.registry.silent || !known.follows || known.version == self.registry.version() {
+        if self.registry.unresponsive || !known.follows || known.version == self.registry.version() {
             return;
         }
-        let entries = self.registry.since(known.version);
+        let entries = self.registry.changes_since(known.version);
         known.version = self.registry.version();
-        let usual = millis(self.day.discovery.told_ms);
-        let delay = self.core.network.least() + self.late + self.core.rng.random_range(usual..=2 * usual);
+        let usual = millis(self.day.discovery.propagation_ms);
+        let delay = self.core.network.min_delay() + self.late + self.core.rng.random_range(usual..=2 * usual);
         known.told = (self.core.now + delay).max(known.told + 1);
         let at = known.told;
         for entry in entries.iter().filter(|entry| entry.node < self.nodes.len()) {
             self.core.auditor.told(at, proxy, entry.node, entry.state);
-            self.core.auditor.told_start(at, proxy, entry.node, entry.started);
+            self.core.auditor.told_start(at, proxy, entry.node, entry.started_at);
         }
         self.core.tell(proxy, at, ToSeat::Listed { whole: false, entries: Arc::new(entries) });
     }
 
     fn follows(&mut self, proxy: usize) {
-        if self.registry.silent {
+        if self.registry.unresponsive {
             let at = self.core.now + LIST_SILENT;
             self.core.tell(proxy, at, ToSeat::ListFailed);
         } else {
@@ -631,11 +631,11 @@
     }
 
     fn discovery(&mut self, speaks: bool) {
-        self.registry.silent = !speaks;
+        self.registry.unresponsive = !speaks;
         if speaks {
             return self.tell_all();
         }
-        if self.day.discovery.follow == Follow::Ask {
+        if self.day.discovery.mode == DiscoveryMode::Poll {
             let at = self.core.now + LIST_SILENT;
             for proxy in 0..self.proxies.len() {
                 if std::mem::take(&mut self.proxies[proxy].follows) {
@@ -646,61 +646,61 @@
     }
 
     fn notice(&mut self, node: Node) {
-        let after = millis(self.day.discovery.notice_ms);
+        let after = millis(self.day.discovery.detection_ms);
         self.core.at(self.core.now + after, Event::Notice(node));
     }
 
     // ---- What goes wrong --------------------------------------------------------------------------
 
-    fn changes(&mut self, change: Change) {
+    fn changes(&mut self, change: WorldChange) {
         let now = self.core.now;
         match change {
-            Change::Stop(node) => self.node_stops(node),
-            Change::Start(node) => self.node_starts(node),
-            Change::NodeSpeed(node, factor) => self.nodes[node].slow = factor,
-            Change::Pause(node, until) => self.nodes[node].pause(until),
-            Change::Errors(node, share) => self.nodes[node].errors = share,
-            Change::Spoils(node, share) => self.nodes[node].spoils = share,
-            Change::Refuses(node, refuses) => self.nodes[node].refuses = refuses,
-            Change::Silent(node, silent) => self.nodes[node].silent = silent,
-            Change::Drain(node) => {
-                self.nodes[node].drains = Some(now);
+            WorldChange::Stop(node) => self.node_stops(node),
+            WorldChange::Start(node) => self.node_starts(node),
+            WorldChange::NodeSpeed(node, factor) => self.nodes[node].slowdown = factor,
+            WorldChange::Pause(node, until) => self.nodes[node].pause(until),
+            WorldChange::Errors(node, share) => self.nodes[node].error_share = share,
+            WorldChange::Spoils(node, share) => self.nodes[node].corrupt_share = share,
+            WorldChange::Refuses(node, refuses) => self.nodes[node].refuses_connections = refuses,
+            WorldChange::Silent(node, silent) => self.nodes[node].unresponsive = silent,
+            WorldChange::Drain(node) => {
+                self.nodes[node].draining_since = Some(now);
                 self.at_once(node);
             }
-            Change::Undrain(node) => {
-                self.nodes[node].drains = None;
+            WorldChange::Undrain(node) => {
+                self.nodes[node].draining_since = None;
                 self.at_once(node);
             }
-            Change::Leave(node) => {
+            WorldChange::Leave(node) => {
                 self.left[node] = true;
                 self.node_stops(node);
                 self.at_once(node);
             }
-            Change::OriginSpeed(factor) => self.origin.slow = factor,
-            Change::OriginDown(down) => {
+            WorldChange::OriginSpeed(factor) => self.origin.slowdown = factor,
+            WorldChange::OriginDown(down) => {
                 self.origin.down = down;
                 if down {
                     self.origin.stop();
                     self.breaks(self.nodes.len());
                 }
             }
-            Change::Void => self.nodes.iter_mut().for_each(|node| node.store.clear()),
-            Change::Kill(proxy) => self.killed(proxy),
-            Change::Discovery(speaks) => self.discovery(speaks),
-            Change::DiscoveryLate(late) => self.late = late,
-            Change::Freeze(node, frozen) => {
-                self.registry.freeze(node, frozen);
+            WorldChange::Void => self.nodes.iter_mut().for_each(|node| node.store.clear()),
+            WorldChange::Kill(proxy) => self.killed(proxy),
+            WorldChange::Discovery(speaks) => self.discovery(speaks),
+            WorldChange::DiscoveryLate(late) => self.late = late,
+            WorldChange::Freeze(node, frozen) => {
+                self.registry.set_frozen(node, frozen);
                 self.at_once(node);
             }
-            Change::Lie(node, lies) => {
+            WorldChange::Lie(node, lies) => {
                 self.lies[node] = lies;
                 self.at_once(node);
             }
-            Change::Clock(node, off) => {
+            WorldChange::Clock(node, off) => {
                 self.clock[node] = (off != 0).then_some(off);
                 self.at_once(node);
             }
-            Change::Cut(proxy, node, cut) => self.core.network.cut(proxy, node, cut),
+            WorldChange::Cut(proxy, node, cut) => self.core.network.set_partitioned(proxy, node, cut),
         }
     }
 
@@ -745,7 +745,7 @@
             self.core.at(now + seconds(self.day.nodes.down_seconds), Event::Back(node));
         } else {
             self.core.tally.origin_stops += 1;
-            if self.origin.slow <= 1.0 {
+            if self.origin.slowdown <= 1.0 {
                 self.core.auditor.origin_stopped(now);
             }
             self.breaks(node);
@@ -759,12 +759,12 @@
         let mut open: Vec<RequestId> = open.collect();
         open.sort_unstable();
         // After all that it has still answered.
-        let reset = now + 2 * self.core.network.least() + millis(5.0);
+        let reset = now + 2 * self.core.network.min_delay() + millis(5.0);
         for xchg in open {
             self.core.auditor.lost(now, xchg);
             self.core.at(reset, Event::Cut(xchg, now));
         }
-        let least = self.core.network.least();
+        let least = self.core.network.min_delay();
         self.start(proxy, now + seconds(self.day.proxies.restart_seconds).max(least));
     }
 }
@@ -779,7 +779,7 @@
     let mut held: Vec<(Node, Vec<u64>)> = (0..nodes.len()).map(|node| (node, Vec::new())).collect();
     let most = (day.clients.keys as f64 * day.clients.warm_keys) as u64;
     for rank in (1..=most).rev() {
-        let key = traffic::key(rank % day.clients.keys);
+        let key = traffic::key_at_rank(rank % day.clients.keys);
         let mark = key_mark(key);
         let mut best: [(u64, Node); 2] = [(0, usize::MAX); 2];
         for &(node, identity) in &there {
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -3,7 +3,7 @@
 use crate::day;
 use pumicebay_lab::audit::{Auditor, Final};
 use pumicebay_lab::time_told::TimeTold;
-use pumicebay_model::registry::State;
+use pumicebay_model::registry::NodeState;
 
 const MS: u64 = 1_000_000;
 const READ: usize = 0;
@@ -125,7 +125,7 @@
 fn nothing_new_to_a_node_past_the_grace() {
     let sent = |at: u64, tell: &dyn Fn(&mut Auditor)| {
         judged(READ, |auditor| {
-            auditor.told(0, 0, 3, State::Ready);
+            auditor.told(0, 0, 3, NodeState::Ready);
             tell(auditor);
             auditor.sent(at * MS, 1, Some(3));
             auditor.over((at + 1) * MS, 1, Some(3));
@@ -133,11 +133,11 @@
         })
     };
     // The drain was a second and more before the exchange began.
-    let drained = |auditor: &mut Auditor| auditor.told(0, 0, 3, State::Draining);
+    let drained = |auditor: &mut Auditor| auditor.told(0, 0, 3, NodeState::Draining);
     assert!(sent(900, &drained).is_empty());
     let mut auditor = Auditor::new(&day(ROUTES), MS);
-    auditor.told(0, 0, 3, State::Draining);
-    auditor.told(0, 1, 4, State::Draining);
+    auditor.told(0, 0, 3, NodeState::Draining);
+    auditor.told(0, 1, 4, NodeState::Draining);
     for (xchg, proxy) in [(1, 0), (2, 1)] {
         auditor.taken(2000 * MS, xchg, proxy, READ, 3000 * MS);
         auditor.sent(2010 * MS, xchg, Some(3));
@@ -145,8 +145,8 @@
         auditor.answered(2020 * MS, xchg, Final::Served, true);
     }
     // Told again the same it has no new grace, and ready again it may be sent to.
-    auditor.told(1900 * MS, 0, 3, State::Left);
-    auditor.told(2050 * MS, 0, 3, State::Ready);
+    auditor.told(1900 * MS, 0, 3, NodeState::Left);
+    auditor.told(2050 * MS, 0, 3, NodeState::Ready);
     auditor.taken(4000 * MS, 3, 0, READ, 5000 * MS);
     auditor.sent(4010 * MS, 3, Some(3));
     auditor.over(4020 * MS, 3, Some(3));
--- a/crates/lab/tests/lab/stand_ins.rs
+++ b/crates/lab/tests/lab/stand_ins.rs
@@ -12,8 +12,8 @@
 use pumicebay_lab::real::http::{Answer, Server};
 use pumicebay_lab::real::stand_ins::made_for;
 use pumicebay_lab::seat::key_text;
-use pumicebay_model::faults::Change;
-use pumicebay_model::traffic::{Wish, key};
+use pumicebay_model::faults::WorldChange;
+use pumicebay_model::traffic::{Operation, key_at_rank};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,13 +29,14 @@
 }
 
 /// Tells the stand-ins of an exchange, as the load generator does.
-fn take(fleet: &Fleet, xchg: u64, rank: u64) -> Wish {
-    let wish = Wish { at: 0, route: 0, tenant: 0, key: key(rank), size: 900, proxy: 0 };
+fn take(fleet: &Fleet, xchg: u64, rank: u64) -> Operation {
+    let wish =
+        Operation { start: 0, route: 0, tenant: 0, key: key_at_rank(rank), value_bytes: 900, proxy: 0 };
     fleet.taken(xchg, &wish, 0, 1_000_000_000);
     wish
 }
 
-async fn ask(node: &mut Framed<TcpStream, Resp>, wish: &Wish, xchg: u64) -> Frame {
+async fn ask(node: &mut Framed<TcpStream, Resp>, wish: &Operation, xchg: u64) -> Frame {
     let (key, id) = (key_text(wish.key), format!("{xchg:016x}"));
     let command = Frame::command([b"C.GET", key.as_bytes(), id.as_bytes(), b"c=read,d=500"]);
     node.send(&command).await.expect("a command sent");
@@ -65,10 +66,10 @@
     let wish = take(&fleet, 79, 3);
     let unknown = replied(ask(&mut node, &wish, 4000).await).expect("a reply that can be read");
     assert_eq!(unknown.outcome, Outcome::Saturated);
-    fleet.changes(Change::Errors(0, 1.0)).await;
+    fleet.changes(WorldChange::Errors(0, 1.0)).await;
     assert_eq!(replied(ask(&mut node, &wish, 79).await).expect("a reply").outcome, Outcome::Errored);
-    fleet.changes(Change::Errors(0, 0.0)).await;
-    fleet.changes(Change::Spoils(0, 1.0)).await;
+    fleet.changes(WorldChange::Errors(0, 0.0)).await;
+    fleet.changes(WorldChange::Spoils(0, 1.0)).await;
     let wish = take(&fleet, 80, 3);
     let id = format!("{:016x}", 80);
     let key = key_text(wish.key);
@@ -81,7 +82,7 @@
 async fn a_node_that_dies_breaks_its_connections_and_listens_again() {
     let fleet = fleet().await;
     let mut node = connect(&fleet, 0).await;
-    fleet.changes(Change::Stop(0)).await;
+    fleet.changes(WorldChange::Stop(0)).await;
     let end = timeout(Duration::from_secs(5), node.next()).await.expect("an end");
     assert!(end.is_none_or(|frame| frame.is_err()));
     let address = fleet.address(0).expect("an address");
@@ -94,7 +95,7 @@
         sleep(Duration::from_millis(5)).await;
     }
     assert!(refused);
-    fleet.changes(Change::Start(0)).await;
+    fleet.changes(WorldChange::Start(0)).await;
     let mut back = false;
     for _ in 0..200 {
         back = TcpStream::connect(address).await.is_ok();
@@ -143,7 +144,7 @@
     assert!(all && named.len() == 3 && named[2].listed.origin);
     let watch = format!("/registry/instances?index={version}&wait=5000");
     agent.send(Request::get(watch)).await.expect("a request sent");
-    fleet.changes(Change::Drain(1)).await;
+    fleet.changes(WorldChange::Drain(1)).await;
     let changes = agent.next().await.expect("an answer").expect("that can be read");
     let (later, all, named) = pumicebay::discovery::entries::entries(&changes.body, &config).expect("a list");
     assert!(later > version && !all);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,10 @@
-//! The emulated world round the proxies: cache nodes, an origin, clients, discovery and the network, and a
-//! timeline of what goes wrong with them. It does no I/O and keeps no clock: whoever plays a day tells each
-//! part what happens and when, and carries out what the part asks for. Times are whole nanoseconds.
+//! The emulated world around the proxies: cache nodes, an origin, clients, discovery, the network, and a
+//! timeline of faults. The crate does no I/O and keeps no clock. A driver, in virtual time or on sockets,
+//! passes events with their times to each part and carries out what the part requests. Times are whole
+//! nanoseconds.
 //!
-//! Nothing here was measured on real machines. What is left out is told in `docs/lab.md`.
+//! The default values are assumptions, not measurements of real machines. `docs/lab.md` lists what the model
+//! leaves out.
 
 pub mod faults;
 pub mod network;
@@ -15,16 +17,17 @@
 pub mod store;
 pub mod traffic;
 
-/// A time, or a span of it, in nanoseconds.
+/// A point in time, from the start of the scenario, or a duration, in nanoseconds.
 pub type Nanos = u64;
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// A span given in seconds; below zero or beyond reason it ends at the nearest that can be had.
-pub fn seconds(span: f64) -> Nanos {
-    (span * 1e9) as Nanos
+/// Converts seconds to nanoseconds. Negative and NaN values give 0, values that are too large the maximum.
+pub fn seconds(seconds: f64) -> Nanos {
+    (seconds * 1e9) as Nanos
 }
 
-/// A span given in milliseconds.
-pub fn millis(span: f64) -> Nanos {
-    (span * 1e6) as Nanos
+/// Converts milliseconds to nanoseconds, with the same limits as `seconds`.
+pub fn millis(millis: f64) -> Nanos {
+    (millis * 1e6) as Nanos
 }
--- a/crates/model/src/network.rs
+++ b/crates/model/src/network.rs
@@ -1,44 +1,49 @@
-//! Delays between zones, and who can't reach whom.
+//! Network delays within and between zones, and partitions between proxies and nodes.
 
 use crate::seeds::Rng;
-use crate::spec::Network as Spec;
+use crate::spec::NetworkSpec;
 use crate::{Nanos, millis};
 use rand::RngExt;
 use std::collections::BTreeSet;
 
+/// The emulated network: one-way delays with jitter, and the links that are cut.
 #[derive(Clone, Debug)]
 pub struct Network {
-    spec: Spec,
-    /// Proxies (by number) that do not reach a node.
-    cut: BTreeSet<(usize, usize)>,
+    spec: NetworkSpec,
+    /// Cut links, as pairs of proxy index and node index.
+    partitioned: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
-    pub fn new(spec: &Spec) -> Network {
-        Network { spec: spec.clone(), cut: BTreeSet::new() }
+    /// Creates a network without partitions.
+    pub fn new(spec: &NetworkSpec) -> Network {
+        Network { spec: spec.clone(), partitioned: BTreeSet::new() }
     }
 
-    /// What every message takes at least, one way.
-    pub fn least(&self) -> Nanos {
+    /// The lower bound of every one-way delay.
+    pub fn min_delay(&self) -> Nanos {
         millis(self.spec.delay_ms).max(1)
     }
 
-    /// What a message between these zones takes, one way: chance adds, and never takes away.
+    /// Draws the one-way delay of a message between two zones. Jitter is exponentially distributed and only
+    /// adds to the delay.
     pub fn delay(&self, rng: &mut Rng, from: usize, to: usize) -> Nanos {
-        let zones = if from == to { 0.0 } else { self.spec.zone_delay_ms };
+        let zone_delay = if from == to { 0.0 } else { self.spec.zone_delay_ms };
         let jitter = -self.spec.jitter_ms * (1.0 - rng.random::<f64>()).ln();
-        self.least() + millis(zones + jitter)
+        self.min_delay() + millis(zone_delay + jitter)
     }
 
-    pub fn cut(&mut self, proxy: usize, node: usize, cut: bool) {
-        if cut {
-            self.cut.insert((proxy, node));
+    /// Cuts the link between a proxy and a node, or restores it.
+    pub fn set_partitioned(&mut self, proxy: usize, node: usize, partitioned: bool) {
+        if partitioned {
+            self.partitioned.insert((proxy, node));
         } else {
-            self.cut.remove(&(proxy, node));
+            self.partitioned.remove(&(proxy, node));
         }
     }
 
-    pub fn reaches(&self, proxy: usize, node: usize) -> bool {
-        !self.cut.contains(&(proxy, node))
+    /// Whether messages from the proxy reach the node.
+    pub fn can_reach(&self, proxy: usize, node: usize) -> bool {
+        !self.partitioned.contains(&(proxy, node))
     }
 }
--- a/crates/model/src/node.rs
+++ b/crates/model/src/node.rs
@@ -1,217 +1,250 @@
-//! One cache node: it serves what it holds, turns away what it has no room for, starts cold, and falls over
-//! when it is buried while cold.
+//! An emulated cache node. It serves the keys that it holds, rejects jobs that find its queue full, starts
+//! with an empty store and reduced capacity, and crashes when it is overloaded before it has warmed up.
 
-use crate::registry::{Entry, State};
+use crate::registry::{NodeEntry, NodeState};
 use crate::seeds::{Rng, rng};
-use crate::spec::Nodes;
-use crate::station::{Job, JobId, Site, Station, Taken, Verdict};
+use crate::spec::NodeSpec;
+use crate::station::{Admission, Environment, Job, JobId, JobOutcome, Station};
 use crate::store::Store;
 use crate::{Nanos, millis, seconds};
 use rand::RngExt;
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
 
-/// What a look-up that finds nothing costs, as a part of a hit.
-const MISS: f64 = 0.2;
+/// The cost of a lookup that finds nothing, as a share of that of a hit.
+const MISS_COST: f64 = 0.2;
 
+/// A cache node. The environment sets the public fields, as faults require.
 #[derive(Debug)]
 pub struct CacheNode {
-    spec: Nodes,
+    spec: NodeSpec,
     station: Station,
+    /// The keys that it holds.
     pub store: Store,
     rng: Rng,
-    spread: LogNormal<f64>,
-    /// How many times its work this machine takes, by nature and by a fault.
-    nature: f64,
-    pub slow: f64,
+    /// Random variation of service times, with a mean of 1.
+    service_time_factor: LogNormal<f64>,
+    /// Factor on all service times, fixed for this machine.
+    machine_slowdown: f64,
+    /// Factor on all service times; 1 without a fault.
+    pub slowdown: f64,
+    /// Whether the process runs.
     pub up: bool,
-    /// When its process started; 0 for long ago.
-    pub started: Nanos,
-    /// The part of its exchanges that it answers at once with an error, and that with something spoilt.
-    pub errors: f64,
-    pub spoils: f64,
-    /// Connections are refused; what arrives is never answered.
-    pub refuses: bool,
-    pub silent: bool,
-    /// Since when it drains: some time later it takes nothing new.
-    pub drains: Option<Nanos>,
-    paused: Nanos,
-    connections: usize,
-    /// What it was offered while cold: when, and the work of it.
-    offered: VecDeque<(Nanos, Nanos)>,
-    offered_sum: Nanos,
+    /// When the process started; 0 if that was before the scenario, so that it is warm.
+    pub started_at: Nanos,
+    /// Share of the jobs that fail at once, without execution.
+    pub error_share: f64,
+    /// Share of the hits and writes whose response is corrupted.
+    pub corrupt_share: f64,
+    /// Whether new connections are refused.
+    pub refuses_connections: bool,
+    /// Whether requests are accepted and never answered.
+    pub unresponsive: bool,
+    /// When it began to drain. New jobs are rejected once the drain grace has passed.
+    pub draining_since: Option<Nanos>,
+    paused_until: Nanos,
+    open_connections: usize,
+    /// Jobs that arrived within the overload window while the node was cold: arrival and service time.
+    cold_arrivals: VecDeque<(Nanos, Nanos)>,
+    /// Sum of the service times in `cold_arrivals`.
+    cold_service_time: Nanos,
 }
 
 impl CacheNode {
-    pub fn new(spec: &Nodes, seed: u64, number: usize) -> CacheNode {
-        let mut rng = rng(seed, "node", number as u64);
-        let uneven = rng.random_range(-1.0..=1.0) * spec.uneven;
+    /// Creates a warm node with an empty store. `index` selects its random numbers.
+    pub fn new(spec: &NodeSpec, seed: u64, index: usize) -> CacheNode {
+        let mut rng = rng(seed, "node", index as u64);
+        let deviation = rng.random_range(-1.0..=1.0) * spec.speed_variation;
         CacheNode {
-            station: Station::new(spec.slots, spec.waiting),
+            station: Station::new(spec.slots, spec.queue_capacity),
             store: Store::new((spec.memory_mb * 1e6) as u64),
-            spread: LogNormal::new(-spec.chance * spec.chance / 2.0, spec.chance).expect("a checked spread"),
+            service_time_factor: LogNormal::new(
+                -spec.service_time_sigma * spec.service_time_sigma / 2.0,
+                spec.service_time_sigma,
+            )
+            .expect("the scenario's sigma was validated"),
             rng,
-            nature: 1.0 + uneven,
-            slow: 1.0,
+            machine_slowdown: 1.0 + deviation,
+            slowdown: 1.0,
             up: true,
-            started: 0,
-            errors: 0.0,
-            spoils: 0.0,
-            refuses: false,
-            silent: false,
-            drains: None,
-            paused: 0,
-            connections: 0,
-            offered: VecDeque::new(),
-            offered_sum: 0,
+            started_at: 0,
+            error_share: 0.0,
+            corrupt_share: 0.0,
+            refuses_connections: false,
+            unresponsive: false,
+            draining_since: None,
+            paused_until: 0,
+            open_connections: 0,
+            cold_arrivals: VecDeque::new(),
+            cold_service_time: 0,
             spec: spec.clone(),
         }
     }
 
-    /// Takes up a connection, unless the machine is gone, refuses, or has as many as it can hold.
+    /// Accepts a connection. Returns false if the node is down, refuses connections or has reached its limit.
     pub fn connect(&mut self) -> bool {
-        let takes = self.up && !self.refuses && self.connections < self.spec.connections;
-        self.connections += usize::from(takes);
-        takes
+        let accepts =
+            self.up && !self.refuses_connections && self.open_connections < self.spec.max_connections;
+        self.open_connections += usize::from(accepts);
+        accepts
     }
 
+    /// Closes one connection.
     pub fn disconnect(&mut self) {
-        self.connections = self.connections.saturating_sub(1);
+        self.open_connections = self.open_connections.saturating_sub(1);
     }
 
-    pub fn connections(&self) -> usize {
-        self.connections
+    /// The number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.open_connections
     }
 
-    /// A job whose last byte has come.
-    pub fn arrive(&mut self, now: Nanos, job: Job, site: &mut impl Site) {
-        if !self.up || self.silent {
+    /// Handles a job whose last byte has arrived: drops, fails, rejects, queues or starts it. A cold node
+    /// that this job overloads crashes.
+    pub fn job_arrived(&mut self, now: Nanos, job: Job, env: &mut impl Environment) {
+        if !self.up || self.unresponsive {
             return;
         }
-        if self.errors > 0.0 && self.rng.random::<f64>() < self.errors {
-            return site.answer(job.id, Verdict::Failed);
+        if self.error_share > 0.0 && self.rng.random::<f64>() < self.error_share {
+            return env.respond(job.id, JobOutcome::Failed);
         }
-        if self.drains.is_some_and(|since| now > since + millis(self.spec.drain_grace_ms)) {
-            return site.answer(job.id, Verdict::Busy);
+        if self.draining_since.is_some_and(|since| now > since + millis(self.spec.drain_grace_ms)) {
+            return env.respond(job.id, JobOutcome::Rejected);
         }
-        if self.buried(now, job.work) {
+        if self.overloaded_while_cold(now, job.service_time) {
             self.stop();
-            return site.fell(now);
+            return env.crashed(now);
         }
-        match self.station.take(job) {
-            Taken::Begin => self.begin(now, job, site),
-            Taken::Waits => {}
-            Taken::Full => site.answer(job.id, Verdict::Busy),
+        match self.station.admit(job) {
+            Admission::Start => self.start_job(now, job, env),
+            Admission::Queued => {}
+            Admission::Rejected => env.respond(job.id, JobOutcome::Rejected),
         }
     }
 
-    fn begin(&mut self, now: Nanos, job: Job, site: &mut impl Site) {
-        let hit = job.write || self.store.read(job.key);
-        let spoilt = hit && self.spoils > 0.0 && self.rng.random::<f64>() < self.spoils;
-        let verdict = match hit {
-            _ if spoilt => Verdict::Spoilt,
-            true => Verdict::Done,
-            false => Verdict::Missed,
+    fn start_job(&mut self, now: Nanos, job: Job, env: &mut impl Environment) {
+        let hit = job.write || self.store.lookup(job.key);
+        let corrupted = hit && self.corrupt_share > 0.0 && self.rng.random::<f64>() < self.corrupt_share;
+        let outcome = match hit {
+            _ if corrupted => JobOutcome::Corrupted,
+            true => JobOutcome::Completed,
+            false => JobOutcome::Missed,
         };
-        self.station.begin(job, verdict);
-        let crowded = (self.station.served() as f64 / self.spec.cores as f64).max(1.0)
-            * (1.0 + self.spec.crowd * self.station.crowd());
-        let part = if hit { 1.0 } else { MISS };
-        let slowness = self.nature * self.slow * crowded / self.warmth(now);
-        let takes = job.work as f64 * part * slowness * self.spread.sample(&mut self.rng);
+        self.station.start(job, outcome);
+        let contention = (self.station.running() as f64 / self.spec.cores as f64).max(1.0)
+            * (1.0 + self.spec.queue_slowdown * self.station.queue_fill());
+        let cost = if hit { 1.0 } else { MISS_COST };
+        let slowdown = self.machine_slowdown * self.slowdown * contention / self.capacity_share(now);
+        let duration =
+            job.service_time as f64 * cost * slowdown * self.service_time_factor.sample(&mut self.rng);
         if hit {
-            site.ran(job.id);
+            env.execution_started(job.id);
         }
-        site.finish(now.max(self.paused) + takes as Nanos, job.id);
+        env.schedule_completion(now.max(self.paused_until) + duration as Nanos, job.id);
     }
 
-    /// The time that was asked for has come.
-    pub fn finished(&mut self, now: Nanos, id: JobId, site: &mut impl Site) {
-        if self.station.serves(id) && now < self.paused {
-            return site.finish(self.paused, id);
+    /// Responds to a job at the time that was scheduled for it and starts the next ones; while the node is
+    /// paused the completion is scheduled again for the end of the pause. Ignores jobs that a stop discarded.
+    pub fn job_finished(&mut self, now: Nanos, id: JobId, env: &mut impl Environment) {
+        if self.station.is_running(id) && now < self.paused_until {
+            return env.schedule_completion(self.paused_until, id);
         }
-        let Some((_, verdict)) = self.station.end(id) else { return };
-        if !self.silent {
-            site.answer(id, verdict);
+        let Some((_, outcome)) = self.station.finish(id) else { return };
+        if !self.unresponsive {
+            env.respond(id, outcome);
         }
-        while let Some(job) = self.station.next_waiting() {
-            self.begin(now, job, site);
+        while let Some(job) = self.station.pop_startable() {
+            self.start_job(now, job, env);
         }
     }
 
+    /// Removes a job that still waits in the queue. A job that already runs continues.
     pub fn cancel(&mut self, id: JobId) {
         self.station.cancel(id);
     }
 
-    /// The part of its capacity that its process has by now: it grows from the start on.
-    pub fn warmth(&self, now: Nanos) -> f64 {
+    /// The share of its full capacity that the process has, from 0 to 1. It grows linearly during the
+    /// warm-up.
+    pub fn capacity_share(&self, now: Nanos) -> f64 {
         let warm_up = seconds(self.spec.warm_up_seconds);
-        if self.started == 0 || now >= self.started + warm_up {
+        if self.started_at == 0 || now >= self.started_at + warm_up {
             return 1.0;
         }
-        let age = now.saturating_sub(self.started) as f64 / warm_up as f64;
-        self.spec.start_capacity + (1.0 - self.spec.start_capacity) * age
+        let progress = now.saturating_sub(self.started_at) as f64 / warm_up as f64;
+        self.spec.start_capacity + (1.0 - self.spec.start_capacity) * progress
     }
 
-    /// Whether a cold node was offered more within its window than it can ever catch up with.
-    fn buried(&mut self, now: Nanos, work: Nanos) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 || self.spec.fall_multiple <= 0.0 {
-            self.offered.clear();
-            self.offered_sum = 0;
+    /// Records an arrival and returns whether the work that arrived within the window exceeds the set
+    /// multiple of the node's present capacity. Always false on a warm node.
+    fn overloaded_while_cold(&mut self, now: Nanos, service_time: Nanos) -> bool {
+        let capacity_share = self.capacity_share(now);
+        if capacity_share >= 1.0 || self.spec.overload_multiple <= 0.0 {
+            self.cold_arrivals.clear();
+            self.cold_service_time = 0;
             return false;
         }
-        let window = seconds(self.spec.fall_seconds);
-        while let Some(&(at, work)) = self.offered.front().filter(|(at, _)| at + window <= now) {
+        let window = seconds(self.spec.overload_window_seconds);
+        while let Some(&(at, service_time)) = self.cold_arrivals.front().filter(|(at, _)| at + window <= now)
+        {
             debug_assert!(at <= now);
-            self.offered_sum -= work;
-            self.offered.pop_front();
+            self.cold_service_time -= service_time;
+            self.cold_arrivals.pop_front();
         }
-        self.offered.push_back((now, work));
-        self.offered_sum += work;
-        let bears = self.spec.fall_multiple * self.spec.cores as f64 * warmth * window as f64;
-        // In jobs of mean work two roots and two more, so that chance alone does not end it.
-        let mean = self.offered_sum as f64 / self.offered.len() as f64;
-        self.offered_sum as f64 > bears + 2.0 * (bears * mean).sqrt() + 2.0 * mean
+        self.cold_arrivals.push_back((now, service_time));
+        self.cold_service_time += service_time;
+        let limit = self.spec.overload_multiple * self.spec.cores as f64 * capacity_share * window as f64;
+        // Counted in jobs of mean service time, the margin is twice the square root of the limit plus two:
+        // random clustering of arrivals alone must not crash the node.
+        let mean = self.cold_service_time as f64 / self.cold_arrivals.len() as f64;
+        self.cold_service_time as f64 > limit + 2.0 * (limit * mean).sqrt() + 2.0 * mean
     }
 
-    /// Its process ends: what it had is lost, and so are its copies.
+    /// Ends the process: its jobs, connections and stored values are lost.
     pub fn stop(&mut self) {
         self.up = false;
-        self.connections = 0;
+        self.open_connections = 0;
         self.station.clear();
         self.store.clear();
-        self.offered.clear();
-        self.offered_sum = 0;
+        self.cold_arrivals.clear();
+        self.cold_service_time = 0;
     }
 
-    /// A new process, empty and cold.
+    /// Starts a new process, cold and with an empty store.
     pub fn start(&mut self, now: Nanos) {
         self.stop();
-        (self.up, self.started, self.paused, self.drains) = (true, now, 0, None);
+        (self.up, self.started_at, self.paused_until, self.draining_since) = (true, now, 0, None);
     }
 
-    /// Nothing is done until then.
+    /// Completes no job before that time, as during a long pause of the process.
     pub fn pause(&mut self, until: Nanos) {
-        self.paused = self.paused.max(until);
-    }
-
-    /// What it says of itself to discovery; `clock` is by how much what it takes for its start is off now.
-    pub fn entry(&self, node: usize, now: Nanos, gone: bool, clock: Option<i64>) -> Entry {
-        let state = match self.drains {
-            _ if !self.up || gone => State::Left,
-            Some(_) => State::Draining,
-            None => State::Ready,
+        self.paused_until = self.paused_until.max(until);
+    }
+
+    /// What the node reports to discovery. `reported_left` makes it report that it has left; a `clock_offset`
+    /// in nanoseconds makes it report a start time of `now` plus the offset.
+    pub fn registry_entry(
+        &self,
+        node: usize,
+        now: Nanos,
+        reported_left: bool,
+        clock_offset: Option<i64>,
+    ) -> NodeEntry {
+        let state = match self.draining_since {
+            _ if !self.up || reported_left => NodeState::Left,
+            Some(_) => NodeState::Draining,
+            None => NodeState::Ready,
         };
-        let started = clock.map_or(self.started, |off| now.saturating_add_signed(off));
-        Entry { node, state, started }
+        let started_at = clock_offset.map_or(self.started_at, |offset| now.saturating_add_signed(offset));
+        NodeEntry { node, state, started_at }
     }
 
+    /// The number of jobs that run or wait.
     pub fn in_flight(&self) -> usize {
-        self.station.served() + self.station.queued()
+        self.station.running() + self.station.queued()
     }
 
-    pub fn served(&self) -> usize {
-        self.station.served()
+    /// The number of jobs that run.
+    pub fn running(&self) -> usize {
+        self.station.running()
     }
 }
--- a/crates/model/src/seeds.rs
+++ b/crates/model/src/seeds.rs
@@ -1,21 +1,26 @@
-//! Random numbers, split by what they are for: one part of the world that draws more does not change what
-//! another draws, so that a fault can be added to a day without drawing its traffic anew.
+//! Deterministic random numbers, with a separate stream for each part of the world. A part that draws more
+//! numbers does not change what the others draw, so that a fault can be added to a scenario without changing
+//! its traffic.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+/// The generator of one stream.
 pub type Rng = ChaCha8Rng;
 
-/// The generator of one part: the same for the same seed, name and number, on every machine.
-pub fn rng(seed: u64, part: &str, number: u64) -> Rng {
-    ChaCha8Rng::seed_from_u64(mix(part
-        .bytes()
-        .fold(mix(seed ^ 0x5851_f42d_4c95_7f2d), |hash, byte| mix(hash ^ u64::from(byte)))
-        ^ number))
+/// Creates the generator of one stream. The same seed, stream and index give the same numbers on every
+/// machine.
+pub fn rng(seed: u64, stream: &str, index: u64) -> Rng {
+    ChaCha8Rng::seed_from_u64(splitmix64(
+        stream
+            .bytes()
+            .fold(splitmix64(seed ^ 0x5851_f42d_4c95_7f2d), |hash, byte| splitmix64(hash ^ u64::from(byte)))
+            ^ index,
+    ))
 }
 
-/// Spreads a number over 64 bits (the finalizer of SplitMix64).
-pub fn mix(number: u64) -> u64 {
+/// Hashes a number to 64 well-mixed bits: one step of SplitMix64, with its finalizer.
+pub fn splitmix64(number: u64) -> u64 {
     let number = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/model/src/spec.rs
+++ b/crates/model/src/spec.rs
@@ -1,10 +1,10 @@
-//! What a scenario says of its world. Every figure has a default; what can't be is named by its key.
+//! The settings of a scenario file. Each value has a default; an invalid value is reported with its key.
 
 use crate::faults::Fault;
 use serde::Deserialize;
 
-/// Declares a part of a scenario: its keys with their defaults, no others.
-macro_rules! part {
+/// Declares a section of a scenario: a struct with a default for each field, which rejects unknown keys.
+macro_rules! section {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $kind:ty = $default:expr,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -19,310 +19,417 @@
     };
 }
 
-part! {
-    /// A day: its world, and what goes wrong in it.
+section! {
+    /// A scenario: its world, and the faults that occur in it.
     Scenario {
+        /// The name in reports.
         name: String = String::new(),
-        /// Another file, whose keys hold where this has none.
+        /// Path of another scenario file, whose values apply where this one sets none.
         base: String = String::new(),
-        /// One line that says what the day is for.
-        about: String = String::new(),
+        /// The purpose of the scenario, in one line.
+        #[serde(rename = "about")]
+        description: String = String::new(),
+        /// The seed of all random numbers.
         seed: u64 = 1,
-        /// How long clients come, and how much of its start does not count.
+        /// How long clients send new requests.
         seconds: f64 = 30.0,
+        /// The part at the start that does not count in the results.
         warm_up_seconds: f64 = 3.0,
-        proxies: Proxies = Proxies::default(),
-        nodes: Nodes = Nodes::default(),
-        origin: Origin = Origin::default(),
-        clients: Clients = Clients::default(),
-        network: Network = Network::default(),
-        discovery: Discovery = Discovery::default(),
+        /// The proxies.
+        proxies: ProxySpec = ProxySpec::default(),
+        /// The cache nodes.
+        nodes: NodeSpec = NodeSpec::default(),
+        /// The origin.
+        origin: OriginSpec = OriginSpec::default(),
+        /// The clients and their traffic.
+        clients: ClientSpec = ClientSpec::default(),
+        /// The network.
+        network: NetworkSpec = NetworkSpec::default(),
+        /// The discovery service.
+        discovery: DiscoverySpec = DiscoverySpec::default(),
+        /// The routes, at least one.
         route: Vec<Route> = vec![Route::default()],
+        /// The tenants; may be empty.
         tenant: Vec<Tenant> = Vec::new(),
+        /// The faults, in any order.
         fault: Vec<Fault> = Vec::new(),
-        /// Ranges that `hunt` draws from: a key's path, and its least and most.
+        /// Ranges from which the lab's `hunt` command draws values: path of the key, lower and upper bound.
         ranges: std::collections::BTreeMap<String, (f64, f64)> = Default::default(),
     }
 }
 
-part! {
-    Proxies {
+section! {
+    /// The settings of the proxies.
+    ProxySpec {
+        /// The number of proxies.
         count: usize = 2,
-        /// How many there are by their settings; 0 for as many as there are.
-        said: usize = 0,
-        /// How many times the traffic of any other the first has.
-        busiest: f64 = 1.0,
-        /// Upstream tries an exchange may have.
-        tries: u32 = 4,
+        /// The number of proxies that each proxy's settings state; 0 for the actual number.
+        #[serde(rename = "said")]
+        configured_count: usize = 0,
+        /// The traffic of the first proxy as a multiple of that of each other proxy.
+        #[serde(rename = "busiest")]
+        first_proxy_load: f64 = 1.0,
+        /// Upstream attempts that a request may have.
+        #[serde(rename = "tries")]
+        max_attempts: u32 = 4,
+        /// Whether proxies may probe nodes.
         probes: bool = true,
-        /// Whether a shed client is told when to come back.
-        pauses: bool = true,
-        /// How long one that was killed stays away.
+        /// Whether a response that sheds a request tells the client when to retry.
+        #[serde(rename = "pauses")]
+        retry_after: bool = true,
+        /// How long a killed proxy stays down.
         restart_seconds: f64 = 1.0,
-        /// On sockets: how long one may take until it answers, and until it ends once it was asked to.
+        /// On sockets: how long a proxy may take from its start until it answers.
         ready_seconds: f64 = 10.0,
-        ends_seconds: f64 = 8.0,
-        /// On sockets: whether they are a fleet, of which the first three vote.
+        /// On sockets: how long a proxy may take from the request to stop until its process ends.
+        #[serde(rename = "ends_seconds")]
+        shutdown_seconds: f64 = 8.0,
+        /// On sockets: whether the proxies form a fleet, with the first three as voters.
         fleet: bool = false,
-        /// Whether they replicate orders of maintenance, too.
+        /// Whether the fleet also replicates maintenance orders.
         replication: bool = false,
     }
 }
 
-part! {
-    Nodes {
+section! {
+    /// The settings of the cache nodes.
+    NodeSpec {
+        /// The number of nodes, including those that join later.
         count: usize = 8,
+        /// The number of zones, over which nodes and proxies are spread evenly.
         zones: usize = 1,
+        /// Cores of each node. Service times grow once more jobs run than there are cores.
         cores: usize = 4,
-        /// Exchanges served at once, and how many may wait.
+        /// Jobs that a node executes at once.
         slots: usize = 8,
-        waiting: usize = 64,
+        /// Jobs that may wait for a slot.
+        #[serde(rename = "waiting")]
+        queue_capacity: usize = 64,
+        /// The capacity of each node's store in MB (1,000,000 bytes).
         memory_mb: f64 = 64.0,
-        connections: usize = 1024,
-        /// How long a new process takes to its full capacity, and the part that it has at first.
+        /// Connections that a node accepts at once.
+        #[serde(rename = "connections")]
+        max_connections: usize = 1024,
+        /// How long a new process takes to reach its full capacity.
         warm_up_seconds: f64 = 10.0,
+        /// The share of its full capacity that a new process has at first.
         start_capacity: f64 = 0.2,
-        /// What a full waiting room adds to service times.
-        crowd: f64 = 0.5,
-        /// By how much machines differ, and how much exchanges do (the sigma of a log-normal).
-        uneven: f64 = 0.1,
-        chance: f64 = 0.4,
-        /// A cold node falls over when it is offered more than this multiple of its capacity within the
-        /// window; 0 for never.
-        fall_multiple: f64 = 6.0,
-        fall_seconds: f64 = 1.0,
-        /// How long one that fell over stays down.
+        /// The share by which a full queue lengthens service times; a partly filled one does so in
+        /// proportion.
+        #[serde(rename = "crowd")]
+        queue_slowdown: f64 = 0.5,
+        /// The largest deviation of a machine's service times from the nominal ones, as a share.
+        #[serde(rename = "uneven")]
+        speed_variation: f64 = 0.1,
+        /// The sigma of the log-normal variation of service times.
+        #[serde(rename = "chance")]
+        service_time_sigma: f64 = 0.4,
+        /// A cold node crashes when the work that arrives within the overload window exceeds this multiple of
+        /// its capacity; 0 for never.
+        #[serde(rename = "fall_multiple")]
+        overload_multiple: f64 = 6.0,
+        /// The length of the overload window.
+        #[serde(rename = "fall_seconds")]
+        overload_window_seconds: f64 = 1.0,
+        /// How long a node stays down after it crashed from overload.
         down_seconds: f64 = 5.0,
+        /// How long a draining node still takes new jobs.
         drain_grace_ms: f64 = 1000.0,
         /// How long an idle connection stays open.
-        idle_seconds: f64 = 15.0,
+        #[serde(rename = "idle_seconds")]
+        idle_timeout_seconds: f64 = 15.0,
     }
 }
 
-part! {
-    Origin {
+section! {
+    /// The settings of the origin.
+    OriginSpec {
+        /// Jobs that it executes at once.
         slots: usize = 16,
-        waiting: usize = 64,
+        /// Jobs that may wait for a slot.
+        #[serde(rename = "waiting")]
+        queue_capacity: usize = 64,
+        /// The mean service time.
         service_ms: f64 = 40.0,
-        chance: f64 = 0.3,
-        /// It stops when its line was full for so long, for so long.
-        overrun_seconds: f64 = 2.0,
-        stop_seconds: f64 = 3.0,
+        /// The sigma of the log-normal variation of service times.
+        #[serde(rename = "chance")]
+        service_time_sigma: f64 = 0.3,
+        /// The origin crashes after its queue has been full for this long.
+        #[serde(rename = "overrun_seconds")]
+        overload_seconds: f64 = 2.0,
+        /// How long it stays down after a crash.
+        #[serde(rename = "stop_seconds")]
+        down_seconds: f64 = 3.0,
     }
 }
 
-/// When clients try again.
+/// When clients retry a request that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Retry {
+pub enum RetryPolicy {
+    /// Clients do not retry.
     Never,
+    /// Without a delay.
     AtOnce,
-    /// After a wait that doubles, or the pause that they were told.
-    Wait,
+    /// After an exponential backoff with jitter, or the delay that the proxy stated if that is longer.
+    #[serde(rename = "wait")]
+    Backoff,
 }
 
-part! {
-    Clients {
-        /// Exchanges a second, without their retries.
+section! {
+    /// The settings of the clients and their traffic.
+    ClientSpec {
+        /// New requests a second, without retries.
         rate: f64 = 400.0,
-        /// The part of the rate by which it swings, and over how long.
+        /// The amplitude of a sinusoidal change of the rate, as a share of the rate.
         swing: f64 = 0.0,
+        /// The period of that change.
         swing_seconds: f64 = 60.0,
+        /// The number of keys, apart from one-off keys.
         keys: u64 = 20_000,
-        /// The exponent of the keys' popularity.
+        /// The exponent of the Zipf distribution of the keys' popularity.
         zipf: f64 = 0.9,
-        /// How many ranks the keys move down in popularity, a second.
+        /// How many ranks down in popularity the keys move each second.
         drift: f64 = 0.0,
-        /// The part of exchanges for keys that nobody asks for again.
+        /// The share of requests for keys that are requested only once.
         one_off: f64 = 0.01,
+        /// The mean size of a value in kB (1000 bytes).
         size_kb: f64 = 4.0,
-        /// The part of the keys, most popular first, whose copies the nodes hold at the start.
+        /// The share of the keys, most popular first, that the nodes hold at the start.
         warm_keys: f64 = 1.0,
-        retry: Retry = Retry::Wait,
+        /// When clients retry.
+        #[serde(rename = "retry")]
+        retry_policy: RetryPolicy = RetryPolicy::Backoff,
+        /// Retries of a request before the client gives up.
         retries: u32 = 2,
-        wait_ms: f64 = 100.0,
-        /// How long it takes until a client whose proxy is gone tries another.
-        notice_ms: f64 = 500.0,
+        /// The mean backoff before the first retry; it doubles with each further one.
+        #[serde(rename = "wait_ms")]
+        backoff_ms: f64 = 100.0,
+        /// How long a client takes to notice that its proxy is gone and to turn to another.
+        #[serde(rename = "notice_ms")]
+        failover_ms: f64 = 500.0,
     }
 }
 
-part! {
-    Network {
-        /// One way, within a zone; what another zone adds; the mean of what chance adds.
+section! {
+    /// The settings of the network.
+    NetworkSpec {
+        /// The one-way delay within a zone.
         delay_ms: f64 = 0.5,
+        /// The additional one-way delay between zones.
         zone_delay_ms: f64 = 1.0,
+        /// The mean of the exponentially distributed jitter that is added.
         jitter_ms: f64 = 0.05,
     }
 }
 
-/// How proxies follow discovery.
+/// How proxies learn of changes from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Follow {
+pub enum DiscoveryMode {
+    /// Discovery sends each change.
     Push,
-    Ask,
+    /// The proxies request the changes.
+    #[serde(rename = "ask")]
+    Poll,
 }
 
-part! {
-    Discovery {
-        follow: Follow = Follow::Push,
-        /// What passes until it knows that a node died, and until each proxy is told: this and up to twice it.
-        notice_ms: f64 = 500.0,
-        told_ms: f64 = 100.0,
+section! {
+    /// The settings of the discovery service.
+    DiscoverySpec {
+        /// How proxies learn of changes.
+        #[serde(rename = "follow")]
+        mode: DiscoveryMode = DiscoveryMode::Push,
+        /// How long discovery takes to notice that a node has started or died.
+        #[serde(rename = "notice_ms")]
+        detection_ms: f64 = 500.0,
+        /// The lower bound of the time until a proxy receives a change; the upper bound is twice this.
+        #[serde(rename = "told_ms")]
+        propagation_ms: f64 = 100.0,
     }
 }
 
-/// Whether an exchange may run again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum RetrySafety {
+    /// It may be executed any number of times.
     Retriable,
+    /// A repetition within the deduplication window and scope is discarded.
     Deduped,
+    /// It must not be executed twice.
     NonRetriable,
 }
 
-/// Among which nodes a repeat is discarded.
+/// The nodes among which a repetition of a deduplicated request is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Scope {
+pub enum DedupScope {
+    /// All nodes.
     Fleet,
+    /// The nodes of one zone.
     Zone,
 }
 
-part! {
+section! {
+    /// A class of requests.
     Route {
+        /// The name in settings and reports.
         name: String = "read".into(),
-        /// Its part of the traffic, among all routes' parts.
+        /// Its weight in the traffic, relative to those of all routes.
         share: f64 = 1.0,
-        effect: Effect = Effect::Retriable,
-        scope: Scope = Scope::Fleet,
-        window_seconds: f64 = 5.0,
+        /// Whether its requests may be executed more than once.
+        #[serde(rename = "effect")]
+        retry_safety: RetrySafety = RetrySafety::Retriable,
+        /// The nodes among which a repetition is discarded.
+        #[serde(rename = "scope")]
+        dedup_scope: DedupScope = DedupScope::Fleet,
+        /// How long after its first execution a repetition is discarded.
+        #[serde(rename = "window_seconds")]
+        dedup_window_seconds: f64 = 5.0,
+        /// Whether its requests write values.
         write: bool = false,
+        /// The latency objective.
         objective_ms: f64 = 200.0,
+        /// The overall timeout of a request.
         timeout_ms: f64 = 1000.0,
+        /// The value of one request that is served within the objective, relative to those of other routes.
         payoff: f64 = 1.0,
-        /// What one takes a warm node that is not crowded.
+        /// The mean service time at a warm node without contention.
         service_ms: f64 = 4.0,
     }
 }
 
-part! {
+section! {
+    /// A tenant.
     Tenant {
+        /// The name in settings and reports.
         name: String = String::new(),
+        /// Its weight in the traffic, relative to those of all tenants.
         share: f64 = 1.0,
-        /// Exchanges a second that it may ask for.
+        /// Its quota in requests a second.
         quota: f64 = 1e9,
     }
 }
 
-/// What can't be: a key's path and why.
+/// An invalid value in a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct ValidationError {
+    /// The path of the key, such as `clients.rate`.
     pub key: String,
-    pub why: String,
+    /// What was expected instead.
+    pub message: String,
 }
 
 impl Scenario {
-    /// All that is wrong with it.
-    pub fn problems(&self) -> Vec<Problem> {
-        let mut found = Vec::new();
-        let mut need = |sound: bool, key: &str, why: &str| {
-            if !sound {
-                found.push(Problem { key: key.into(), why: why.into() });
+    /// All values that are out of range or contradict each other; empty if the scenario is valid.
+    pub fn validate(&self) -> Vec<ValidationError> {
+        let mut errors = Vec::new();
+        let mut check = |valid: bool, key: &str, message: &str| {
+            if !valid {
+                errors.push(ValidationError { key: key.into(), message: message.into() });
             }
         };
-        let more = |number: f64| number > 0.0 && number.is_finite();
-        let part = |number: f64| (0.0..=1.0).contains(&number);
-        need(more(self.seconds) && self.seconds <= 3600.0, "seconds", "expected more than 0, at most 3600");
-        need(
+        let positive = |number: f64| number > 0.0 && number.is_finite();
+        let is_share = |number: f64| (0.0..=1.0).contains(&number);
+        check(
+            positive(self.seconds) && self.seconds <= 3600.0,
+            "seconds",
+            "expected more than 0, at most 3600",
+        );
+        check(
             (0.0..self.seconds).contains(&self.warm_up_seconds),
             "warm_up_seconds",
             "expected 0 or more and less than seconds",
         );
-        need((1..=10_000).contains(&self.proxies.count), "proxies.count", "expected 1 to 10000");
-        need(self.proxies.said <= 10_000, "proxies.said", "expected 0 to 10000");
-        need(
-            more(self.proxies.busiest) && self.proxies.busiest <= 1000.0,
+        check((1..=10_000).contains(&self.proxies.count), "proxies.count", "expected 1 to 10000");
+        check(self.proxies.configured_count <= 10_000, "proxies.said", "expected 0 to 10000");
+        check(
+            positive(self.proxies.first_proxy_load) && self.proxies.first_proxy_load <= 1000.0,
             "proxies.busiest",
             "expected more than 0, at most 1000",
         );
-        need(self.proxies.tries > 0, "proxies.tries", "expected 1 or more");
-        need(self.proxies.restart_seconds >= 0.0, "proxies.restart_seconds", "expected 0 or more");
-        let waits = [self.proxies.ready_seconds, self.proxies.ends_seconds];
-        need(
-            waits.iter().all(|&wait| more(wait) && wait <= 600.0),
+        check(self.proxies.max_attempts > 0, "proxies.tries", "expected 1 or more");
+        check(self.proxies.restart_seconds >= 0.0, "proxies.restart_seconds", "expected 0 or more");
+        let time_limits = [self.proxies.ready_seconds, self.proxies.shutdown_seconds];
+        check(
+            time_limits.iter().all(|&limit| positive(limit) && limit <= 600.0),
             "proxies.ready_seconds",
-            "expected more than 0, at most 600, as for ends_seconds",
+            "expected more than 0, at most 600, here and for ends_seconds",
         );
-        need(
+        check(
             !self.proxies.fleet || self.proxies.count >= 3,
             "proxies.fleet",
-            "expected three proxies or more",
+            "expected proxies.count to be 3 or more",
         );
-        need(
+        check(
             !self.proxies.replication || self.proxies.fleet,
             "proxies.replication",
-            "expected proxies.fleet beside it",
+            "expected proxies.fleet to be true",
         );
-        need((1..=100_000).contains(&self.nodes.count), "nodes.count", "expected 1 to 100000");
-        need(self.nodes.zones > 0, "nodes.zones", "expected 1 or more");
-        need(self.nodes.cores > 0, "nodes.cores", "expected 1 or more");
-        need(self.nodes.slots > 0, "nodes.slots", "expected 1 or more");
-        need(more(self.nodes.memory_mb), "nodes.memory_mb", "expected more than 0");
-        need(
-            more(self.nodes.start_capacity) && self.nodes.start_capacity <= 1.0,
+        check((1..=100_000).contains(&self.nodes.count), "nodes.count", "expected 1 to 100000");
+        check(self.nodes.zones > 0, "nodes.zones", "expected 1 or more");
+        check(self.nodes.cores > 0, "nodes.cores", "expected 1 or more");
+        check(self.nodes.slots > 0, "nodes.slots", "expected 1 or more");
+        check(positive(self.nodes.memory_mb), "nodes.memory_mb", "expected more than 0");
+        check(
+            positive(self.nodes.start_capacity) && self.nodes.start_capacity <= 1.0,
             "nodes.start_capacity",
             "expected more than 0, at most 1",
         );
-        need((0.0..1.0).contains(&self.nodes.uneven), "nodes.uneven", "expected 0 or more and less than 1");
-        need((0.0..=3.0).contains(&self.nodes.chance), "nodes.chance", "expected 0 to 3");
-        need((0.0..=3.0).contains(&self.origin.chance), "origin.chance", "expected 0 to 3");
-        need(more(self.nodes.fall_seconds), "nodes.fall_seconds", "expected more than 0");
-        need(more(self.nodes.idle_seconds), "nodes.idle_seconds", "expected more than 0");
-        need(self.origin.slots > 0, "origin.slots", "expected 1 or more");
-        need(more(self.origin.service_ms), "origin.service_ms", "expected more than 0");
-        need(more(self.clients.rate), "clients.rate", "expected more than 0");
-        need(part(self.clients.swing), "clients.swing", "expected 0 to 1");
-        need(more(self.clients.swing_seconds), "clients.swing_seconds", "expected more than 0");
-        need(self.clients.keys > 0, "clients.keys", "expected 1 or more");
-        need((0.0..=5.0).contains(&self.clients.zipf), "clients.zipf", "expected 0 to 5");
-        need(self.clients.drift >= 0.0, "clients.drift", "expected 0 or more");
-        need(part(self.clients.one_off), "clients.one_off", "expected 0 to 1");
-        need(part(self.clients.warm_keys), "clients.warm_keys", "expected 0 to 1");
-        need(
-            more(self.clients.size_kb) && self.clients.size_kb <= 40.0,
+        check(
+            (0.0..1.0).contains(&self.nodes.speed_variation),
+            "nodes.uneven",
+            "expected 0 or more and less than 1",
+        );
+        check((0.0..=3.0).contains(&self.nodes.service_time_sigma), "nodes.chance", "expected 0 to 3");
+        check((0.0..=3.0).contains(&self.origin.service_time_sigma), "origin.chance", "expected 0 to 3");
+        check(positive(self.nodes.overload_window_seconds), "nodes.fall_seconds", "expected more than 0");
+        check(positive(self.nodes.idle_timeout_seconds), "nodes.idle_seconds", "expected more than 0");
+        check(self.origin.slots > 0, "origin.slots", "expected 1 or more");
+        check(positive(self.origin.service_ms), "origin.service_ms", "expected more than 0");
+        check(positive(self.clients.rate), "clients.rate", "expected more than 0");
+        check(is_share(self.clients.swing), "clients.swing", "expected 0 to 1");
+        check(positive(self.clients.swing_seconds), "clients.swing_seconds", "expected more than 0");
+        check(self.clients.keys > 0, "clients.keys", "expected 1 or more");
+        check((0.0..=5.0).contains(&self.clients.zipf), "clients.zipf", "expected 0 to 5");
+        check(self.clients.drift >= 0.0, "clients.drift", "expected 0 or more");
+        check(is_share(self.clients.one_off), "clients.one_off", "expected 0 to 1");
+        check(is_share(self.clients.warm_keys), "clients.warm_keys", "expected 0 to 1");
+        check(
+            positive(self.clients.size_kb) && self.clients.size_kb <= 40.0,
             "clients.size_kb",
             "expected more than 0, at most 40",
         );
-        need(self.network.delay_ms >= 0.05, "network.delay_ms", "expected 0.05 or more");
-        need(self.network.zone_delay_ms >= 0.0, "network.zone_delay_ms", "expected 0 or more");
-        need(self.network.jitter_ms >= 0.0, "network.jitter_ms", "expected 0 or more");
-        need(!self.route.is_empty(), "route", "expected one or more");
-        for (at, route) in self.route.iter().enumerate() {
-            let key = |field| format!("route.{at}.{field}");
-            need(!route.name.is_empty(), &key("name"), "expected a text");
-            need(more(route.share), &key("share"), "expected more than 0");
-            need(more(route.objective_ms), &key("objective_ms"), "expected more than 0");
+        check(self.network.delay_ms >= 0.05, "network.delay_ms", "expected 0.05 or more");
+        check(self.network.zone_delay_ms >= 0.0, "network.zone_delay_ms", "expected 0 or more");
+        check(self.network.jitter_ms >= 0.0, "network.jitter_ms", "expected 0 or more");
+        check(!self.route.is_empty(), "route", "expected at least one route");
+        for (index, route) in self.route.iter().enumerate() {
+            let key = |field| format!("route.{index}.{field}");
+            check(!route.name.is_empty(), &key("name"), "expected a non-empty name");
+            check(positive(route.share), &key("share"), "expected more than 0");
+            check(positive(route.objective_ms), &key("objective_ms"), "expected more than 0");
             let timeout = route.timeout_ms >= route.objective_ms && route.timeout_ms <= 60_000.0;
-            need(timeout, &key("timeout_ms"), "expected objective_ms or more, at most 60000");
-            need(more(route.service_ms), &key("service_ms"), "expected more than 0");
-            need(route.payoff >= 0.0, &key("payoff"), "expected 0 or more");
+            check(timeout, &key("timeout_ms"), "expected objective_ms or more, at most 60000");
+            check(positive(route.service_ms), &key("service_ms"), "expected more than 0");
+            check(route.payoff >= 0.0, &key("payoff"), "expected 0 or more");
         }
-        for (at, tenant) in self.tenant.iter().enumerate() {
-            need(!tenant.name.is_empty(), &format!("tenant.{at}.name"), "expected a text");
-            need(more(tenant.share), &format!("tenant.{at}.share"), "expected more than 0");
-            need(more(tenant.quota), &format!("tenant.{at}.quota"), "expected more than 0");
+        for (index, tenant) in self.tenant.iter().enumerate() {
+            check(!tenant.name.is_empty(), &format!("tenant.{index}.name"), "expected a non-empty name");
+            check(positive(tenant.share), &format!("tenant.{index}.share"), "expected more than 0");
+            check(positive(tenant.quota), &format!("tenant.{index}.quota"), "expected more than 0");
         }
-        for (at, fault) in self.fault.iter().enumerate() {
-            for (field, why) in fault.problems(self) {
-                found.push(Problem { key: format!("fault.{at}.{field}"), why });
+        for (index, fault) in self.fault.iter().enumerate() {
+            for (field, message) in fault.validate(self) {
+                errors.push(ValidationError { key: format!("fault.{index}.{field}"), message });
             }
         }
-        found
+        errors
     }
 
-    /// The zone of a node, or of a proxy; the origin is in the first.
-    pub fn zone(&self, number: usize) -> usize {
-        number % self.nodes.zones
+    /// The zone of a node or a proxy, by its index. The origin is in zone 0.
+    pub fn zone(&self, index: usize) -> usize {
+        index % self.nodes.zones
     }
 }
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -1,54 +1,62 @@
-//! What a cache node holds: copies by key, those used longest ago leave first when memory runs short.
+//! The memory of a cache node: an LRU cache that is bounded in bytes. Only keys and sizes are kept, no
+//! values.
 
 use lru::LruCache;
 
+/// An LRU cache of value sizes by key. The least recently used keys are evicted when memory runs short.
 #[derive(Debug)]
 pub struct Store {
-    copies: LruCache<u64, u64>,
-    /// In bytes: what the copies take, and what they may.
-    held: u64,
-    memory: u64,
+    /// Value size in bytes by key.
+    entries: LruCache<u64, u64>,
+    /// Sum of the sizes of all entries.
+    used_bytes: u64,
+    capacity_bytes: u64,
 }
 
 impl Store {
-    pub fn new(memory: u64) -> Store {
-        Store { copies: LruCache::unbounded(), held: 0, memory }
+    /// Creates an empty store.
+    pub fn new(capacity_bytes: u64) -> Store {
+        Store { entries: LruCache::unbounded(), used_bytes: 0, capacity_bytes }
     }
 
-    /// Whether the key is there; it then counts as just used.
-    pub fn read(&mut self, key: u64) -> bool {
-        self.copies.get(&key).is_some()
+    /// Whether the key is stored; if so, it becomes the most recently used.
+    pub fn lookup(&mut self, key: u64) -> bool {
+        self.entries.get(&key).is_some()
     }
 
-    /// Keeps a copy. One that is longer than all memory is not kept.
-    pub fn keep(&mut self, key: u64, size: u64) {
-        self.drop_copy(key);
-        if size > self.memory {
+    /// Stores a key, in place of its earlier value, and evicts others to make room. A value that is larger
+    /// than the whole capacity is not stored.
+    pub fn insert(&mut self, key: u64, value_bytes: u64) {
+        self.remove(key);
+        if value_bytes > self.capacity_bytes {
             return;
         }
-        self.copies.put(key, size);
-        self.held += size;
-        while self.held > self.memory {
-            let Some((_, size)) = self.copies.pop_lru() else { break };
-            self.held -= size;
+        self.entries.put(key, value_bytes);
+        self.used_bytes += value_bytes;
+        while self.used_bytes > self.capacity_bytes {
+            let Some((_, evicted_bytes)) = self.entries.pop_lru() else { break };
+            self.used_bytes -= evicted_bytes;
         }
     }
 
-    pub fn drop_copy(&mut self, key: u64) {
-        self.held -= self.copies.pop(&key).unwrap_or(0);
+    /// Removes a key; no effect if it is not stored.
+    pub fn remove(&mut self, key: u64) {
+        self.used_bytes -= self.entries.pop(&key).unwrap_or(0);
     }
 
+    /// Removes all keys.
     pub fn clear(&mut self) {
-        self.copies.clear();
-        self.held = 0;
+        self.entries.clear();
+        self.used_bytes = 0;
     }
 
-    /// In bytes.
-    pub fn held(&self) -> u64 {
-        self.held
+    /// Sum of the sizes of all stored values.
+    pub fn used_bytes(&self) -> u64 {
+        self.used_bytes
     }
 
-    pub fn copies(&self) -> usize {
-        self.copies.len()
+    /// The number of stored keys.
+    pub fn entry_count(&self) -> usize {
+        self.entries.len()
     }
 }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,190 +1,214 @@
-//! Open-loop arrivals: what clients ask for and when, whatever becomes of what they asked before.
+//! Open-loop traffic: what clients request and when, independent of the results of earlier requests.
 
-use crate::faults::Kind;
-use crate::seeds::{Rng, mix, rng};
-use crate::spec::{Retry, Scenario};
+use crate::faults::FaultKind;
+use crate::seeds::{Rng, rng, splitmix64};
+use crate::spec::{RetryPolicy, Scenario};
 use crate::{Nanos, millis, seconds};
 use rand::RngExt;
 use rand_distr::{Distribution, Exp1, Zipf};
 
-/// How much longer than its exchange's overall timeout a client listens.
-pub const LISTENS: Nanos = 100_000_000;
-/// Proxies that a client asks in a row when all refuse it.
-pub const ASKS: usize = 4;
+/// How much longer than the overall timeout of its request a client waits for a response.
+pub const CLIENT_TIMEOUT_MARGIN: Nanos = 100_000_000;
+/// The connection refusals in a row, each by another proxy, after which a client gives up.
+pub const MAX_CONNECTION_REFUSALS: usize = 4;
 
-/// What a client asks for first; its retries ask for the same.
+/// What a client wants done: its first request, and the same again in each retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
-    pub at: Nanos,
+pub struct Operation {
+    /// When the client sends its first request.
+    pub start: Nanos,
+    /// Index of the route.
     pub route: usize,
+    /// Index of the tenant; 0 if the scenario has none.
     pub tenant: usize,
+    /// The key to read or write.
     pub key: u64,
-    /// The bytes of the value.
-    pub size: u64,
-    /// The proxy that it asks first.
+    /// Size of the value in bytes.
+    pub value_bytes: u64,
+    /// Index of the proxy that gets the first request.
     pub proxy: usize,
 }
 
-/// One source of arrivals: the day's own, a burst or a scan, each with its own draws.
-struct Source {
+/// One source of arrivals, with its own stream of random numbers: the scenario's usual traffic, a burst or a
+/// scan.
+struct ArrivalSource {
     rng: Rng,
-    from: Nanos,
-    until: Nanos,
-    /// Its part of the usual rate.
-    part: f64,
+    start: Nanos,
+    end: Nanos,
+    /// Its rate as a share of the usual one.
+    rate_share: f64,
+    /// The share of its operations that use one-off keys.
     one_off: f64,
-    number: u64,
-    next: Option<Wish>,
+    /// 0 for the usual traffic, otherwise the number of the fault, from 1.
+    id: u64,
+    /// The next arrival; None once the source has ended.
+    next: Option<Operation>,
 }
 
+/// All operations of a scenario, in the order of their start, as an iterator.
 pub struct Traffic {
-    day: Scenario,
+    scenario: Scenario,
     zipf: Zipf<f64>,
-    sources: Vec<Source>,
-    /// Keys that are hot for a while: from, until, and the part of exchanges for each; with draws of their own.
-    hot: Vec<(Nanos, Nanos, f64, u64)>,
+    sources: Vec<ArrivalSource>,
+    /// Hot keys: start, end, share of the operations, and key. They have a stream of random numbers of their
+    /// own, so that a hot key changes nothing but keys.
+    hot_keys: Vec<(Nanos, Nanos, f64, u64)>,
     hot_rng: Rng,
-    routes: Vec<f64>,
-    tenants: Vec<f64>,
+    /// Cumulative shares of the routes, up to 1.
+    route_shares: Vec<f64>,
+    /// Cumulative shares of the tenants, up to 1.
+    tenant_shares: Vec<f64>,
 }
 
 impl Traffic {
-    pub fn new(day: &Scenario, seed: u64) -> Traffic {
-        let mut sources = vec![(0, seconds(day.seconds), 1.0, day.clients.one_off, 0)];
-        let mut hot = Vec::new();
-        for (fault, number) in day.fault.iter().zip(1..) {
-            let (from, until) = (fault.begins(), fault.ends().min(seconds(day.seconds)));
+    /// Creates the traffic of a scenario. The same seed gives the same operations.
+    pub fn new(scenario: &Scenario, seed: u64) -> Traffic {
+        let mut sources = vec![(0, seconds(scenario.seconds), 1.0, scenario.clients.one_off, 0)];
+        let mut hot_keys = Vec::new();
+        for (fault, number) in scenario.fault.iter().zip(1..) {
+            let (start, end) = (fault.start_time(), fault.end_time().min(seconds(scenario.seconds)));
             match fault.kind {
-                Kind::Burst => sources.push((from, until, fault.factor - 1.0, day.clients.one_off, number)),
-                Kind::Scan => sources.push((from, until, fault.share, 1.0, number)),
-                Kind::HotKey => hot.push((from, until, fault.share, hot_key(number))),
+                FaultKind::Burst => {
+                    sources.push((start, end, fault.factor - 1.0, scenario.clients.one_off, number))
+                }
+                FaultKind::Scan => sources.push((start, end, fault.share, 1.0, number)),
+                FaultKind::HotKey => hot_keys.push((start, end, fault.share, hot_key(number))),
                 _ => {}
             }
         }
-        let sums = |shares: Vec<f64>| {
-            let sum: f64 = shares.iter().sum();
+        let cumulative = |shares: Vec<f64>| {
+            let total: f64 = shares.iter().sum();
             let add = |so_far: &mut f64, share: f64| {
-                *so_far += share / sum;
+                *so_far += share / total;
                 Some(*so_far)
             };
             shares.into_iter().scan(0.0, add).collect::<Vec<f64>>()
         };
         let mut traffic = Traffic {
-            zipf: Zipf::new(day.clients.keys as f64, day.clients.zipf).expect("a checked popularity"),
+            zipf: Zipf::new(scenario.clients.keys as f64, scenario.clients.zipf)
+                .expect("the scenario's keys and exponent were validated"),
             sources: Vec::new(),
-            hot,
+            hot_keys,
             hot_rng: rng(seed, "hot", 0),
-            routes: sums(day.route.iter().map(|route| route.share).collect()),
-            tenants: sums(day.tenant.iter().map(|tenant| tenant.share).collect()),
-            day: day.clone(),
+            route_shares: cumulative(scenario.route.iter().map(|route| route.share).collect()),
+            tenant_shares: cumulative(scenario.tenant.iter().map(|tenant| tenant.share).collect()),
+            scenario: scenario.clone(),
         };
-        for (from, until, part, one_off, number) in sources.into_iter().filter(|source| source.2 > 0.0) {
-            let rng = rng(seed, "traffic", number);
-            let mut source = Source { rng, from, until, part, one_off, number, next: None };
-            traffic.advance(&mut source, from);
+        for (start, end, rate_share, one_off, id) in sources.into_iter().filter(|source| source.2 > 0.0) {
+            let rng = rng(seed, "traffic", id);
+            let mut source = ArrivalSource { rng, start, end, rate_share, one_off, id, next: None };
+            traffic.advance(&mut source, start);
             traffic.sources.push(source);
         }
         traffic
     }
 
-    /// Draws the source's next arrival, by thinning the highest rate that it has.
-    fn advance(&mut self, source: &mut Source, mut at: Nanos) {
-        let clients = &self.day.clients;
-        let highest = clients.rate * source.part * (1.0 + clients.swing);
+    /// Draws the source's next arrival after `at`: a Poisson process of changing rate, by thinning one of the
+    /// source's highest rate.
+    fn advance(&mut self, source: &mut ArrivalSource, mut at: Nanos) {
+        let clients = &self.scenario.clients;
+        let highest_rate = clients.rate * source.rate_share * (1.0 + clients.swing);
         loop {
             let gap: f64 = Exp1.sample(&mut source.rng);
-            at += seconds(gap / highest).max(1);
-            if at >= source.until {
+            at += seconds(gap / highest_rate).max(1);
+            if at >= source.end {
                 source.next = None;
                 return;
             }
-            let turn = std::f64::consts::TAU * at as f64 / 1e9 / clients.swing_seconds;
-            let rate = clients.rate * source.part * (1.0 + clients.swing * turn.sin());
-            if source.rng.random::<f64>() * highest < rate {
-                source.next = Some(self.draw(source, at));
+            let phase = std::f64::consts::TAU * at as f64 / 1e9 / clients.swing_seconds;
+            let rate = clients.rate * source.rate_share * (1.0 + clients.swing * phase.sin());
+            if source.rng.random::<f64>() * highest_rate < rate {
+                source.next = Some(self.draw_operation(source, at));
                 return;
             }
         }
     }
 
-    /// The proxy that is asked first: any as likely, or the first so many times as likely as another.
-    fn proxy(&self, rng: &mut Rng) -> usize {
-        let crate::spec::Proxies { count, busiest, .. } = self.day.proxies;
-        if busiest == 1.0 {
+    /// Draws the proxy of the first request. All are equally likely, except that the first one is
+    /// `first_proxy_load` times as likely as each other.
+    fn draw_proxy(&self, rng: &mut Rng) -> usize {
+        let crate::spec::ProxySpec { count, first_proxy_load, .. } = self.scenario.proxies;
+        if first_proxy_load == 1.0 {
             return rng.random_range(0..count);
         }
-        let drawn = rng.random::<f64>() * (busiest + (count - 1) as f64) - busiest;
+        let drawn = rng.random::<f64>() * (first_proxy_load + (count - 1) as f64) - first_proxy_load;
         if drawn < 0.0 { 0 } else { (1 + drawn as usize).min(count - 1) }
     }
 
-    fn draw(&self, source: &mut Source, at: Nanos) -> Wish {
-        debug_assert!(at >= source.from);
+    fn draw_operation(&self, source: &mut ArrivalSource, at: Nanos) -> Operation {
+        debug_assert!(at >= source.start);
         let rng = &mut source.rng;
-        let pick = |sums: &[f64], draw: f64| sums.iter().position(|&sum| draw < sum).unwrap_or(0);
-        let (route, tenant) = (pick(&self.routes, rng.random()), pick(&self.tenants, rng.random()));
+        let pick =
+            |cumulative: &[f64], drawn: f64| cumulative.iter().position(|&share| drawn < share).unwrap_or(0);
+        let (route, tenant) =
+            (pick(&self.route_shares, rng.random()), pick(&self.tenant_shares, rng.random()));
         let rank = self.zipf.sample(rng) as u64;
-        let drifted = rank + (self.day.clients.drift * at as f64 / 1e9) as u64;
-        let once = rng.random::<f64>() < source.one_off;
-        let fresh: u64 = rng.random();
-        let key = if once { fresh | 1 << 63 } else { key(drifted % self.day.clients.keys) };
-        let proxy = self.proxy(rng);
-        Wish { at, route, tenant, key, size: size(&self.day, key), proxy }
+        let drifted = rank + (self.scenario.clients.drift * at as f64 / 1e9) as u64;
+        let is_one_off = rng.random::<f64>() < source.one_off;
+        let random_key: u64 = rng.random();
+        let key =
+            if is_one_off { random_key | 1 << 63 } else { key_at_rank(drifted % self.scenario.clients.keys) };
+        let proxy = self.draw_proxy(rng);
+        Operation { start: at, route, tenant, key, value_bytes: value_bytes(&self.scenario, key), proxy }
     }
 }
 
 impl Iterator for Traffic {
-    type Item = Wish;
+    type Item = Operation;
 
-    fn next(&mut self) -> Option<Wish> {
-        let first = |source: &&mut Source| source.next.map_or(Nanos::MAX, |wish| wish.at);
-        let place = {
-            let source = self.sources.iter_mut().min_by_key(|source| (first(source), source.number))?;
-            let number = source.number;
+    fn next(&mut self) -> Option<Operation> {
+        let next_start =
+            |source: &&mut ArrivalSource| source.next.map_or(Nanos::MAX, |operation| operation.start);
+        let position = {
+            let source = self.sources.iter_mut().min_by_key(|source| (next_start(source), source.id))?;
+            let id = source.id;
             source.next?;
-            self.sources.iter().position(|source| source.number == number)?
+            self.sources.iter().position(|source| source.id == id)?
         };
-        let mut source = self.sources.swap_remove(place);
-        let mut wish = source.next.take()?;
-        self.advance(&mut source, wish.at);
+        let mut source = self.sources.swap_remove(position);
+        let mut operation = source.next.take()?;
+        self.advance(&mut source, operation.start);
         self.sources.push(source);
-        for &(from, until, share, key) in &self.hot {
-            let drawn = self.hot_rng.random::<f64>() < share;
-            if drawn && (from..until).contains(&wish.at) {
-                wish.key = key;
-                wish.size = size(&self.day, key);
+        for &(start, end, share, key) in &self.hot_keys {
+            let is_hot = self.hot_rng.random::<f64>() < share;
+            if is_hot && (start..end).contains(&operation.start) {
+                operation.key = key;
+                operation.value_bytes = value_bytes(&self.scenario, key);
             }
         }
-        Some(wish)
+        Some(operation)
     }
 }
 
-/// The key of so popular a rank at the start of the day.
-pub fn key(rank: u64) -> u64 {
-    mix(rank) >> 1
+/// The key that has this rank of popularity at the start of the scenario, from 0. Bit 63 is clear; it is set
+/// in one-off keys.
+pub fn key_at_rank(rank: u64) -> u64 {
+    splitmix64(rank) >> 1
 }
 
 fn hot_key(fault: u64) -> u64 {
-    mix(fault ^ 0xa5a5_0000_0000_0000) >> 1
+    splitmix64(fault ^ 0xa5a5_0000_0000_0000) >> 1
 }
 
-/// The bytes of a key's value: half to one and a half times the usual, the same each time.
-pub fn size(day: &Scenario, key: u64) -> u64 {
-    let part = (mix(key ^ 0x517e) >> 11) as f64 / (1u64 << 53) as f64;
-    (day.clients.size_kb * 1000.0 * (0.5 + part)) as u64
+/// The size of a key's value in bytes: 0.5 to 1.5 times the mean size, and always the same for a key.
+pub fn value_bytes(scenario: &Scenario, key: u64) -> u64 {
+    let part = (splitmix64(key ^ 0x517e) >> 11) as f64 / (1u64 << 53) as f64;
+    (scenario.clients.size_kb * 1000.0 * (0.5 + part)) as u64
 }
 
-/// When a client tries again whose try so many came to nothing, by the rules of the scenario.
-pub fn again(day: &Scenario, rng: &mut Rng, tries: u32, pause: Nanos) -> Option<Nanos> {
-    let clients = &day.clients;
-    if tries > clients.retries {
+/// How long a client waits before its next retry, after `requests` of its requests for an operation were not
+/// served; at least `retry_after`, which the proxy stated, if it backs off. None if it gives up.
+pub fn retry_delay(scenario: &Scenario, rng: &mut Rng, requests: u32, retry_after: Nanos) -> Option<Nanos> {
+    let clients = &scenario.clients;
+    if requests > clients.retries {
         return None;
     }
-    match clients.retry {
-        Retry::Never => None,
-        Retry::AtOnce => Some(0),
-        Retry::Wait => {
-            let wait = clients.wait_ms * f64::from(1u32 << (tries - 1).min(10));
-            Some(millis(wait * rng.random_range(0.5..1.5)).max(pause))
+    match clients.retry_policy {
+        RetryPolicy::Never => None,
+        RetryPolicy::AtOnce => Some(0),
+        RetryPolicy::Backoff => {
+            let backoff = clients.backoff_ms * f64::from(1u32 << (requests - 1).min(10));
+            Some(millis(backoff * rng.random_range(0.5..1.5)).max(retry_after))
         }
     }
 }
--- a/crates/model/tests/model/days.rs
+++ b/crates/model/tests/model/days.rs
@@ -1,23 +1,23 @@
 //! Traffic, faults, lists and networks.
 
 use expect_test::expect;
-use pumicebay_model::faults::{Fault, Kind, timeline};
+use pumicebay_model::faults::{Fault, FaultKind, timeline};
 use pumicebay_model::network::Network;
-use pumicebay_model::registry::{Entry, Registry, State};
+use pumicebay_model::registry::{NodeEntry, NodeState, Registry};
 use pumicebay_model::seeds::rng;
-use pumicebay_model::spec::{Clients, Network as NetworkSpec, Scenario};
-use pumicebay_model::traffic::{Traffic, Wish};
+use pumicebay_model::spec::{ClientSpec, NetworkSpec, Scenario};
+use pumicebay_model::traffic::{Operation, Traffic};
 
-fn fault(kind: Kind, nodes: &[&str]) -> Fault {
+fn fault(kind: FaultKind, nodes: &[&str]) -> Fault {
     Fault {
         kind,
-        at: 5.0,
-        lasts: 4.0,
+        start_seconds: 5.0,
+        duration_seconds: 4.0,
         nodes: nodes.iter().map(ToString::to_string).collect(),
         proxies: Vec::new(),
         factor: 3.0,
         share: 0.5,
-        every: 2.0,
+        interval_seconds: 2.0,
     }
 }
 
@@ -25,23 +25,23 @@
     Scenario { seconds: 20.0, fault: faults, ..Scenario::default() }
 }
 
-fn wishes(day: &Scenario) -> Vec<Wish> {
+fn wishes(day: &Scenario) -> Vec<Operation> {
     Traffic::new(day, 9).collect()
 }
 
 #[test]
 fn a_fault_does_not_redraw_the_traffic() {
     let calm = wishes(&day(Vec::new()));
-    assert_eq!(wishes(&day(vec![fault(Kind::Crash, &["n1"])])), calm);
+    assert_eq!(wishes(&day(vec![fault(FaultKind::Crash, &["n1"])])), calm);
     // A burst and a scan add to what comes, and a hot key changes nothing but keys.
-    let burst = wishes(&day(vec![fault(Kind::Burst, &[])]));
+    let burst = wishes(&day(vec![fault(FaultKind::Burst, &[])]));
     let mut left = burst.clone();
     left.retain(|wish| calm.contains(wish));
     assert_eq!(left, calm);
-    let hot = wishes(&day(vec![fault(Kind::HotKey, &[])]));
-    assert!(hot.iter().zip(&calm).all(|(one, other)| (one.at, one.route) == (other.at, other.route)));
+    let hot = wishes(&day(vec![fault(FaultKind::HotKey, &[])]));
+    assert!(hot.iter().zip(&calm).all(|(one, other)| (one.start, one.route) == (other.start, other.route)));
     let changed = hot.iter().zip(&calm).filter(|(one, other)| one.key != other.key).count();
-    let within = calm.iter().filter(|wish| (5_000_000_000..9_000_000_000).contains(&wish.at)).count();
+    let within = calm.iter().filter(|wish| (5_000_000_000..9_000_000_000).contains(&wish.start)).count();
     assert!((0.4..0.6).contains(&(changed as f64 / within as f64)));
 }
 
@@ -50,11 +50,11 @@
     let calm = wishes(&day(Vec::new()));
     let rate = calm.len() as f64 / 20.0;
     assert!((380.0..420.0).contains(&rate), "{rate} a second");
-    let burst = wishes(&day(vec![fault(Kind::Burst, &[])]));
+    let burst = wishes(&day(vec![fault(FaultKind::Burst, &[])]));
     assert!((burst.len() as f64 - calm.len() as f64 - 3200.0).abs() < 300.0);
-    let swing = Clients { swing: 1.0, swing_seconds: 20.0, ..Clients::default() };
+    let swing = ClientSpec { swing: 1.0, swing_seconds: 20.0, ..ClientSpec::default() };
     let swing = wishes(&Scenario { clients: swing, ..day(Vec::new()) });
-    let first = swing.iter().filter(|wish| wish.at < 10_000_000_000).count();
+    let first = swing.iter().filter(|wish| wish.start < 10_000_000_000).count();
     assert!(first * 4 > swing.len() * 3, "{first} of {} in the first half", swing.len());
     let mut top: Vec<u64> = calm.iter().map(|wish| wish.key).collect();
     top.sort_unstable();
@@ -65,10 +65,10 @@
 #[test]
 fn timelines_are_in_order() {
     let faults = vec![
-        fault(Kind::Replace, &["n1..n2"]),
-        fault(Kind::Crash, &["n3"]),
-        fault(Kind::KillProxy, &[]),
-        fault(Kind::Flap, &["n4"]),
+        fault(FaultKind::Replace, &["n1..n2"]),
+        fault(FaultKind::Crash, &["n3"]),
+        fault(FaultKind::KillProxy, &[]),
+        fault(FaultKind::Flap, &["n4"]),
     ];
     let lines = timeline(&day(faults));
     let lines: String = lines.iter().map(|(at, change)| format!("{} {change:?}\n", at / 1_000_000)).collect();
@@ -93,16 +93,16 @@
 
 #[test]
 fn what_can_not_be_is_named() {
-    let mut wrong = day(vec![fault(Kind::Crash, &["n9"]), fault(Kind::Slow, &[])]);
+    let mut wrong = day(vec![fault(FaultKind::Crash, &["n9"]), fault(FaultKind::Slow, &[])]);
     wrong.clients.rate = 0.0;
     let problems: Vec<String> =
-        wrong.problems().into_iter().map(|problem| format!("{}: {}", problem.key, problem.why)).collect();
+        wrong.validate().into_iter().map(|problem| format!("{}: {}", problem.key, problem.message)).collect();
     assert_eq!(
         problems,
         [
             "clients.rate: expected more than 0",
             "fault.0.nodes: no \"n9\" in this scenario, expected n1 to n8",
-            "fault.1.nodes: expected the nodes it befalls",
+            "fault.1.nodes: expected at least one node for this kind of fault",
         ]
     );
 }
@@ -113,29 +113,29 @@
     uneven.proxies.count = 6;
     let first = |day: &Scenario| wishes(day).iter().filter(|wish| wish.proxy == 0).count() as f64;
     let (equal, all) = (first(&uneven), wishes(&uneven).len() as f64);
-    uneven.proxies.busiest = 10.0;
+    uneven.proxies.first_proxy_load = 10.0;
     // One of six, and ten of fifteen; the others share the rest.
     assert!((0.15..0.18).contains(&(equal / all)), "{equal} of {all}");
     assert!((0.64..0.69).contains(&(first(&uneven) / all)), "of {all}");
     let last = wishes(&uneven).iter().filter(|wish| wish.proxy == 5).count() as f64;
     assert!((0.055..0.08).contains(&(last / all)), "{last} of {all}");
-    (uneven.proxies.busiest, uneven.proxies.said) = (0.0, 10_001);
-    let keys: Vec<String> = uneven.problems().into_iter().map(|problem| problem.key).collect();
+    (uneven.proxies.first_proxy_load, uneven.proxies.configured_count) = (0.0, 10_001);
+    let keys: Vec<String> = uneven.validate().into_iter().map(|problem| problem.key).collect();
     assert_eq!(keys, ["proxies.said", "proxies.busiest"]);
 }
 
 #[test]
 fn the_list_tells_changes_since_a_version_and_may_be_stale() {
     let mut list = Registry::default();
-    let entry = |node, state| Entry { node, state, started: 0 };
-    assert!(list.set(entry(0, State::Ready)) && list.set(entry(1, State::Ready)));
+    let entry = |node, state| NodeEntry { node, state, started_at: 0 };
+    assert!(list.update(entry(0, NodeState::Ready)) && list.update(entry(1, NodeState::Ready)));
     let version = list.version();
-    assert!(!list.set(entry(1, State::Ready)));
-    assert!(list.set(entry(1, State::Left)));
-    assert_eq!(list.since(version), [entry(1, State::Left)]);
-    assert_eq!(list.whole(), [entry(0, State::Ready)]);
-    list.freeze(0, true);
-    assert!(!list.set(entry(0, State::Left)));
+    assert!(!list.update(entry(1, NodeState::Ready)));
+    assert!(list.update(entry(1, NodeState::Left)));
+    assert_eq!(list.changes_since(version), [entry(1, NodeState::Left)]);
+    assert_eq!(list.snapshot(), [entry(0, NodeState::Ready)]);
+    list.set_frozen(0, true);
+    assert!(!list.update(entry(0, NodeState::Left)));
 }
 
 #[test]
@@ -144,9 +144,9 @@
     let (mut network, mut rng) = (Network::new(&spec), rng(1, "test", 0));
     let near = network.delay(&mut rng, 0, 0);
     let far = network.delay(&mut rng, 0, 1);
-    assert!(near >= network.least() && near < 3_000_000 && far >= 6_000_000);
-    network.cut(0, 3, true);
-    assert!(!network.reaches(0, 3) && network.reaches(1, 3));
-    network.cut(0, 3, false);
-    assert!(network.reaches(0, 3));
+    assert!(near >= network.min_delay() && near < 3_000_000 && far >= 6_000_000);
+    network.set_partitioned(0, 3, true);
+    assert!(!network.can_reach(0, 3) && network.can_reach(1, 3));
+    network.set_partitioned(0, 3, false);
+    assert!(network.can_reach(0, 3));
 }
--- a/crates/model/tests/model/laws.rs
+++ b/crates/model/tests/model/laws.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use pumicebay_model::node::CacheNode;
 use pumicebay_model::origin::Origin;
-use pumicebay_model::spec::{Nodes, Origin as OriginSpec};
-use pumicebay_model::station::{Job, JobId, Site, Verdict};
+use pumicebay_model::spec::{NodeSpec, OriginSpec};
+use pumicebay_model::station::{Environment, Job, JobId, JobOutcome};
 use pumicebay_model::store::Store;
 use pumicebay_model::{Nanos, SECOND};
 use std::cmp::Reverse;
@@ -14,28 +14,28 @@
 #[derive(Default)]
 pub struct Bench {
     pub timers: BinaryHeap<Reverse<(Nanos, JobId)>>,
-    pub answers: BTreeMap<JobId, Vec<Verdict>>,
+    pub answers: BTreeMap<JobId, Vec<JobOutcome>>,
     pub ran: BTreeMap<JobId, usize>,
     pub fell: usize,
 }
 
-impl Site for Bench {
-    fn finish(&mut self, at: Nanos, job: JobId) {
+impl Environment for Bench {
+    fn schedule_completion(&mut self, at: Nanos, job: JobId) {
         self.timers.push(Reverse((at, job)));
     }
-    fn ran(&mut self, job: JobId) {
+    fn execution_started(&mut self, job: JobId) {
         *self.ran.entry(job).or_default() += 1;
     }
-    fn answer(&mut self, job: JobId, verdict: Verdict) {
+    fn respond(&mut self, job: JobId, verdict: JobOutcome) {
         self.answers.entry(job).or_default().push(verdict);
     }
-    fn fell(&mut self, _now: Nanos) {
+    fn crashed(&mut self, _now: Nanos) {
         self.fell += 1;
     }
 }
 
 pub fn job(id: JobId, key: u64) -> Job {
-    Job { id, key, size: 1000, work: 10_000_000, write: false }
+    Job { id, key, value_bytes: 1000, service_time: 10_000_000, write: false }
 }
 
 /// The plainest way to keep copies: a list, the one used last at its end.
@@ -71,19 +71,19 @@
         let (mut store, mut plain) = (Store::new(100), Plain::default());
         for (step, key, size) in steps {
             match step {
-                0 => prop_assert_eq!(store.read(key), plain.read(key)),
+                0 => prop_assert_eq!(store.lookup(key), plain.read(key)),
                 1 | 2 => {
-                    store.keep(key, size * 2);
+                    store.insert(key, size * 2);
                     plain.keep(key, size * 2, 100);
                 }
                 _ => {
-                    store.drop_copy(key);
+                    store.remove(key);
                     plain.0.retain(|copy| copy.0 != key);
                 }
             }
-            prop_assert!(store.held() <= 100);
-            prop_assert_eq!(store.held(), plain.0.iter().map(|copy| copy.1).sum::<u64>());
-            prop_assert_eq!(store.copies(), plain.0.len());
+            prop_assert!(store.used_bytes() <= 100);
+            prop_assert_eq!(store.used_bytes(), plain.0.iter().map(|copy| copy.1).sum::<u64>());
+            prop_assert_eq!(store.entry_count(), plain.0.len());
         }
     }
 
@@ -91,17 +91,17 @@
     #[test]
     fn jobs_end_once(
         steps in prop::collection::vec((0u64..40, 0u64..6, 0u8..10), 1..150),
-        slots in 1usize..5, waiting in 0usize..6,
+        slots in 1usize..5, queue_capacity in 0usize..6,
     ) {
-        let spec = Nodes { slots, waiting, ..Nodes::default() };
+        let spec = NodeSpec { slots, queue_capacity, ..NodeSpec::default() };
         let (mut node, mut bench, mut now) = (CacheNode::new(&spec, 3, 0), Bench::default(), 0);
         let mut cancelled = Vec::new();
         for (id, (gap, key, odd)) in (1..).zip(&steps) {
             now += gap * 1_000_000;
             run(&mut node, &mut bench, now);
-            node.arrive(now, job(id, *key), &mut bench);
+            node.job_arrived(now, job(id, *key), &mut bench);
             match odd {
-                0 => node.store.keep(*key, 1000),
+                0 => node.store.insert(*key, 1000),
                 1 => node.pause(now + 50_000_000),
                 2 => {
                     cancelled.push(id);
@@ -109,8 +109,8 @@
                 }
                 _ => {}
             }
-            prop_assert!(node.served() <= slots);
-            prop_assert!(node.in_flight() <= slots + waiting);
+            prop_assert!(node.running() <= slots);
+            prop_assert!(node.in_flight() <= slots + queue_capacity);
         }
         run(&mut node, &mut bench, Nanos::MAX);
         prop_assert_eq!(node.in_flight(), 0);
@@ -118,7 +118,7 @@
             let ends = bench.answers.get(&id).map_or(0, Vec::len);
             prop_assert!(ends == 1 || ends == 0 && cancelled.contains(&id), "job {} ended {} times", id, ends);
             let ran = bench.ran.get(&id).copied().unwrap_or(0);
-            let done = bench.answers.get(&id).is_some_and(|all| all[0] == Verdict::Done);
+            let done = bench.answers.get(&id).is_some_and(|all| all[0] == JobOutcome::Completed);
             prop_assert_eq!(ran, usize::from(done));
         }
     }
@@ -126,18 +126,18 @@
     /// So it is at the origin, however often it stops.
     #[test]
     fn origin_ends_what_it_takes(gaps in prop::collection::vec(0u64..30, 1..200), slots in 1usize..4) {
-        let spec = OriginSpec { slots, waiting: 4, overrun_seconds: 0.2, stop_seconds: 0.3, ..OriginSpec::default() };
+        let spec = OriginSpec { slots, queue_capacity: 4, overload_seconds: 0.2, down_seconds: 0.3, ..OriginSpec::default() };
         let (mut origin, mut bench, mut now) = (Origin::new(&spec, 5), Bench::default(), 0);
         let mut taken = 0;
         for (id, gap) in (1..).zip(&gaps) {
             now += gap * 1_000_000;
             while let Some(&Reverse((at, done))) = bench.timers.peek().filter(|Reverse((at, _))| *at <= now) {
                 bench.timers.pop();
-                origin.finished(at, done, &mut bench);
+                origin.job_finished(at, done, &mut bench);
             }
-            taken += usize::from(origin.up(now));
-            origin.arrive(now, job(id, id), &mut bench);
-            prop_assert!(origin.served() <= slots);
+            taken += usize::from(origin.is_up(now));
+            origin.job_arrived(now, job(id, id), &mut bench);
+            prop_assert!(origin.running() <= slots);
         }
         let answered: usize = bench.answers.values().map(Vec::len).sum();
         prop_assert!(bench.answers.values().all(|all| all.len() == 1));
@@ -151,24 +151,29 @@
 pub fn run(node: &mut CacheNode, bench: &mut Bench, until: Nanos) {
     while let Some(&Reverse((at, id))) = bench.timers.peek().filter(|Reverse((at, _))| *at <= until) {
         bench.timers.pop();
-        node.finished(at, id, bench);
+        node.job_finished(at, id, bench);
     }
 }
 
 /// An origin that takes all that is asked of it falls, and is back after its time.
 #[test]
 fn an_overrun_origin_stops_and_comes_back() {
-    let spec =
-        OriginSpec { slots: 1, waiting: 1, overrun_seconds: 0.5, stop_seconds: 2.0, ..OriginSpec::default() };
+    let spec = OriginSpec {
+        slots: 1,
+        queue_capacity: 1,
+        overload_seconds: 0.5,
+        down_seconds: 2.0,
+        ..OriginSpec::default()
+    };
     let (mut origin, mut bench) = (Origin::new(&spec, 1), Bench::default());
     let mut fell_at = None;
     for step in 0..100u64 {
         let now = step * 10_000_000;
-        origin.arrive(now, job(step + 1, step), &mut bench);
+        origin.job_arrived(now, job(step + 1, step), &mut bench);
         if bench.fell == 1 && fell_at.is_none() {
             fell_at = Some(now);
         }
     }
     let fell_at = fell_at.expect("it falls");
-    assert!(fell_at >= SECOND / 2 && !origin.up(fell_at + SECOND) && origin.up(fell_at + 2 * SECOND));
+    assert!(fell_at >= SECOND / 2 && !origin.is_up(fell_at + SECOND) && origin.is_up(fell_at + 2 * SECOND));
 }
--- a/crates/model/tests/model/nodes.rs
+++ b/crates/model/tests/model/nodes.rs
@@ -3,85 +3,85 @@
 use crate::laws::{Bench, job, run};
 use pumicebay_model::SECOND;
 use pumicebay_model::node::CacheNode;
-use pumicebay_model::spec::Nodes;
-use pumicebay_model::station::Verdict;
+use pumicebay_model::spec::NodeSpec;
+use pumicebay_model::station::JobOutcome;
 
-fn node(spec: &Nodes) -> (CacheNode, Bench) {
+fn node(spec: &NodeSpec) -> (CacheNode, Bench) {
     let mut node = CacheNode::new(spec, 1, 0);
-    node.store.keep(7, 1000);
+    node.store.insert(7, 1000);
     (node, Bench::default())
 }
 
-fn verdicts(bench: &Bench) -> Vec<Verdict> {
+fn verdicts(bench: &Bench) -> Vec<JobOutcome> {
     bench.answers.values().flatten().copied().collect()
 }
 
 #[test]
 fn hits_misses_and_what_has_no_room() {
-    let (mut node, mut bench) = node(&Nodes { slots: 1, waiting: 1, ..Nodes::default() });
-    node.arrive(0, job(1, 7), &mut bench);
-    node.arrive(0, job(2, 8), &mut bench);
-    node.arrive(0, job(3, 7), &mut bench);
+    let (mut node, mut bench) = node(&NodeSpec { slots: 1, queue_capacity: 1, ..NodeSpec::default() });
+    node.job_arrived(0, job(1, 7), &mut bench);
+    node.job_arrived(0, job(2, 8), &mut bench);
+    node.job_arrived(0, job(3, 7), &mut bench);
     run(&mut node, &mut bench, SECOND);
-    assert_eq!(verdicts(&bench), [Verdict::Done, Verdict::Missed, Verdict::Busy]);
+    assert_eq!(verdicts(&bench), [JobOutcome::Completed, JobOutcome::Missed, JobOutcome::Rejected]);
 }
 
 #[test]
 fn errors_spoils_and_silence() {
-    let (mut node, mut bench) = node(&Nodes::default());
-    node.errors = 1.0;
-    node.arrive(0, job(1, 7), &mut bench);
-    (node.errors, node.spoils) = (0.0, 1.0);
-    node.arrive(0, job(2, 7), &mut bench);
+    let (mut node, mut bench) = node(&NodeSpec::default());
+    node.error_share = 1.0;
+    node.job_arrived(0, job(1, 7), &mut bench);
+    (node.error_share, node.corrupt_share) = (0.0, 1.0);
+    node.job_arrived(0, job(2, 7), &mut bench);
     run(&mut node, &mut bench, SECOND);
-    node.silent = true;
-    node.arrive(SECOND, job(3, 7), &mut bench);
+    node.unresponsive = true;
+    node.job_arrived(SECOND, job(3, 7), &mut bench);
     run(&mut node, &mut bench, 9 * SECOND);
-    assert_eq!(verdicts(&bench), [Verdict::Failed, Verdict::Spoilt]);
+    assert_eq!(verdicts(&bench), [JobOutcome::Failed, JobOutcome::Corrupted]);
     // A quick error has not run, an answer that got spoilt has.
     assert_eq!(bench.ran.keys().copied().collect::<Vec<_>>(), [2]);
 }
 
 #[test]
 fn a_pause_delays_what_is_served() {
-    let (mut node, mut bench) = node(&Nodes::default());
-    node.arrive(0, job(1, 7), &mut bench);
+    let (mut node, mut bench) = node(&NodeSpec::default());
+    node.job_arrived(0, job(1, 7), &mut bench);
     node.pause(3 * SECOND);
     run(&mut node, &mut bench, 3 * SECOND - 1);
     assert!(bench.answers.is_empty());
     run(&mut node, &mut bench, 3 * SECOND);
-    assert_eq!(verdicts(&bench), [Verdict::Done]);
+    assert_eq!(verdicts(&bench), [JobOutcome::Completed]);
 }
 
 #[test]
 fn draining_nodes_finish_and_turn_away() {
-    let (mut node, mut bench) = node(&Nodes::default());
-    node.drains = Some(0);
-    node.arrive(SECOND / 2, job(1, 7), &mut bench);
-    node.arrive(2 * SECOND, job(2, 7), &mut bench);
+    let (mut node, mut bench) = node(&NodeSpec::default());
+    node.draining_since = Some(0);
+    node.job_arrived(SECOND / 2, job(1, 7), &mut bench);
+    node.job_arrived(2 * SECOND, job(2, 7), &mut bench);
     run(&mut node, &mut bench, 9 * SECOND);
-    assert_eq!(verdicts(&bench), [Verdict::Done, Verdict::Busy]);
+    assert_eq!(verdicts(&bench), [JobOutcome::Completed, JobOutcome::Rejected]);
 }
 
 #[test]
 fn a_new_process_is_empty_cold_and_warms() {
-    let (mut node, _) = node(&Nodes { warm_up_seconds: 10.0, start_capacity: 0.2, ..Nodes::default() });
+    let (mut node, _) = node(&NodeSpec { warm_up_seconds: 10.0, start_capacity: 0.2, ..NodeSpec::default() });
     node.start(5 * SECOND);
-    assert_eq!(node.store.copies(), 0);
-    assert_eq!(node.warmth(5 * SECOND), 0.2);
-    assert!((node.warmth(10 * SECOND) - 0.6).abs() < 1e-9);
-    assert_eq!(node.warmth(15 * SECOND), 1.0);
+    assert_eq!(node.store.entry_count(), 0);
+    assert_eq!(node.capacity_share(5 * SECOND), 0.2);
+    assert!((node.capacity_share(10 * SECOND) - 0.6).abs() < 1e-9);
+    assert_eq!(node.capacity_share(15 * SECOND), 1.0);
 }
 
 #[test]
 fn a_cold_node_falls_when_it_is_buried_and_a_warm_one_does_not() {
-    let spec = Nodes { cores: 1, fall_multiple: 2.0, ..Nodes::default() };
+    let spec = NodeSpec { cores: 1, overload_multiple: 2.0, ..NodeSpec::default() };
     // One core that is at a fifth bears 2 * 0.2 s a second, which is 40 of these, and by chance 14 more.
     let offer = |started, count| {
         let (mut node, mut bench) = node(&spec);
-        node.started = started;
+        node.started_at = started;
         for id in 1..=count {
-            node.arrive(SECOND, job(id, 7), &mut bench);
+            node.job_arrived(SECOND, job(id, 7), &mut bench);
         }
         (bench.fell, node.up)
     };
@@ -92,11 +92,11 @@
 
 #[test]
 fn connections_are_refused_past_the_table() {
-    let (mut node, _) = node(&Nodes { connections: 2, ..Nodes::default() });
+    let (mut node, _) = node(&NodeSpec { max_connections: 2, ..NodeSpec::default() });
     assert!(node.connect() && node.connect() && !node.connect());
     node.disconnect();
     assert!(node.connect());
-    node.refuses = true;
+    node.refuses_connections = true;
     node.disconnect();
     assert!(!node.connect());
 }
