--- a/crates/model/tests/model/days.rs
+++ b/crates/model/tests/model/days.rs
@@ -1,4 +1,4 @@
-//! Traffic, faults, lists and networks.
+//! Traffic, fault timelines, validation, discovery and network delays.
 
 use expect_test::expect;
 use pumicebay_model::faults::{Fault, FaultKind, timeline};
@@ -8,6 +8,7 @@
 use pumicebay_model::spec::{ClientSpec, NetworkSpec, Scenario};
 use pumicebay_model::traffic::{Operation, Traffic};
 
+/// A fault from second 5 to second 9.
 fn fault(kind: FaultKind, nodes: &[&str]) -> Fault {
     Fault {
         kind,
@@ -21,57 +22,61 @@
     }
 }
 
-fn day(faults: Vec<Fault>) -> Scenario {
+/// A scenario of 20 seconds with these faults.
+fn scenario(faults: Vec<Fault>) -> Scenario {
     Scenario { seconds: 20.0, fault: faults, ..Scenario::default() }
 }
 
-fn wishes(day: &Scenario) -> Vec<Operation> {
-    Traffic::new(day, 9).collect()
+/// All operations of a scenario, always with the same seed.
+fn operations(scenario: &Scenario) -> Vec<Operation> {
+    Traffic::new(scenario, 9).collect()
 }
 
 #[test]
-fn a_fault_does_not_redraw_the_traffic() {
-    let calm = wishes(&day(Vec::new()));
-    assert_eq!(wishes(&day(vec![fault(FaultKind::Crash, &["n1"])])), calm);
-    // A burst and a scan add to what comes, and a hot key changes nothing but keys.
-    let burst = wishes(&day(vec![fault(FaultKind::Burst, &[])]));
-    let mut left = burst.clone();
-    left.retain(|wish| calm.contains(wish));
-    assert_eq!(left, calm);
-    let hot = wishes(&day(vec![fault(FaultKind::HotKey, &[])]));
-    assert!(hot.iter().zip(&calm).all(|(one, other)| (one.start, one.route) == (other.start, other.route)));
-    let changed = hot.iter().zip(&calm).filter(|(one, other)| one.key != other.key).count();
-    let within = calm.iter().filter(|wish| (5_000_000_000..9_000_000_000).contains(&wish.start)).count();
+fn adding_a_fault_does_not_change_the_usual_traffic() {
+    let usual = operations(&scenario(Vec::new()));
+    assert_eq!(operations(&scenario(vec![fault(FaultKind::Crash, &["n1"])])), usual);
+    // A burst, like a scan, adds operations, and a hot key changes nothing but keys.
+    let burst = operations(&scenario(vec![fault(FaultKind::Burst, &[])]));
+    let mut retained = burst.clone();
+    retained.retain(|operation| usual.contains(operation));
+    assert_eq!(retained, usual);
+    let hot = operations(&scenario(vec![fault(FaultKind::HotKey, &[])]));
+    assert!(hot.iter().zip(&usual).all(|(one, other)| (one.start, one.route) == (other.start, other.route)));
+    let changed = hot.iter().zip(&usual).filter(|(one, other)| one.key != other.key).count();
+    let within =
+        usual.iter().filter(|operation| (5_000_000_000..9_000_000_000).contains(&operation.start)).count();
     assert!((0.4..0.6).contains(&(changed as f64 / within as f64)));
 }
 
 #[test]
-fn rates_and_popularity_are_as_told() {
-    let calm = wishes(&day(Vec::new()));
-    let rate = calm.len() as f64 / 20.0;
-    assert!((380.0..420.0).contains(&rate), "{rate} a second");
-    let burst = wishes(&day(vec![fault(FaultKind::Burst, &[])]));
-    assert!((burst.len() as f64 - calm.len() as f64 - 3200.0).abs() < 300.0);
+fn request_rate_and_key_popularity_follow_the_settings() {
+    let usual = operations(&scenario(Vec::new()));
+    let rate = usual.len() as f64 / 20.0;
+    assert!((380.0..420.0).contains(&rate), "{rate} requests a second");
+    let burst = operations(&scenario(vec![fault(FaultKind::Burst, &[])]));
+    assert!((burst.len() as f64 - usual.len() as f64 - 3200.0).abs() < 300.0);
     let swing = ClientSpec { swing: 1.0, swing_seconds: 20.0, ..ClientSpec::default() };
-    let swing = wishes(&Scenario { clients: swing, ..day(Vec::new()) });
-    let first = swing.iter().filter(|wish| wish.start < 10_000_000_000).count();
-    assert!(first * 4 > swing.len() * 3, "{first} of {} in the first half", swing.len());
-    let mut top: Vec<u64> = calm.iter().map(|wish| wish.key).collect();
-    top.sort_unstable();
-    let most = top.chunk_by(|one, other| one == other).map(<[u64]>::len).max().unwrap_or(0);
-    assert!(most > calm.len() / 40, "the most popular key is asked for {most} times");
+    let swing = operations(&Scenario { clients: swing, ..scenario(Vec::new()) });
+    let first = swing.iter().filter(|operation| operation.start < 10_000_000_000).count();
+    assert!(first * 4 > swing.len() * 3, "{first} of {} operations in the first half", swing.len());
+    let mut keys: Vec<u64> = usual.iter().map(|operation| operation.key).collect();
+    keys.sort_unstable();
+    let most = keys.chunk_by(|one, other| one == other).map(<[u64]>::len).max().unwrap_or(0);
+    assert!(most > usual.len() / 40, "the most popular key is requested {most} times");
 }
 
 #[test]
-fn timelines_are_in_order() {
+fn timelines_are_ordered_by_time() {
     let faults = vec![
         fault(FaultKind::Replace, &["n1..n2"]),
         fault(FaultKind::Crash, &["n3"]),
         fault(FaultKind::KillProxy, &[]),
         fault(FaultKind::Flap, &["n4"]),
     ];
-    let lines = timeline(&day(faults));
-    let lines: String = lines.iter().map(|(at, change)| format!("{} {change:?}\n", at / 1_000_000)).collect();
+    let changes = timeline(&scenario(faults));
+    let lines: String =
+        changes.iter().map(|(at, change)| format!("{} {change:?}\n", at / 1_000_000)).collect();
     expect![[r#"
         5000 Drain(0)
         5000 Stop(2)
@@ -92,13 +97,13 @@
 }
 
 #[test]
-fn what_can_not_be_is_named() {
-    let mut wrong = day(vec![fault(FaultKind::Crash, &["n9"]), fault(FaultKind::Slow, &[])]);
-    wrong.clients.rate = 0.0;
-    let problems: Vec<String> =
-        wrong.validate().into_iter().map(|problem| format!("{}: {}", problem.key, problem.message)).collect();
+fn invalid_settings_are_reported_with_their_keys() {
+    let mut invalid = scenario(vec![fault(FaultKind::Crash, &["n9"]), fault(FaultKind::Slow, &[])]);
+    invalid.clients.rate = 0.0;
+    let errors: Vec<String> =
+        invalid.validate().into_iter().map(|error| format!("{}: {}", error.key, error.message)).collect();
     assert_eq!(
-        problems,
+        errors,
         [
             "clients.rate: expected more than 0",
             "fault.0.nodes: no \"n9\" in this scenario, expected n1 to n8",
@@ -108,38 +113,40 @@
 }
 
 #[test]
-fn proxies_may_be_unequal_and_more_than_is_said() {
-    let mut uneven = day(Vec::new());
-    uneven.proxies.count = 6;
-    let first = |day: &Scenario| wishes(day).iter().filter(|wish| wish.proxy == 0).count() as f64;
-    let (equal, all) = (first(&uneven), wishes(&uneven).len() as f64);
-    uneven.proxies.first_proxy_load = 10.0;
-    // One of six, and ten of fifteen; the others share the rest.
+fn the_first_proxy_may_get_a_multiple_of_the_traffic() {
+    let mut unequal = scenario(Vec::new());
+    unequal.proxies.count = 6;
+    let first = |scenario: &Scenario| {
+        operations(scenario).iter().filter(|operation| operation.proxy == 0).count() as f64
+    };
+    let (equal, all) = (first(&unequal), operations(&unequal).len() as f64);
+    unequal.proxies.first_proxy_load = 10.0;
+    // The first proxy gets 1 of 6 parts at first and 10 of 15 then; the others share the rest equally.
     assert!((0.15..0.18).contains(&(equal / all)), "{equal} of {all}");
-    assert!((0.64..0.69).contains(&(first(&uneven) / all)), "of {all}");
-    let last = wishes(&uneven).iter().filter(|wish| wish.proxy == 5).count() as f64;
+    assert!((0.64..0.69).contains(&(first(&unequal) / all)), "of {all}");
+    let last = operations(&unequal).iter().filter(|operation| operation.proxy == 5).count() as f64;
     assert!((0.055..0.08).contains(&(last / all)), "{last} of {all}");
-    (uneven.proxies.first_proxy_load, uneven.proxies.configured_count) = (0.0, 10_001);
-    let keys: Vec<String> = uneven.validate().into_iter().map(|problem| problem.key).collect();
+    (unequal.proxies.first_proxy_load, unequal.proxies.configured_count) = (0.0, 10_001);
+    let keys: Vec<String> = unequal.validate().into_iter().map(|error| error.key).collect();
     assert_eq!(keys, ["proxies.said", "proxies.busiest"]);
 }
 
 #[test]
-fn the_list_tells_changes_since_a_version_and_may_be_stale() {
-    let mut list = Registry::default();
+fn the_registry_lists_changes_since_a_version_and_keeps_frozen_entries() {
+    let mut registry = Registry::default();
     let entry = |node, state| NodeEntry { node, state, started_at: 0 };
-    assert!(list.update(entry(0, NodeState::Ready)) && list.update(entry(1, NodeState::Ready)));
-    let version = list.version();
-    assert!(!list.update(entry(1, NodeState::Ready)));
-    assert!(list.update(entry(1, NodeState::Left)));
-    assert_eq!(list.changes_since(version), [entry(1, NodeState::Left)]);
-    assert_eq!(list.snapshot(), [entry(0, NodeState::Ready)]);
-    list.set_frozen(0, true);
-    assert!(!list.update(entry(0, NodeState::Left)));
+    assert!(registry.update(entry(0, NodeState::Ready)) && registry.update(entry(1, NodeState::Ready)));
+    let version = registry.version();
+    assert!(!registry.update(entry(1, NodeState::Ready)));
+    assert!(registry.update(entry(1, NodeState::Left)));
+    assert_eq!(registry.changes_since(version), [entry(1, NodeState::Left)]);
+    assert_eq!(registry.snapshot(), [entry(0, NodeState::Ready)]);
+    registry.set_frozen(0, true);
+    assert!(!registry.update(entry(0, NodeState::Left)));
 }
 
 #[test]
-fn networks_delay_by_zone_and_part() {
+fn network_delays_grow_between_zones_and_partitions_cut_links() {
     let spec = NetworkSpec { delay_ms: 1.0, zone_delay_ms: 5.0, jitter_ms: 0.1 };
     let (mut network, mut rng) = (Network::new(&spec), rng(1, "test", 0));
     let near = network.delay(&mut rng, 0, 0);
--- a/crates/model/tests/model/main.rs
+++ b/crates/model/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Laws that the model keeps whatever happens, and what its parts do one by one.
+//! Tests of the model: properties under random events, and the behaviour of each part.
 
 mod days;
 mod laws;
