--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs pumicebay's decisions on the simulator's wire: batches of events on standard input, one reply
-//! a batch on standard output. Many proxies live in one process and share nothing but this code.
+//! Runs the decisions of many proxies for a simulator. Standard input carries batches of events as lines of
+//! JSON; each batch is answered by a line on standard output with the resulting actions. The proxies share
+//! one process but no state, except for the node lists.
 
 mod instance;
 mod wire;
@@ -11,22 +12,28 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
-use wire::{Entry, Fields};
+use wire::{Fields, ListEntry};
 
+/// A line of input.
 #[derive(Deserialize)]
 struct Batch<'a> {
+    /// The simulated time of all events, in microseconds.
     #[serde(rename = "wall-us")]
-    wall: u64,
-    n: u64,
+    now_micros: u64,
+    /// The batch's number, which the reply repeats.
+    #[serde(rename = "n")]
+    number: u64,
+    /// The events: each a name followed by its values.
     #[serde(rename = "in", borrow)]
     events: Vec<Vec<&'a RawValue>>,
 }
 
+/// All proxies of the process, by their numbers, and the node lists.
 #[derive(Default)]
 struct Process {
     instances: BTreeMap<u64, Instance>,
-    /// The numbered lists of nodes that `Topology` refers to.
-    banks: BTreeMap<u64, Vec<Entry>>,
+    /// The node lists that `Topology` events refer to, by their numbers.
+    node_lists: BTreeMap<u64, Vec<ListEntry>>,
 }
 
 fn main() {
@@ -36,42 +43,46 @@
     }
 }
 
+/// Answers batches until the end of standard input. Fails on the first batch or event that is invalid.
 fn run() -> Result<()> {
     let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
     let mut process = Process::default();
     let (mut line, mut reply) = (String::new(), String::new());
-    let mut last = None;
+    let mut last_number = None;
     while input.read_line(&mut line).context("reading standard input")? > 0 {
-        let after = || last.map_or("the first batch".to_string(), |n| format!("the batch after {n}"));
-        let batch: Batch = serde_json::from_str(&line).with_context(|| format!("{} is no batch", after()))?;
+        let position = || {
+            last_number.map_or("the first batch".to_string(), |number| format!("the batch after {number}"))
+        };
+        let batch: Batch = serde_json::from_str(&line).with_context(|| format!("parsing {}", position()))?;
         reply.clear();
         reply.push_str("{\"n\":");
-        reply.push_str(&batch.n.to_string());
+        reply.push_str(&batch.number.to_string());
         reply.push_str(",\"out\":[");
-        for (place, event) in batch.events.iter().enumerate() {
-            let told = process.handle(batch.wall * NANOS_PER_MICROSECOND, event, &mut reply);
-            told.with_context(|| format!("batch {}, event {place}", batch.n))?;
+        for (index, event) in batch.events.iter().enumerate() {
+            let result = process.handle(batch.now_micros * NANOS_PER_MICROSECOND, event, &mut reply);
+            result.with_context(|| format!("batch {}, event {index}", batch.number))?;
         }
         if reply.ends_with(',') {
             reply.pop();
         }
         reply.push_str("]}\n");
         output.write_all(reply.as_bytes()).and_then(|()| output.flush()).context("writing the reply")?;
-        last = Some(batch.n);
+        last_number = Some(batch.number);
         line.clear();
     }
     Ok(())
 }
 
 impl Process {
-    /// Hands one event to its instance and moves that instance's actions to the reply.
+    /// Passes one event to its proxy and appends the proxy's actions to the reply. Events with unknown names
+    /// and events for unknown proxies are ignored.
     fn handle(&mut self, now: u64, event: &[&RawValue], reply: &mut String) -> Result<()> {
-        let Some((name, rest)) = event.split_first() else { bail!("an event without a name") };
-        let name: &str = serde_json::from_str(name.get()).context("an event's name is no text")?;
-        let fields = Fields { name, values: rest };
+        let Some((name, values)) = event.split_first() else { bail!("the event has no name") };
+        let name: &str = serde_json::from_str(name.get()).context("the event's name is not a string")?;
+        let fields = Fields { name, values };
         match name {
             "List" => {
-                self.banks.insert(fields.get(0)?, fields.get(1)?);
+                self.node_lists.insert(fields.get(0)?, fields.get(1)?);
                 return Ok(());
             }
             "Attach" => {
@@ -86,13 +97,13 @@
         }
         let Some(instance) = self.instances.get_mut(&fields.get(0)?) else { return Ok(()) };
         match name {
-            "Topology" => instance.topology(now, &fields, &self.banks)?,
-            "Arrival" => instance.arrival(now, &fields)?,
-            "Ended" => instance.end(now, &fields)?,
-            "Dropped" => instance.dropped(now, &fields)?,
-            "TimeoutFired" => instance.timeout(now, &fields)?,
-            "ProbeDone" => instance.probe_done(now, &fields)?,
-            "UnderWay" => instance.under_way(&fields)?,
+            "Topology" => instance.topology(now, &fields, &self.node_lists)?,
+            "Arrival" => instance.request_arrived(now, &fields)?,
+            "Ended" => instance.attempt_ended(now, &fields)?,
+            "Dropped" => instance.request_cancelled(now, &fields)?,
+            "TimeoutFired" => instance.timer_fired(now, &fields)?,
+            "ProbeDone" => instance.probe_finished(now, &fields)?,
+            "UnderWay" => instance.response_started(&fields)?,
             _ => {}
         }
         instance.take_actions(reply);
