--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -71,7 +71,7 @@
     /// When it begins, in seconds from the start of the scenario.
     #[serde(rename = "at")]
     pub start_seconds: f64,
-    /// How long it lasts.
+    /// How long it lasts, in seconds.
     #[serde(rename = "lasts", default = "Fault::five")]
     pub duration_seconds: f64,
     /// The affected nodes: `n1`, `n2` and so on, or an inclusive range such as `n1..n5`.
--- a/crates/model/src/node.rs
+++ b/crates/model/src/node.rs
@@ -174,8 +174,8 @@
         self.spec.start_capacity + (1.0 - self.spec.start_capacity) * progress
     }
 
-    /// Records an arrival and returns whether the work that arrived within the window exceeds the set
-    /// multiple of the node's present capacity. Always false on a warm node.
+    /// Records an arrival and returns whether the work that arrived within the window exceeds the
+    /// configured multiple of the present capacity. Always false on a warm node.
     fn overloaded_while_cold(&mut self, now: Nanos, service_time: Nanos) -> bool {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 || self.spec.overload_multiple <= 0.0 {
--- a/crates/model/src/station.rs
+++ b/crates/model/src/station.rs
@@ -17,7 +17,8 @@
     pub key: u64,
     /// Size of the value in bytes.
     pub value_bytes: u64,
-    /// Time to execute it on a node at full capacity and without contention, before random variation.
+    /// Time to execute it on a cache node at full capacity and without contention, before random variation.
+    /// The origin uses its own service time instead.
     pub service_time: Nanos,
     /// Whether it writes the value rather than reads it.
     pub write: bool,
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -180,12 +180,14 @@
     }
 }
 
-/// The key that has this rank of popularity at the start of the scenario, from 0. Bit 63 is clear; it is set
-/// in one-off keys.
+/// The key that has this rank of popularity at the start of the scenario. Rank 1 is the most popular; ranks
+/// are given modulo the number of keys, so that 0 is the least popular. Bit 63 is clear; it is set in one-off
+/// keys.
 pub fn key_at_rank(rank: u64) -> u64 {
     splitmix64(rank) >> 1
 }
 
+/// The key that a hot-key fault uses, by the fault's number.
 fn hot_key(fault: u64) -> u64 {
     splitmix64(fault ^ 0xa5a5_0000_0000_0000) >> 1
 }
