--- a/crates/model/src/node.rs
+++ b/crates/model/src/node.rs
@@ -134,9 +134,9 @@
         let contention = (self.station.running() as f64 / self.spec.cores as f64).max(1.0)
             * (1.0 + self.spec.queue_slowdown * self.station.queue_fill());
         let cost = if hit { 1.0 } else { MISS_COST };
-        let slowdown = self.machine_slowdown * self.slowdown * contention / self.capacity_share(now);
+        let total_slowdown = self.machine_slowdown * self.slowdown * contention / self.capacity_share(now);
         let duration =
-            job.service_time as f64 * cost * slowdown * self.service_time_factor.sample(&mut self.rng);
+            job.service_time as f64 * cost * total_slowdown * self.service_time_factor.sample(&mut self.rng);
         if hit {
             env.execution_started(job.id);
         }
