--- a/crates/model/tests/model/main.rs
+++ b/crates/model/tests/model/main.rs
@@ -1,5 +1,5 @@
 //! Tests of the model: properties under random events, and the behaviour of each part.
 
-mod days;
-mod laws;
+mod invariants;
 mod nodes;
+mod scenario;
--- a/crates/model/tests/model/nodes.rs
+++ b/crates/model/tests/model/nodes.rs
@@ -1,6 +1,6 @@
 //! The behaviour of a cache node, one feature at a time.
 
-use crate::laws::{TestEnvironment, read_job, run_until};
+use crate::invariants::{TestEnvironment, read_job, run_until};
 use pumicebay_model::SECOND;
 use pumicebay_model::node::CacheNode;
 use pumicebay_model::spec::NodeSpec;
