--- a/crates/proxy/tests/proxy/told.rs
+++ b/crates/proxy/tests/proxy/advertised_timeouts.rs
@@ -1,10 +1,10 @@
 //! What attempts tell their servers: never more time than their clients have left, by the clients' own clocks, whatever
 //! kept a request waiting on the way. A client's time counts from the last byte that it wrote.
 
+use crate::cancellation::{DelayedNode, move_node};
 use crate::cli::{File, program};
-use crate::endings::{Late, move_node};
 use crate::operations::{Folder, process};
-use crate::{Told, Trace, World, configuration, target};
+use crate::{ReceivedAttempt, StubState, TestEnvironment, configuration, target};
 use pumicebay::client_stream::enable_timestamps;
 use pumicebay::takeover::TakeoverSocket;
 use pumicebay_core::policy::deadline::advertised_timeout_ms;
@@ -31,20 +31,20 @@
 }
 
 /// Each attempt told no more than what was left of a patience that began then; and there were so many of them.
-fn within(told: &[Told], asked: Instant, patience: u64, attempts: usize) {
-    let kept: Vec<&Told> = told.iter().filter(|told| told.id == "id-kept").collect();
+fn within(told: &[ReceivedAttempt], asked: Instant, patience: u64, attempts: usize) {
+    let kept: Vec<&ReceivedAttempt> = told.iter().filter(|told| told.id == "id-kept").collect();
     assert_eq!(kept.len(), attempts, "{kept:?}");
     for told in kept {
-        let gone = told.at.saturating_duration_since(asked).as_millis() as u64;
+        let gone = told.received_at.saturating_duration_since(asked).as_millis() as u64;
         let left = patience.saturating_sub(gone);
-        let millis = told.millis.expect("every attempt tells");
+        let millis = told.timeout_ms.expect("every attempt tells");
         assert!(millis >= 1 && millis <= left + SLACK, "told {millis} ms, {left} ms left after {gone} ms");
     }
 }
 
 /// What all stand-ins were told.
-fn all(world: &World) -> Vec<Told> {
-    [world.cache.told(), world.origin.told()].concat()
+fn all(world: &TestEnvironment) -> Vec<ReceivedAttempt> {
+    [world.cache.attempts(), world.origin.attempts()].concat()
 }
 
 #[test]
@@ -73,7 +73,8 @@
     for (key, attempts) in
         [("hit", 1), ("miss", 2), ("late", 2), ("fail", 2), ("cut", 2), ("busy", 2), ("hang", 2)]
     {
-        let world = World::start(&[("/settings/routes/0/latency-objective-us", json!(600_000))]).await;
+        let world =
+            TestEnvironment::start(&[("/settings/routes/0/latency-objective-us", json!(600_000))]).await;
         let mut client = world.client().await;
         client.0.get_mut().write_all(&get(key, "c=read,d=3000")).await.unwrap();
         let asked = Instant::now();
@@ -92,7 +93,7 @@
         ("c=read,d=120", 120),
         ("c=read,d=120,r=1", 120),
     ] {
-        let world = World::start(&[]).await;
+        let world = TestEnvironment::start(&[]).await;
         let mut client = world.client().await;
         client.0.get_mut().write_all(&get("miss", labels)).await.unwrap();
         let asked = Instant::now();
@@ -100,7 +101,7 @@
         within(&all(&world), asked, patience, 2);
     }
     // No time at all: answered at once, and nothing is begun.
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     client.0.get_mut().write_all(&get("hit", "c=read,d=0")).await.unwrap();
     let reply = client.reply().await;
@@ -122,13 +123,13 @@
         let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
         let overall = ("/settings/routes/0/overall-timeout-us", json!(20_000_000));
         let set: Vec<(&str, Json)> = set.into_iter().chain([objective, overall]).collect();
-        let world = World::start(&set).await;
+        let world = TestEnvironment::start(&set).await;
         let mut holders = Vec::new();
         for held in holds {
             let mut client = world.client().await;
             client.send(&["C.GET", held, &format!("id-{held}"), "c=read,d=20000"]).await;
             let holder = if held.starts_with("miss") { &world.origin } else { &world.cache };
-            holder.until(&format!("id-{held}")).await;
+            holder.wait_for(&format!("id-{held}")).await;
             holders.push(client);
         }
         let mut client = world.client().await;
@@ -147,18 +148,18 @@
 async fn an_attempt_on_a_late_connection_tells_what_is_left() {
     let connect = ("/settings/permissions/connect-timeout-us", json!(5_000_000));
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start(&[connect, objective]).await;
-    let late = Late::start().await;
+    let world = TestEnvironment::start(&[connect, objective]).await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-cache", "node", &late).await;
     let mut client = world.client().await;
     client.0.get_mut().write_all(&get("hit", "c=read,d=3000")).await.unwrap();
     let asked = Instant::now();
-    world.until_counted("tries_sent 1").await;
+    world.wait_for_counter("tries_sent 1").await;
     sleep(Duration::from_millis(1500)).await;
-    let trace = Trace::default();
-    late.let_in(trace.clone());
+    let trace = StubState::default();
+    late.accept_connections(trace.clone());
     assert_eq!(client.reply().await, "value\n");
-    let told = trace.text().split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
+    let told = trace.log().split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
     let left = PATIENCE.saturating_sub(asked.elapsed().as_millis() as u64);
     assert!(told.is_some_and(|told| told <= left + SLACK), "{told:?} ms told, {left} left");
 }
@@ -167,10 +168,10 @@
 #[tokio::test]
 async fn a_command_left_unread_tells_what_is_left() {
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start_with(&[objective], |config| config.max_pipelined_commands = 0).await;
+    let world = TestEnvironment::start_with(&[objective], |config| config.max_pipelined_commands = 0).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-first", "c=read,d=3000"]).await;
-    world.cache.until("id-first").await;
+    world.cache.wait_for("id-first").await;
     client.0.get_mut().write_all(&get("miss", "c=read,d=3000")).await.unwrap();
     let asked = Instant::now();
     sleep(KEPT).await;
@@ -183,7 +184,7 @@
 #[tokio::test]
 async fn a_command_read_with_others_tells_what_is_left() {
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start(&[objective]).await;
+    let world = TestEnvironment::start(&[objective]).await;
     let mut client = world.client().await;
     let mut commands = Vec::new();
     for number in 0..32 {
@@ -198,7 +199,7 @@
     commands.extend(get("hit", "c=read,d=3000"));
     client.0.get_mut().write_all(&commands).await.unwrap();
     let asked = Instant::now();
-    world.until_counted("exchanges_taken 32").await;
+    world.wait_for_counter("exchanges_taken 32").await;
     sleep(KEPT).await;
     world.cache.release(32);
     for _ in 0..33 {
@@ -210,7 +211,7 @@
 /// A command comes in pieces: its client's time counts from its last byte, no sooner and no later.
 #[tokio::test]
 async fn a_command_in_pieces_counts_from_its_last_byte() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let command = get("miss", "c=read,d=3000");
     let (first, last) = command.split_at(command.len() - 1);
@@ -223,24 +224,24 @@
     assert_eq!(client.reply().await, "origin's id-kept\n");
     within(&all(&world), asked, PATIENCE, 2);
     // The last attempt has all that is left.
-    let told = world.origin.told()[0].millis.unwrap();
+    let told = world.origin.attempts()[0].timeout_ms.unwrap();
     assert!(told + KEPT.as_millis() as u64 / 2 > PATIENCE, "told {told} ms of {PATIENCE}");
 }
 
 /// The proxy has no turn for a while: another task of its thread holds it up.
 #[tokio::test]
 async fn a_command_that_came_while_the_thread_was_held_up_tells_what_is_left() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     for connected in [true, false] {
         let mut client = std::net::TcpStream::connect(world.address).unwrap();
         if connected {
-            world.until_counted("clients_accepted 1").await;
+            world.wait_for_counter("clients_accepted 1").await;
             sleep(Duration::from_millis(20)).await;
         }
         client.write_all(&get("miss", "c=read,d=3000")).unwrap();
         let (asked, before) = (Instant::now(), all(&world).len());
         std::thread::sleep(KEPT);
-        world.until_counted(&format!("exchanges_completed {}", if connected { 1 } else { 2 })).await;
+        world.wait_for_counter(&format!("exchanges_completed {}", if connected { 1 } else { 2 })).await;
         within(&all(&world)[before..], asked, PATIENCE, 2);
     }
 }
@@ -249,10 +250,10 @@
 #[tokio::test]
 async fn a_command_on_a_connection_that_waits_for_room_tells_what_is_left() {
     let objective = ("/settings/routes/0/latency-objective-us", json!(10_000_000));
-    let world = World::start_with(&[objective], |config| config.max_client_connections = 1).await;
+    let world = TestEnvironment::start_with(&[objective], |config| config.max_client_connections = 1).await;
     let mut holds = world.client().await;
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=3000"]).await;
-    world.cache.until("id-holds").await;
+    world.cache.wait_for("id-holds").await;
     let mut client = world.client().await;
     client.0.get_mut().write_all(&get("miss", "c=read,d=3000")).await.unwrap();
     let asked = Instant::now();
@@ -268,7 +269,7 @@
 /// less than what is left at the end.
 #[tokio::test]
 async fn a_long_write_tells_no_more_than_is_left_at_its_end() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let value = vec![b'v'; 200_000];
     let head = format!(
@@ -297,9 +298,9 @@
     let asked = Instant::now();
     let world = runtime.block_on(async {
         sleep(KEPT).await;
-        World::start(&[]).await
+        TestEnvironment::start(&[]).await
     });
-    let mut targets = world.json["known"].clone();
+    let mut targets = world.config_json["known"].clone();
     targets["targets"].as_array_mut().unwrap().push(target("s-gone", "127.0.0.1:9", "node", "leaving"));
     let json = configuration(&[("/known", targets), ("/discovery", json!("127.0.0.1:9"))]);
     let (file, folder) = (File::new("told", &json.to_string()), Folder::new("told"));
@@ -322,7 +323,7 @@
 /// A write that may have run is sent again where copies are discarded, within their window.
 #[tokio::test]
 async fn a_resend_in_the_window_tells_what_is_left() {
-    let world = World::start(&[("/settings/routes/1/effect", json!("by_key"))]).await;
+    let world = TestEnvironment::start(&[("/settings/routes/1/effect", json!("by_key"))]).await;
     let mut client = world.client().await;
     let command = "*5\r\n$5\r\nC.SET\r\n$6\r\nx-mute\r\n$7\r\nid-kept\r\n$12\r\nc=put,d=3000\r\n$1\r\nv\r\n";
     client.0.get_mut().write_all(command.as_bytes()).await.unwrap();
@@ -336,7 +337,7 @@
 /// part.
 #[tokio::test]
 async fn a_request_handed_over_tells_what_is_left() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let folder = Folder::new("told-handed-over");
     let own = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
     std::fs::create_dir(&own).unwrap();
@@ -358,7 +359,7 @@
     }
     let asked = Instant::now();
     sleep(KEPT).await;
-    let list = Some(world.json["known"].clone());
+    let list = Some(world.config_json["known"].clone());
     let (mut new, _) = process(&world, &socket, &folder, "told-handed-over", list).await;
     for (mut client, stream, read) in waiting {
         old.successor().expect("another process").pass(&stream, &read, true).await.unwrap();
--- a/crates/proxy/tests/proxy/endings.rs
+++ b/crates/proxy/tests/proxy/cancellation.rs
@@ -2,7 +2,7 @@
 //! the stand-in holds a connection or an answer until told, and the proxy's counters tell when it has seen an end.
 
 use crate::operations::Folder;
-use crate::{Client, Trace, World, configuration, target};
+use crate::{Client, StubState, TestEnvironment, configuration, target};
 use bytes::Bytes;
 use expect_test::expect;
 use futures_util::SinkExt;
@@ -47,19 +47,19 @@
     long.chain(more.iter().cloned()).collect()
 }
 
-async fn patient_world(more: &[(&'static str, Json)]) -> World {
-    World::start(&patient(more)).await
+async fn patient_world(more: &[(&'static str, Json)]) -> TestEnvironment {
+    TestEnvironment::start(&patient(more)).await
 }
 
 /// A node whose connections come up only once it is let: its queue is full until then.
-pub struct Late {
+pub struct DelayedNode {
     listener: TcpListener,
     pub address: SocketAddr,
     _filling: Vec<TcpStream>,
 }
 
-impl Late {
-    pub async fn start() -> Late {
+impl DelayedNode {
+    pub async fn start() -> DelayedNode {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = socket.listen(0).unwrap();
@@ -67,12 +67,12 @@
         while let Ok(Ok(stream)) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
             filling.push(stream);
         }
-        Late { listener, address, _filling: filling }
+        DelayedNode { listener, address, _filling: filling }
     }
 
     /// From now on connections come up; what they bring is written down, and reads get answers.
-    pub fn let_in(self, trace: Trace) {
-        let Late { listener, _filling, .. } = self;
+    pub fn accept_connections(self, trace: StubState) {
+        let DelayedNode { listener, _filling, .. } = self;
         tokio::spawn(async move {
             let _filling = _filling;
             for number in 1.. {
@@ -82,7 +82,7 @@
                     let mut some = [0; 4096];
                     while let Ok(length @ 1..) = stream.read(&mut some).await {
                         let text = String::from_utf8_lossy(&some[..length]).replace("\r\n", " ");
-                        trace.line(&format!("{number}: {text}"));
+                        trace.record(&format!("{number}: {text}"));
                         let _ = stream.write_all(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n").await;
                     }
                 });
@@ -92,35 +92,39 @@
 }
 
 /// From now on this node is where connections come up late.
-pub async fn move_node(world: &World, uid: &str, model: &str, late: &Late) {
+pub async fn move_node(world: &TestEnvironment, uid: &str, model: &str, late: &DelayedNode) {
     let moved = target(uid, &late.address.to_string(), model, "active");
-    world.tell.send(json!({"rev": 42, "all": false, "targets": [moved]}).to_string()).await.unwrap();
-    world.discovery.until("index=42").await;
+    world
+        .discovery_replies
+        .send(json!({"rev": 42, "all": false, "targets": [moved]}).to_string())
+        .await
+        .unwrap();
+    world.discovery.wait_for("index=42").await;
 }
 
 /// What a counter says.
-fn count(world: &World, name: &str) -> u64 {
-    let counted = world.counted(&format!("{name} "));
+fn count(world: &TestEnvironment, name: &str) -> u64 {
+    let counted = world.counter_lines(&format!("{name} "));
     counted.trim().rsplit(' ').next().unwrap().parse().expect("a known counter")
 }
 
 /// Nothing of an exchange is left open, and each has had one end.
-async fn nothing_is_left(world: &World) {
+async fn nothing_is_left(world: &TestEnvironment) {
     let answers = ["completed", "shed", "errored", "rejected", "dropped"];
     until_all_ended(world, "exchanges", "taken", &answers).await;
-    until_all_tries_ended(world).await;
+    wait_until_all_attempts_ended(world).await;
     // Nor did any come meanwhile.
     until_all_ended(world, "exchanges", "taken", &answers).await;
 }
 
 /// Waits until as many tries ended as were sent.
-pub async fn until_all_tries_ended(world: &World) {
+pub async fn wait_until_all_attempts_ended(world: &TestEnvironment) {
     let ends = ["completed", "missed", "errored", "saturated", "overdue", "unreachable", "severed"];
     let ends = [&ends[..], &["withdrawn", "unsent", "rejected"]].concat();
     until_all_ended(world, "tries", "sent", &ends).await;
 }
 
-async fn until_all_ended(world: &World, what: &str, begun: &str, ends: &[&str]) {
+async fn until_all_ended(world: &TestEnvironment, what: &str, begun: &str, ends: &[&str]) {
     let count = |name: &str| count(world, &format!("{what}_{name}"));
     for _ in 0..2000 {
         if ends.iter().map(|end| count(end)).sum::<u64>() == count(begun) {
@@ -133,7 +137,7 @@
 
 /// How long it takes until the proxy counts this, in rounds of the thread that it shares with the test: one that the
 /// machine holds up is longer and not more of them.
-async fn counts_after(world: &World, counted: &str) -> Duration {
+async fn counts_after(world: &TestEnvironment, counted: &str) -> Duration {
     let mut rounds = 0;
     let ticks = async {
         loop {
@@ -142,31 +146,31 @@
         }
     };
     tokio::select! {
-        () = world.until_counted(counted) => {}
+        () = world.wait_for_counter(counted) => {}
         () = ticks => {}
     }
     ROUND * rounds
 }
 
 /// A client leaves: how long it takes until the proxy counts this.
-async fn leaves(world: &World, client: Client, counted: &str) -> Duration {
+async fn leaves(world: &TestEnvironment, client: Client, counted: &str) -> Duration {
     drop(client);
     counts_after(world, counted).await
 }
 
 /// A client asks for this while it has to wait, and leaves.
-async fn leaves_unseen(world: &World, key: &str) {
+async fn leaves_unseen(world: &TestEnvironment, key: &str) {
     let taken = count(world, "exchanges_taken");
     let mut client = world.client().await;
     client.send(&["C.GET", key, "id-left", "c=read,d=60000"]).await;
-    world.until_counted(&format!("exchanges_taken {}", taken + 1)).await;
+    world.wait_for_counter(&format!("exchanges_taken {}", taken + 1)).await;
     assert!(leaves(world, client, "exchanges_dropped 1").await < SOON);
 }
 
 /// No node has seen what it asked for, and nothing is left of it.
-async fn never_seen(world: &World) {
+async fn never_seen(world: &TestEnvironment) {
     nothing_is_left(world).await;
-    let seen = world.cache.text() + &world.origin.text();
+    let seen = world.cache.log() + &world.origin.log();
     assert!(!seen.contains("id-left"), "{seen}");
 }
 
@@ -176,7 +180,12 @@
 /// Clients leave right after the turn in which the proxy counts this, or some turns later, and for a while nothing else
 /// gets a turn: this stands in line with the proxy's own tasks, whose thread it shares, and before those that such a
 /// turn wakes. Nothing is heard for three times as long as a client may have gone.
-async fn leave_before_a_stall(world: &World, clients: Vec<Client>, counted: String, mut turns: usize) {
+async fn leave_before_a_stall(
+    world: &TestEnvironment,
+    clients: Vec<Client>,
+    counted: String,
+    mut turns: usize,
+) {
     let counters = world.counters.clone();
     let stall = async move {
         let poll = |cx: &mut Context| {
@@ -195,8 +204,8 @@
 }
 
 /// How often the nodes have seen what clients asked for that leave.
-fn seen(world: &World) -> usize {
-    (world.cache.text() + &world.origin.text()).matches("id-left").count()
+fn seen(world: &TestEnvironment) -> usize {
+    (world.cache.log() + &world.origin.log()).matches("id-left").count()
 }
 
 /// A client that leaves amid a turn of the proxy's that is far too long: the attempts that the same turn asked for are
@@ -220,7 +229,7 @@
             let mut client = world.client().await;
             client.send(&words).await;
             leave_before_a_stall(&world, vec![client], format!("tries_sent {tries}"), turns).await;
-            world.until_counted("exchanges_dropped 1").await;
+            world.wait_for_counter("exchanges_dropped 1").await;
             nothing_is_left(&world).await;
             assert_eq!(seen(&world), attempts - 1, "{words:?}, idle {idle}, {turns}");
         }
@@ -234,7 +243,7 @@
         let world = patient_world(&[]).await;
         let mut client = std::net::TcpStream::connect(world.address).unwrap();
         if connected {
-            world.until_counted("clients_accepted 1").await;
+            world.wait_for_counter("clients_accepted 1").await;
             sleep(ROUND * 4).await;
         }
         let words = ["C.GET", "hit", "id-left", "c=read,d=60000"];
@@ -273,7 +282,7 @@
             let mut client = world.client().await;
             client.send(&["C.GET", held, &format!("id-{held}"), "c=read,d=60000"]).await;
             holder = if held.starts_with("miss") { &world.origin } else { &world.cache };
-            holder.until(&format!("id-{held}")).await;
+            holder.wait_for(&format!("id-{held}")).await;
             holders.push(client);
         }
         for number in 0..count {
@@ -281,8 +290,8 @@
             client.send(&["C.GET", key, &format!("id-left-{number}"), "c=read,d=60000"]).await;
             clients.push(client);
         }
-        world.until_counted(&format!("exchanges_taken {}", holds.len() + count)).await;
-        world.until_counted(ready).await;
+        world.wait_for_counter(&format!("exchanges_taken {}", holds.len() + count)).await;
+        world.wait_for_counter(ready).await;
         let before = (seen(&world), self::count(&world, "tries_sent"));
         holder.release(1);
         leave_before_a_stall(&world, clients, "exchanges_completed 1".into(), 0).await;
@@ -297,18 +306,18 @@
 #[tokio::test]
 async fn a_client_leaves_while_the_connection_to_the_node_comes_up() {
     let world = patient_world(&[]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-cache", "node", &late).await;
     let (mut client, mut stays) = (world.client().await, world.client().await);
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
-    world.until_counted("tries_sent 1").await;
+    world.wait_for_counter("tries_sent 1").await;
     stays.send(&["C.GET", "hit", "id-stays", "c=read,d=60000"]).await;
-    world.until_counted("tries_sent 2").await;
+    world.wait_for_counter("tries_sent 2").await;
     assert!(leaves(&world, client, "tries_taken_back 1").await < SOON);
-    late.let_in(world.cache.clone());
+    late.accept_connections(world.cache.clone());
     let reply = stays.reply().await;
     never_seen(&world).await;
-    assert_eq!(world.counted("exchanges_dropped"), "exchanges_dropped 1\n");
+    assert_eq!(world.counter_lines("exchanges_dropped"), "exchanges_dropped 1\n");
     expect!["value\n"].assert_eq(&reply);
 }
 
@@ -317,17 +326,17 @@
 #[tokio::test]
 async fn an_answer_is_final_while_the_connection_to_the_origin_comes_up() {
     let world = patient_world(&[]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-origin", "origin", &late).await;
     let mut client = world.client().await;
-    let reply = client.ask(&["C.GET", "miss", "id-over", "c=read,d=100"]).await;
-    world.until_counted("tries_taken_back 1").await;
-    let origin = Trace::default();
-    late.let_in(origin.clone());
+    let reply = client.execute(&["C.GET", "miss", "id-over", "c=read,d=100"]).await;
+    world.wait_for_counter("tries_taken_back 1").await;
+    let origin = StubState::default();
+    late.accept_connections(origin.clone());
     nothing_is_left(&world).await;
     client.send(&["C.SET", "key", "id-next", "c=put,d=60000", "bytes"]).await;
-    origin.until("PUT").await;
-    assert!(!origin.text().contains("id-over"), "{}", origin.text());
+    origin.wait_for("PUT").await;
+    assert!(!origin.log().contains("id-over"), "{}", origin.log());
     expect!["miss: -BUSY 7500\n"].assert_eq(&reply);
 }
 
@@ -335,18 +344,22 @@
 #[tokio::test]
 async fn a_node_drains_while_a_try_waits_for_its_connection() {
     let world = patient_world(&[]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-cache", "node", &late).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "hit", "id-1", "c=read,d=60000"]).await;
-    world.until_counted("tries_sent 1").await;
+    world.wait_for_counter("tries_sent 1").await;
     let leaving = target("s-cache", &late.address.to_string(), "node", "leaving");
-    world.tell.send(json!({"rev": 43, "all": false, "targets": [leaving]}).to_string()).await.unwrap();
-    world.until_counted("tries_taken_back 1").await;
-    late.let_in(world.cache.clone());
+    world
+        .discovery_replies
+        .send(json!({"rev": 43, "all": false, "targets": [leaving]}).to_string())
+        .await
+        .unwrap();
+    world.wait_for_counter("tries_taken_back 1").await;
+    late.accept_connections(world.cache.clone());
     let reply = client.reply().await;
     nothing_is_left(&world).await;
-    assert_eq!(world.cache.text(), "");
+    assert_eq!(world.cache.log(), "");
     expect!["origin's id-1\n"].assert_eq(&reply);
 }
 
@@ -356,37 +369,37 @@
 async fn a_node_drains_by_a_whole_list_and_right_after_a_reload() {
     for reload in [false, true] {
         let mut world = patient_world(&[]).await;
-        let late = Late::start().await;
+        let late = DelayedNode::start().await;
         move_node(&world, "s-cache", "node", &late).await;
         let mut client = world.client().await;
         client.send(&["C.GET", "hit", "id-1", "c=read,d=60000"]).await;
-        world.until_counted("tries_sent 1").await;
+        world.wait_for_counter("tries_sent 1").await;
         let leaving = target("s-cache", &late.address.to_string(), "node", "leaving");
-        let origin = world.json["known"]["targets"][1].clone();
+        let origin = world.config_json["known"]["targets"][1].clone();
         let whole = json!({"rev": 50, "all": true, "targets": [leaving, origin]}).to_string();
         if reload {
             let (moved, tell) = world.move_discovery().await;
-            moved.until("instances HTTP").await;
+            moved.wait_for("instances HTTP").await;
             tell.send(whole).await.unwrap();
         } else {
-            world.tell.send(whole).await.unwrap();
+            world.discovery_replies.send(whole).await.unwrap();
         }
-        world.until_counted("tries_taken_back 1").await;
-        late.let_in(world.cache.clone());
+        world.wait_for_counter("tries_taken_back 1").await;
+        late.accept_connections(world.cache.clone());
         let reply = client.reply().await;
         nothing_is_left(&world).await;
-        assert_eq!((world.cache.text().as_str(), reply.as_str()), ("", "origin's id-1\n"), "reload {reload}");
+        assert_eq!((world.cache.log().as_str(), reply.as_str()), ("", "origin's id-1\n"), "reload {reload}");
     }
 }
 
 #[tokio::test]
 async fn a_client_leaves_while_its_try_waits_for_room_among_the_connections() {
-    let world = World::start_with(&patient(&[]), |config| config.max_node_connections = 1).await;
+    let world = TestEnvironment::start_with(&patient(&[]), |config| config.max_node_connections = 1).await;
     let (mut holds, mut client) = (world.client().await, world.client().await);
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=60000"]).await;
-    world.cache.until("id-holds").await;
+    world.cache.wait_for("id-holds").await;
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
-    world.until_counted("tries_sent 2").await;
+    world.wait_for_counter("tries_sent 2").await;
     assert!(leaves(&world, client, "tries_taken_back 1").await < SOON);
     world.cache.release(1);
     let mut reply = holds.reply().await;
@@ -402,33 +415,33 @@
 /// Only commands without an answer are before it on its connection, and nothing more of it is read.
 #[tokio::test]
 async fn a_client_leaves_behind_its_own_commands() {
-    let world = World::start_with(&patient(&[]), |config| config.max_pipelined_commands = 0).await;
+    let world = TestEnvironment::start_with(&patient(&[]), |config| config.max_pipelined_commands = 0).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-first", "c=read,d=60000"]).await;
-    world.cache.until("id-first").await;
+    world.cache.wait_for("id-first").await;
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
     assert!(leaves(&world, client, "exchanges_dropped 1").await < SOON);
     world.cache.release(1);
     never_seen(&world).await;
-    assert_eq!(world.counted("exchanges_taken"), "exchanges_taken 1\n");
+    assert_eq!(world.counter_lines("exchanges_taken"), "exchanges_taken 1\n");
 }
 
 /// What it asked for is whole when there is room for its connection at last.
 #[tokio::test]
 async fn a_client_leaves_while_its_connection_waits_for_room() {
-    let world = World::start_with(&patient(&[]), |config| config.max_client_connections = 1).await;
+    let world = TestEnvironment::start_with(&patient(&[]), |config| config.max_client_connections = 1).await;
     let mut holds = world.client().await;
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=60000"]).await;
-    world.cache.until("id-holds").await;
+    world.cache.wait_for("id-holds").await;
     // What says nothing for some milliseconds is turned away: it speaks at once.
     let mut client = world.client().await;
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
-    world.until_counted("clients_accepted 2").await;
+    world.wait_for_counter("clients_accepted 2").await;
     drop(client);
     world.cache.release(1);
     let reply = holds.reply().await;
     drop(holds);
-    world.until_counted("exchanges_untaken 1").await;
+    world.wait_for_counter("exchanges_untaken 1").await;
     never_seen(&world).await;
     expect!["value of id-holds\n"].assert_eq(&reply);
 }
@@ -437,42 +450,42 @@
 #[tokio::test]
 async fn a_client_leaves_while_it_is_being_refused() {
     let world = patient_world(&[]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-cache", "node", &late).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
     client.0.get_mut().write_all(b"no command\r\n").await.unwrap();
-    world.until_counted("bad_commands 1").await;
+    world.wait_for_counter("bad_commands 1").await;
     assert!(leaves(&world, client, "tries_taken_back 1").await < SOON);
-    late.let_in(world.cache.clone());
+    late.accept_connections(world.cache.clone());
     nothing_is_left(&world).await;
-    assert_eq!(world.cache.text(), "");
+    assert_eq!(world.cache.log(), "");
 }
 
 /// The same where a long value is to follow, which is not read before what came before it is answered.
 #[tokio::test]
 async fn a_client_leaves_while_its_value_waits_behind_its_commands() {
     let world = patient_world(&[]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-cache", "node", &late).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "hit", "id-left", "c=read,d=60000"]).await;
-    world.until_counted("tries_sent 1").await;
+    world.wait_for_counter("tries_sent 1").await;
     let head = b"*5\r\n$5\r\nC.SET\r\n$3\r\nkey\r\n$2\r\nid\r\n$13\r\nc=put,d=60000\r\n$100000\r\nv";
     client.0.get_mut().write_all(head).await.unwrap();
     // The proxy has read it once it has taken in what another client sent after it.
-    assert_eq!(world.client().await.ask(&["PING"]).await, "PING: +PONG\n");
+    assert_eq!(world.client().await.execute(&["PING"]).await, "PING: +PONG\n");
     assert!(leaves(&world, client, "tries_taken_back 1").await < SOON);
-    late.let_in(world.cache.clone());
+    late.accept_connections(world.cache.clone());
     nothing_is_left(&world).await;
-    assert_eq!(world.origin.text(), "");
+    assert_eq!(world.origin.log(), "");
 }
 
 /// It closes its side without reading the value that it asked for first.
 #[tokio::test]
 async fn a_client_leaves_while_it_reads_no_answer() {
     let world = patient_world(&[("/settings/routes/1/overall-timeout-us", json!(60_000_000))]).await;
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     move_node(&world, "s-origin", "origin", &late).await;
     let mut client = world.client().await;
     // More than the sockets between them hold, and behind it what waits for its connection.
@@ -481,14 +494,14 @@
         client.0.feed(&Frame::command(words.map(str::as_bytes))).await.unwrap();
     }
     client.send(&["C.SET", "key", "id-left", "c=put,d=60000", "value"]).await;
-    world.until_counted("tries_sent 5").await;
-    world.until_counted("exchanges_completed 4").await;
+    world.wait_for_counter("tries_sent 5").await;
+    world.wait_for_counter("exchanges_completed 4").await;
     client.0.get_mut().shutdown().await.unwrap();
     assert!(counts_after(&world, "tries_taken_back 1").await < SOON);
-    let origin = Trace::default();
-    late.let_in(origin.clone());
+    let origin = StubState::default();
+    late.accept_connections(origin.clone());
     nothing_is_left(&world).await;
-    assert_eq!(origin.text(), "");
+    assert_eq!(origin.log(), "");
     drop(client);
 }
 
@@ -498,9 +511,9 @@
     let world = patient_world(&[("/settings/fleet-size", json!(300))]).await;
     let (mut fetches, mut holds) = (world.client().await, world.client().await);
     fetches.send(&["C.GET", "miss-held", "id-fetches", "c=read,d=60000"]).await;
-    world.origin.until("id-fetches").await;
+    world.origin.wait_for("id-fetches").await;
     holds.send(&["C.GET", "held-1", "id-holds", "c=read,d=60000"]).await;
-    world.cache.until("id-holds").await;
+    world.cache.wait_for("id-holds").await;
     leaves_unseen(&world, "hit").await;
     world.cache.release(1);
     world.origin.release(1);
@@ -518,13 +531,13 @@
     let world = patient_world(&[("/settings/routes/0/keep-order", json!(true))]).await;
     let mut first = world.client().await;
     first.send(&["C.GET", "held-1", "id-first", "c=read,d=60000"]).await;
-    world.cache.until("id-first").await;
+    world.cache.wait_for("id-first").await;
     leaves_unseen(&world, "held-1").await;
     world.cache.release(1);
     let mut replies = first.reply().await;
     // Its place in the line is gone with it.
     world.cache.release(1);
-    replies += &world.client().await.ask(&["C.GET", "held-1", "id-next", "c=read,d=60000"]).await;
+    replies += &world.client().await.execute(&["C.GET", "held-1", "id-next", "c=read,d=60000"]).await;
     never_seen(&world).await;
     expect![[r#"
         value of id-first
@@ -538,7 +551,7 @@
     let world = patient_world(&[]).await;
     let mut first = world.client().await;
     first.send(&["C.GET", "miss-held", "id-first", "c=read,d=60000"]).await;
-    world.origin.until("id-first").await;
+    world.origin.wait_for("id-first").await;
     leaves_unseen(&world, "miss-held").await;
     world.origin.release(1);
     let reply = first.reply().await;
@@ -552,16 +565,16 @@
     let world = patient_world(&[("/settings/fleet-size", json!(300))]).await;
     let mut first = world.client().await;
     first.send(&["C.GET", "miss-held-1", "id-first", "c=read,d=60000"]).await;
-    world.origin.until("id-first").await;
+    world.origin.wait_for("id-first").await;
     let mut client = world.client().await;
     client.send(&["C.GET", "miss-held-2", "id-left", "c=read,d=60000"]).await;
-    world.until_counted("tries_missed 2").await;
+    world.wait_for_counter("tries_missed 2").await;
     assert!(leaves(&world, client, "exchanges_dropped 1").await < SOON);
     world.origin.release(2);
     let reply = first.reply().await;
     nothing_is_left(&world).await;
     // The cache saw it before its client left, and missed.
-    assert!(!world.origin.text().contains("id-left"), "{}", world.origin.text());
+    assert!(!world.origin.log().contains("id-left"), "{}", world.origin.log());
     expect!["origin's id-first\n"].assert_eq(&reply);
 }
 
@@ -569,8 +582,8 @@
 #[tokio::test]
 async fn a_try_is_taken_back_before_its_task_runs() {
     let (shared, _phases, _mailbox) = shared();
-    let (trace, counters) = (Trace::default(), shared.counters.clone());
-    let address = crate::listen(trace.clone(), crate::cache_node).await;
+    let (trace, counters) = (StubState::default(), shared.counters.clone());
+    let address = crate::start_server(trace.clone(), crate::serve_cache_node).await;
     let (target, recall) = (Target { node: 0, address, origin: false }, CancellationToken::new());
     let here = Arc::new(());
     let cargo = |id: &'static str| {
@@ -600,8 +613,8 @@
     attempt::spawn(&shared, target, errand(2, "id-stays", CancellationToken::new()));
     // Nothing else has run since: this task has not waited for anything.
     recall.cancel();
-    trace.until("id-stays").await;
-    assert_eq!(trace.text(), "1: C.GET hit id-stays c=read,d=LEFT\n");
+    trace.wait_for("id-stays").await;
+    assert_eq!(trace.log(), "1: C.GET hit id-stays c=read,d=LEFT\n");
     assert!(counters.to_string().contains("tries_taken_back 1\n"));
 }
 
@@ -633,8 +646,8 @@
 async fn what_was_told_is_heard_though_discovery_moves() {
     let (shared, _phases, mailbox) = shared();
     let counters = shared.counters.clone();
-    let (tell, old) = crate::discovery(Trace::default()).await;
-    let (_silent, new) = crate::discovery(Trace::default()).await;
+    let (tell, old) = crate::start_discovery(StubState::default()).await;
+    let (_silent, new) = crate::start_discovery(StubState::default()).await;
     let told =
         json!({"rev": 42, "all": false, "targets": [target("s-told", "127.0.0.1:9", "node", "active")]});
     tell.send(told.to_string()).await.unwrap();
@@ -670,10 +683,10 @@
     let rules = rules.map(|place| (format!("/settings/{place}"), most.clone()));
     let set: Vec<(&str, Json)> =
         routes.iter().chain(&rules).map(|(place, value)| (place.as_str(), value.clone())).collect();
-    let mut world = World::start(&set).await;
+    let mut world = TestEnvironment::start(&set).await;
     let mut client = world.client().await;
-    let mut replies = client.ask(&["C.GET", "hit", "id-1", "c=read,d=60000"]).await;
-    replies += &client.ask(&["C.GET", "miss", "id-2", "c=read"]).await;
+    let mut replies = client.execute(&["C.GET", "hit", "id-1", "c=read,d=60000"]).await;
+    replies += &client.execute(&["C.GET", "miss", "id-2", "c=read"]).await;
     world.stop().await;
     replies += &client.reply().await;
     expect![[r#"
@@ -689,21 +702,21 @@
 async fn what_lies_unread_is_answered_before_its_connection_closes() {
     let soon =
         |config: &mut Config| (config.max_pipelined_commands, config.drain_period) = (0, Duration::ZERO);
-    let mut world = World::start_with(&patient(&[]), soon).await;
+    let mut world = TestEnvironment::start_with(&patient(&[]), soon).await;
     let mut client = world.client().await;
     client.send(&["C.GET", "held-1", "id-1", "c=read,d=60000"]).await;
-    world.cache.until("id-1").await;
+    world.cache.wait_for("id-1").await;
     for key in ["hit-2", "miss-3"] {
         client.send(&["C.GET", key, key, "c=read,d=60000"]).await;
     }
     world.stop().await;
-    world.watch.reached(Phase::Closing).await;
+    world.phase_watch.reached(Phase::Closing).await;
     world.cache.release(1);
     let mut replies = String::new();
     for _ in 0..4 {
         replies += &client.reply().await;
     }
-    world.running.await.unwrap();
+    world.proxy_task.await.unwrap();
     expect![[r#"
         value of id-1
         value of hit-2
@@ -763,8 +776,12 @@
     let world = patient_world(&[("/settings/routes/1/overall-timeout-us", json!(60_000_000))]).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let origin = target("s-origin", &listener.local_addr().unwrap().to_string(), "origin", "active");
-    world.tell.send(json!({"rev": 42, "all": false, "targets": [origin]}).to_string()).await.unwrap();
-    world.discovery.until("index=42").await;
+    world
+        .discovery_replies
+        .send(json!({"rev": 42, "all": false, "targets": [origin]}).to_string())
+        .await
+        .unwrap();
+    world.discovery.wait_for("index=42").await;
     let mut client = TcpStream::connect(world.address).await.unwrap();
     let head = "*5\r\n$5\r\nC.SET\r\n$3\r\nkey\r\n$2\r\nid\r\n$13\r\nc=put,d=60000\r\n$100000\r\n";
     client.write_all(head.as_bytes()).await.unwrap();
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -3,7 +3,7 @@
 
 use crate::cli::{File, Running, program};
 use crate::operations::{Folder, call};
-use crate::{World, configuration};
+use crate::{TestEnvironment, configuration};
 use expect_test::expect;
 use pumicebay::config::parse;
 use pumicebay::fleet::carrier::{apply, disk};
@@ -24,7 +24,7 @@
 
 /// All processes of it, each with its folder.
 struct Fleet {
-    worlds: BTreeMap<&'static str, World>,
+    worlds: BTreeMap<&'static str, TestEnvironment>,
     section: Json,
     folder: Folder,
     file: File,
@@ -74,15 +74,15 @@
         section["carrier"]["folder"] = json!(folder.join("carrier"));
         let own = [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0"))];
         let set: Vec<(&str, Json)> = own.into_iter().chain(set.iter().cloned()).collect();
-        let world = World::start(&set).await;
+        let world = TestEnvironment::start(&set).await;
         self.worlds.insert(name, world);
     }
 
     /// As a process that is killed: its links, its listeners and all it was about to do are gone.
-    async fn kill(&mut self, name: &str) -> World {
+    async fn kill(&mut self, name: &str) -> TestEnvironment {
         let mut world = self.worlds.remove(name).unwrap();
-        world.running.abort();
-        let _ = (&mut world.running).await;
+        world.proxy_task.abort();
+        let _ = (&mut world.proxy_task).await;
         world
     }
 
@@ -131,7 +131,7 @@
         let mut trace = String::new();
         for (name, world) in &self.worlds {
             let labels = format!("c={class},t=acme,d=3000,size=9,k=x");
-            let reply = world.client().await.ask(&["C.GET", "hit", name, &labels]).await;
+            let reply = world.client().await.execute(&["C.GET", "hit", name, &labels]).await;
             trace += &format!("{name} {reply}");
         }
         trace
@@ -140,7 +140,7 @@
 
 /// A patch that gives the proxies one more route.
 fn with_route(fleet: &Fleet, name: &str) -> Json {
-    let json = &fleet.worlds.values().next().unwrap().json;
+    let json = &fleet.worlds.values().next().unwrap().config_json;
     let mut routes = json["settings"]["routes"].clone();
     let mut route = routes[0].clone();
     route["name"] = json!(name);
@@ -245,7 +245,7 @@
     .assert_eq(&fleet.ask("fresh").await);
     // Its file is mended and read again: the exception is gone.
     let l2 = &fleet.worlds["l2"];
-    let mut mended = l2.json.clone();
+    let mut mended = l2.config_json.clone();
     mended["settings"]["rules"]["cold-us"] = json!(24_000_000);
     l2.configs.send(parse(&mended)).await.unwrap();
     let mut changes = json!(null);
@@ -303,7 +303,7 @@
     "#]]
     .assert_eq(&fleet.ask("fresh").await);
     assert_eq!(fleet.ask("read").await.matches("value of").count(), 5);
-    let status = call(fleet.worlds["l1"].operator.unwrap(), "GET", "/status", "").await;
+    let status = call(fleet.worlds["l1"].operator_address.unwrap(), "GET", "/status", "").await;
     assert!(
         status.starts_with("200 serving, carrier: version ") && status.contains("nothing heard"),
         "{status}"
--- a/crates/proxy/tests/proxy/clients.rs
+++ b/crates/proxy/tests/proxy/clients.rs
@@ -1,7 +1,7 @@
 //! The clients' side: order, bad input, limits, slow readers.
 
-use crate::endings::until_all_tries_ended;
-use crate::{Client, World, long};
+use crate::cancellation::wait_until_all_attempts_ended;
+use crate::{Client, TestEnvironment, patterned_value};
 use expect_test::expect;
 use futures_util::StreamExt;
 use pumicebay::resp::Frame;
@@ -13,18 +13,18 @@
 
 #[tokio::test]
 async fn answers_come_in_the_order_of_commands_while_others_go_on() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let (mut client, mut other) = (world.client().await, world.client().await);
     client.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
+    world.cache.wait_for("slow").await;
     client.send(&["C.GET", "hit", "id-2", "c=read,d=3000"]).await;
     client.send(&["PING"]).await;
-    world.cache.until("hit").await;
+    world.cache.wait_for("hit").await;
     let mut replies = other.get("hit-other").await;
     for _ in 0..3 {
         replies += &client.reply().await;
     }
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit-other: value of id-hit-other
@@ -43,19 +43,19 @@
 /// Commands ahead of their answers share a bound, which connections with nothing pending do not use up.
 #[tokio::test]
 async fn only_commands_ahead_of_their_answers_count_against_the_bound() {
-    let world = World::start_with(&patient(), |config| config.max_pipelined_commands = 1).await;
+    let world = TestEnvironment::start_with(&patient(), |config| config.max_pipelined_commands = 1).await;
     let (mut idle, mut client) = (world.client().await, world.client().await);
-    let mut replies = idle.ask(&["PING"]).await;
+    let mut replies = idle.execute(&["PING"]).await;
     for key in ["slow", "hit-1", "hit-2"] {
         client.send(&["C.GET", key, key, "c=read,d=3000"]).await;
         if key != "hit-2" {
-            world.cache.until(key).await;
+            world.cache.wait_for(key).await;
         }
     }
     for _ in 0..3 {
         replies += &client.reply().await;
     }
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
         PING: +PONG
@@ -73,7 +73,7 @@
 
 #[tokio::test]
 async fn bad_commands_get_a_plain_error_and_the_connection_goes_on() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let mut replies = String::new();
     for words in [
@@ -102,8 +102,8 @@
         client.send(words).await;
         replies += &client.reply().await;
     }
-    replies += &world.counted("bad_commands");
-    world.check(
+    replies += &world.counter_lines("bad_commands");
+    world.assert_traffic(
         &replies,
         expect![[r#"
             PING: +PONG
@@ -138,14 +138,14 @@
 /// What nodes can't use is told to the client alone: no other node is asked, and none is set aside for it.
 #[tokio::test]
 async fn what_a_node_rejects_is_no_fault_of_the_node() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let mut replies = client.get("miss-reject").await;
     for _ in 0..12 {
         replies = replies + &client.get("reject").await;
     }
     replies += &client.get("hit").await;
-    replies += &world.counted("exchanges_rejected");
+    replies += &world.counter_lines("exchanges_rejected");
     expect![[r#"
         miss-reject: -ERR origin: status 400
         reject: -ERR bad request
@@ -168,14 +168,14 @@
 
 #[tokio::test]
 async fn the_id_of_an_open_request_is_answered_to_its_own_client_alone() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let (mut client, mut other) = (world.client().await, world.client().await);
     client.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
-    let mut replies = other.ask(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
+    world.cache.wait_for("slow").await;
+    let mut replies = other.execute(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
     replies += &client.reply().await;
-    replies += &other.ask(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
-    world.check(
+    replies += &other.execute(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit: -ERR id of an open request
@@ -191,7 +191,7 @@
 
 #[tokio::test]
 async fn what_is_no_resp_is_told_and_closed_after_what_came_before() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let ping = "*1\r\n$4\r\nPING\r\n";
     let mut replies = String::new();
     for bytes in [
@@ -217,7 +217,7 @@
         );
     }
     let alive = world.client().await.get("hit").await;
-    world.check(&(replies + &alive), expect![[r#"
+    world.assert_traffic(&(replies + &alive), expect![[r#"
         PING\r\n: -ERR Protocol error: expected a RESP type\r\n
         *1\r\n$4\r\nPING\r\n*1\r\n$-7\r\n: +PONG\r\n-ERR Protocol error: invalid bulk length\r\n
         *1\r\n$65537\r\n: -ERR Protocol error: bulk string too long\r\n
@@ -236,11 +236,11 @@
 }
 
 /// So many clients that have had an answer to a PING.
-async fn greeted(world: &World, clients: usize) -> Vec<Client> {
+async fn greeted(world: &TestEnvironment, clients: usize) -> Vec<Client> {
     let mut greeted = Vec::new();
     for _ in 0..clients {
         let mut client = world.client().await;
-        assert_eq!(client.ask(&["PING"]).await, "PING: +PONG\n");
+        assert_eq!(client.execute(&["PING"]).await, "PING: +PONG\n");
         greeted.push(client);
     }
     greeted
@@ -249,16 +249,16 @@
 #[tokio::test]
 async fn past_the_cap_the_connection_that_is_idle_longest_makes_room() {
     // 96 descriptors leave 38 for clients.
-    let world = World::start(&[("/limits/sockets", json!(96))]).await;
+    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
     let mut clients = greeted(&world, 38).await;
     clients[0].send(&["C.GET", "slow", "busy-one", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
+    world.cache.wait_for("slow").await;
     let mut late = world.client().await;
     let mut replies = late.get("hit").await;
     replies += &clients[0].reply().await;
     replies += &clients[1].reply().await;
-    replies += &clients[2].ask(&["PING"]).await;
-    world.check(
+    replies += &clients[2].execute(&["PING"]).await;
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit: value of id-hit
@@ -277,7 +277,7 @@
 /// Who has asked before may write slowly.
 #[tokio::test]
 async fn what_says_nothing_whole_is_closed_in_time_and_first_for_room() {
-    let world = World::start(&[("/limits/sockets", json!(96))]).await;
+    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
     let mut usual = greeted(&world, 20).await;
     let (mut silent, mut half) = (world.client().await, world.client().await);
     half.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
@@ -285,16 +285,16 @@
     let mut replies = silent.reply().await + &half.reply().await + &half.reply().await;
     usual[0].0.get_mut().write_all(b"NG\r\n").await.unwrap();
     replies += &format!("slowly: {}", usual[0].reply().await);
-    replies += &usual[1].ask(&["PING"]).await;
-    replies += &format!("--\n{}", world.counted("clients_"));
+    replies += &usual[1].execute(&["PING"]).await;
+    replies += &format!("--\n{}", world.counter_lines("clients_"));
     // Eighteen that say nothing fill the room beside the twenty; the others are left before the door.
     let mut crowd = Vec::new();
     for _ in 0..60 {
         crowd.push(world.client().await);
     }
-    world.until_counted("clients_accepted 82").await;
+    world.wait_for_counter("clients_accepted 82").await;
     for client in &mut usual[1..] {
-        assert_eq!(client.ask(&["PING"]).await, "PING: +PONG\n");
+        assert_eq!(client.execute(&["PING"]).await, "PING: +PONG\n");
     }
     expect![[r#"
         -ERR Protocol error: no whole command in time
@@ -317,7 +317,7 @@
 #[tokio::test]
 async fn used_connections_are_closed_before_they_fill_the_clients_allowance() {
     // Of 96 descriptors clients hold 32 for requests, and may keep 24.
-    let world = World::start(&[("/limits/sockets", json!(96))]).await;
+    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
     let mut kept = Vec::new();
     for at in 0..26 {
         let mut client = world.client().await;
@@ -329,7 +329,7 @@
         trace += &format!("{at}: {}", kept[at].reply().await);
     }
     trace += &kept[2].get("hit-again").await;
-    trace += &world.counted("clients_closed");
+    trace += &world.counter_lines("clients_closed");
     expect![[r#"
         0: closed
         1: closed
@@ -342,22 +342,22 @@
 /// Clients that stop amid a command hold no place that others need.
 #[tokio::test]
 async fn half_a_command_holds_no_place() {
-    let world = World::start(&[("/limits/sockets", json!(96))]).await;
+    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
     let mut halves = Vec::new();
     for _ in 0..38 {
         let mut half = world.client().await;
         half.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
         halves.push(half);
     }
-    world.until_counted("clients_accepted 38").await;
+    world.wait_for_counter("clients_accepted 38").await;
     let reply = world.client().await.get("hit").await;
     assert_eq!(reply, "hit: value of id-hit\n");
-    world.until_counted("clients_closed_for_room 1").await;
+    world.wait_for_counter("clients_closed_for_room 1").await;
 }
 
 #[tokio::test]
 async fn a_slow_reader_holds_up_nobody() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut slow = world.client().await;
     for at in 0..500 {
         let (key, patience) = (format!("large-{at}"), Duration::from_millis(200));
@@ -366,7 +366,7 @@
         }
     }
     // While its asks are still out a cache may have no room, and the origin serves as well.
-    until_all_tries_ended(&world).await;
+    wait_until_all_attempts_ended(&world).await;
     let reply = world.client().await.get("hit").await;
     expect![[r#"
         hit: value of id-hit
@@ -376,10 +376,10 @@
 
 #[tokio::test]
 async fn the_largest_value_passes_both_ways() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let value = "v".repeat(64 * 1024);
-    let mut replies = client.ask(&["C.SET", "key", "w", "c=put,d=3000", &value]).await;
+    let mut replies = client.execute(&["C.SET", "key", "w", "c=put,d=3000", &value]).await;
     replies += &client.get("large").await;
     expect![[r#"
         key: origin's w
@@ -392,7 +392,7 @@
 /// connection ends, so that it can tell. What only claims to be long is tried elsewhere.
 #[tokio::test]
 async fn long_answers_pass_by_turns() {
-    let world = World::start_with(&[], |config| config.max_streamed_values = 1).await;
+    let world = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
     let mut replies = String::new();
     for key in ["huge", "huge", "miss-huge", "endless", "claims", "breaks", "hit", "huge"] {
         replies += &world.client().await.get(key).await;
@@ -408,7 +408,7 @@
         huge: 400000 bytes
     "#]]
     .assert_eq(&replies);
-    assert_eq!(world.counted("values_broken"), "values_broken 1\n");
+    assert_eq!(world.counter_lines("values_broken"), "values_broken 1\n");
 }
 
 /// Settings under which no try is given up halfway to its objective while a busy machine is slow with the pieces.
@@ -421,9 +421,9 @@
 
 #[tokio::test]
 async fn four_mebibytes_pass_byte_for_byte_through_pieces_cut_anywhere() {
-    let world = World::start(&patient()).await;
+    let world = TestEnvironment::start(&patient()).await;
     let mut client = world.client().await;
-    let value = long(4 << 20);
+    let value = patterned_value(4 << 20);
     for key in
         ["long-1-999", "long-2-1460", "long-3-16384", "long-4-65536", "long-5-1000003", "long-6-8000000"]
     {
@@ -439,7 +439,7 @@
 async fn slow_readers_of_long_answers_hold_up_nobody() {
     // A connection may come up late where the machine is busy: forty do at once, on one thread with all that they bring.
     let patient = ("/settings/permissions/connect-timeout-us", json!(10_000_000));
-    let world = World::start(&[("/limits/memory_mb", json!(32)), patient]).await;
+    let world = TestEnvironment::start(&[("/limits/memory_mb", json!(32)), patient]).await;
     let mut slow = Vec::new();
     for at in 0..40 {
         let mut client = world.client().await;
@@ -447,7 +447,7 @@
         client.send(&["C.GET", &key, &key, "c=read,d=4000"]).await;
         slow.push(client);
         // One has begun before the next asks: the node's concurrency limit is 36 while nothing is measured.
-        world.until_counted(&format!("exchanges_completed {}", at + 1)).await;
+        world.wait_for_counter(&format!("exchanges_completed {}", at + 1)).await;
     }
     let mut quick = world.client().await;
     assert_eq!(quick.get("hit").await, "hit: value of id-hit\n");
@@ -475,9 +475,9 @@
 
 #[tokio::test]
 async fn long_writes_go_to_the_origin_as_they_come_and_once() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
-    let value = long(4 << 20);
+    let value = patterned_value(4 << 20);
     let mut replies = String::new();
     // An origin that errs or turns away the first try: the value is gone, and no other try is made.
     for (key, route) in
@@ -500,14 +500,14 @@
         1: PUT /w-error-2 w-error-2 c=read,d=LEFT 4194304 bytes
         1: PUT /w-away w-away c=put,d=LEFT 4194304 bytes
     "#]]
-    .assert_eq(&format!("{replies}{}", world.origin.text()));
+    .assert_eq(&format!("{replies}{}", world.origin.log()));
 }
 
 #[tokio::test]
 async fn a_long_write_that_stops_ends_for_the_origin_too_and_slow_ones_are_awaited() {
-    let world = World::start(&[("/settings/routes/1/overall-timeout-us", json!(300_000))]).await;
+    let world = TestEnvironment::start(&[("/settings/routes/1/overall-timeout-us", json!(300_000))]).await;
     let (mut stops, mut slow) = (world.client().await, world.client().await);
-    let value = long(200_000);
+    let value = patterned_value(200_000);
     begin_write(&mut stops, "stops", "c=put,d=300", &value, 50_000).await;
     drop(stops);
     begin_write(&mut slow, "w-slow", "c=put,d=300", &value, 50_000).await;
@@ -515,18 +515,18 @@
     tokio::time::sleep(Duration::from_millis(600)).await;
     end_write(&mut slow, &value).await;
     let reply = slow.reply().await;
-    world.origin.until("closed").await;
+    world.origin.wait_for("closed").await;
     assert_eq!(reply, "origin's w-slow\n");
-    assert!(!world.origin.text().contains("PUT /stops"), "{}", world.origin.text());
+    assert!(!world.origin.log().contains("PUT /stops"), "{}", world.origin.log());
 }
 
 #[tokio::test]
 async fn a_long_write_without_a_place_is_answered_by_its_length_alone() {
-    let world = World::start_with(&[], |config| config.max_streamed_values = 1).await;
+    let world = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
     let (mut one, mut other) = (world.client().await, world.client().await);
-    let value = long(100_000);
+    let value = patterned_value(100_000);
     begin_write(&mut one, "w-one", "c=put,d=3000", &value, 50_000).await;
-    world.until_counted("exchanges_taken 1").await;
+    world.wait_for_counter("exchanges_taken 1").await;
     begin_write(&mut other, "w-other", "c=put,d=3000", &value, 50_000).await;
     let mut replies = other.reply().await;
     end_write(&mut other, &value).await;
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -3,7 +3,7 @@
 
 use crate::cli::{File, Running};
 use crate::operations::call;
-use crate::{Trace, cache_node, configuration, listen, origin_server, target};
+use crate::{StubState, configuration, serve_cache_node, serve_origin, start_server, target};
 use anyhow::Context as _;
 use pumicebay::config::parse;
 use pumicebay::serve::reload_on_hangup;
@@ -23,7 +23,7 @@
 
 /// A discovery that holds calls for a while, tells versions without changes, and can end all its connections.
 struct Agent {
-    trace: Trace,
+    trace: StubState,
     address: SocketAddr,
     /// The version, and how often its connections were ended.
     state: watch::Sender<(u64, u64)>,
@@ -31,28 +31,28 @@
 
 impl Agent {
     async fn start(version: u64, list: Json) -> Agent {
-        let (trace, state) = (Trace::default(), watch::Sender::new((version, 0)));
+        let (trace, state) = (StubState::default(), watch::Sender::new((version, 0)));
         let watched = state.clone();
         let serve = move |stream, trace, _| serve(stream, trace, watched.subscribe(), list.clone());
-        Agent { address: listen(trace.clone(), serve).await, trace, state }
+        Agent { address: start_server(trace.clone(), serve).await, trace, state }
     }
 
     /// How often it was asked for this.
     fn asked(&self, what: &str) -> usize {
-        self.trace.text().matches(what).count()
+        self.trace.log().matches(what).count()
     }
 
     async fn until(&self, what: &str, times: usize) {
         let start = Instant::now();
         while self.asked(what) < times {
-            assert!(start.elapsed() < SOON, "{what} {times}: not in time\n{}", self.trace.text());
+            assert!(start.elapsed() < SOON, "{what} {times}: not in time\n{}", self.trace.log());
             sleep(Duration::from_millis(2)).await;
         }
         println!("{what} {times}: {} ms", start.elapsed().as_millis());
     }
 }
 
-async fn serve(mut stream: TcpStream, trace: Trace, mut state: watch::Receiver<(u64, u64)>, list: Json) {
+async fn serve(mut stream: TcpStream, trace: StubState, mut state: watch::Receiver<(u64, u64)>, list: Json) {
     let (mut some, life) = ([0; 4096], state.borrow().1);
     loop {
         let length = tokio::select! {
@@ -61,7 +61,7 @@
         };
         let text = String::from_utf8_lossy(&some[..length]).into_owned();
         let Some(line) = text.lines().next() else { return };
-        trace.line(line);
+        trace.record(line);
         let from = line.split(['=', '&']).nth(1).and_then(|from| from.parse::<u64>().ok());
         let news = |now: &(u64, u64)| now.1 != life || from.is_none_or(|from| from < now.0);
         let _ = timeout(Duration::from_secs(1), state.wait_for(news)).await;
@@ -85,7 +85,7 @@
     json: Json,
     address: SocketAddr,
     door: SocketAddr,
-    cache: Trace,
+    cache: StubState,
     discovery: Agent,
     /// Clients that may ask for something, and those that only sit there.
     busy: Vec<TcpStream>,
@@ -108,12 +108,17 @@
 impl Filled {
     /// Room for so many sockets by its limits, descriptors for so many by the platform's.
     async fn start(sockets: usize, descriptors: usize) -> Filled {
-        let cache = Trace::default();
+        let cache = StubState::default();
         let nodes = json!([
-            target("s-cache", &listen(cache.clone(), cache_node).await.to_string(), "node", "active"),
+            target(
+                "s-cache",
+                &start_server(cache.clone(), serve_cache_node).await.to_string(),
+                "node",
+                "active"
+            ),
             target(
                 "s-origin",
-                &listen(Trace::default(), origin_server).await.to_string(),
+                &start_server(StubState::default(), serve_origin).await.to_string(),
                 "origin",
                 "active"
             ),
@@ -154,7 +159,7 @@
 
     /// A client asks for what the node holds back, so that a connection to it stays.
     async fn hold(&mut self, client: usize) {
-        let id = format!("id-{}", self.cache.text().len());
+        let id = format!("id-{}", self.cache.log().len());
         let key = format!("held-{id}");
         let _ = self.busy[client].write_all(&words(&["C.GET", &key, &id, "c=read,d=60000"])).await;
     }
--- a/crates/proxy/tests/proxy/size.rs
+++ b/crates/proxy/tests/proxy/large_list.rs
@@ -1,6 +1,6 @@
 //! A list as long as those of the largest deployments.
 
-use crate::{Trace, World, cache_node, target};
+use crate::{StubState, TestEnvironment, serve_cache_node, target};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -29,20 +29,20 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             seen.lock().unwrap().insert(stream.local_addr().unwrap());
-            tokio::spawn(cache_node(stream, Trace::default(), 0));
+            tokio::spawn(serve_cache_node(stream, StubState::default(), 0));
         }
     });
     (port, called)
 }
 
 /// Tells a list until it is counted: an answer to a watch that the proxy gave up as silent is lost.
-async fn tell(world: &World, list: &Json, counted: &str) {
+async fn tell(world: &TestEnvironment, list: &Json, counted: &str) {
     for _ in 0..40 {
-        if world.tell.capacity() == world.tell.max_capacity() {
-            world.tell.send(list.to_string()).await.unwrap();
+        if world.discovery_replies.capacity() == world.discovery_replies.max_capacity() {
+            world.discovery_replies.send(list.to_string()).await.unwrap();
         }
         sleep(Duration::from_millis(500)).await;
-        if world.counted("nodes_known") == format!("{counted}\n") {
+        if world.counter_lines("nodes_known") == format!("{counted}\n") {
             return;
         }
     }
@@ -53,15 +53,15 @@
 #[tokio::test]
 async fn a_thousand_nodes_are_listed_and_serve() {
     let (port, called) = nodes().await;
-    let world = World::start(&[]).await;
-    let origin = world.json["known"]["targets"][1].clone();
+    let world = TestEnvironment::start(&[]).await;
+    let origin = world.config_json["known"]["targets"][1].clone();
     for (revision, count, asked, least) in [(42, 1024, 3000, 900), (43, 1100, 3000, 1000)] {
         // The stand-in of the world's own is known too, and the origin.
         tell(&world, &list(revision, count, port, &origin), &format!("nodes_known {}", count + 2)).await;
         let mut client = world.client().await;
         for number in 0..asked {
             let (key, id) = (format!("hit-{revision}-{number}"), format!("id-{revision}-{number}"));
-            let reply = client.ask(&["C.GET", &key, &id, "c=read,d=3000"]).await;
+            let reply = client.execute(&["C.GET", &key, &id, "c=read,d=3000"]).await;
             assert_eq!(reply, format!("{key}: value of {id}\n"));
         }
         let nodes = called.lock().unwrap().len();
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -1,6 +1,6 @@
 //! Discovery, the identity of nodes, and the clock that its times are compared with.
 
-use crate::{World, configuration, target};
+use crate::{TestEnvironment, configuration, target};
 use expect_test::expect;
 use pumicebay::clock::Clock;
 use pumicebay::config;
@@ -15,14 +15,14 @@
 
 #[tokio::test]
 async fn the_watch_goes_on_from_what_was_known_and_survives_failures() {
-    let world = World::start(&[]).await;
-    let say = |text: String| world.tell.send(text);
+    let world = TestEnvironment::start(&[]).await;
+    let say = |text: String| world.discovery_replies.send(text);
     say(json!({"rev": 42, "all": false, "targets": []}).to_string()).await.unwrap();
     say("{not json".into()).await.unwrap();
     say("close".into()).await.unwrap();
     let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
     say(json!({"rev": 43, "all": false, "targets": [leaving, {"uid": 7}]}).to_string()).await.unwrap();
-    world.discovery.until("index=43").await;
+    world.discovery.wait_for("index=43").await;
     // A node that leaves gets nothing new; the origin serves.
     let reply = world.client().await.get("hit").await;
     expect![[r#"
@@ -33,22 +33,22 @@
         GET /registry/instances?index=43&wait=2000 HTTP/1.1
         hit: origin's id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}{}", world.discovery.text(), world.cache.text()));
+    .assert_eq(&format!("{}{reply}{}", world.discovery.log(), world.cache.log()));
 }
 
 #[tokio::test]
 async fn a_watch_that_falls_silent_is_begun_anew_while_the_old_list_serves() {
-    let world = World::start(&[]).await;
-    world.discovery.until("index=41").await;
+    let world = TestEnvironment::start(&[]).await;
+    world.discovery.wait_for("index=41").await;
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
-    world.until_counted("list_failures 1").await;
+    world.wait_for_counter("list_failures 1").await;
     // The first answer goes to the call that was given up.
     for version in [42, 43] {
         let answer = json!({"rev": version, "all": false, "targets": []}).to_string();
-        world.tell.send(answer).await.unwrap();
+        world.discovery_replies.send(answer).await.unwrap();
     }
-    world.discovery.until("index=43").await;
+    world.discovery.wait_for("index=43").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -57,23 +57,23 @@
         hit: value of id-hit
         hit: value of id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.text()));
+    .assert_eq(&format!("{}{reply}", world.discovery.log()));
 }
 
 /// What has come of an answer counts for nothing before the rest; the next call is from the version before it.
 #[tokio::test]
 async fn a_watch_that_falls_silent_amid_its_answer_is_begun_anew() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
     let answer = json!({"rev": 42, "all": false, "targets": [leaving]}).to_string();
     let began = Instant::now();
-    world.tell.send(format!("half {answer}")).await.unwrap();
-    world.until_counted("list_failures 1").await;
+    world.discovery_replies.send(format!("half {answer}")).await.unwrap();
+    world.wait_for_counter("list_failures 1").await;
     assert!(began.elapsed() < Duration::from_secs(5));
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
-    world.tell.send(answer).await.unwrap();
-    world.discovery.until("index=42").await;
+    world.discovery_replies.send(answer).await.unwrap();
+    world.discovery.wait_for("index=42").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -82,27 +82,27 @@
         hit: value of id-hit
         hit: origin's id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.text()));
+    .assert_eq(&format!("{}{reply}", world.discovery.log()));
 }
 
 /// An old whole list, as from a cache, brings no node back that was told to drain: it is asked for anew, and what
 /// comes then holds, whatever its version.
 #[tokio::test]
 async fn a_list_that_is_older_than_what_was_told_is_asked_for_anew() {
-    let world = World::start(&[]).await;
-    let say = |text: String| world.tell.send(text);
+    let world = TestEnvironment::start(&[]).await;
+    let say = |text: String| world.discovery_replies.send(text);
     let list = |version: u64, state| {
         let cache = target("s-cache", &world.cache_address.to_string(), "node", state);
-        json!({"rev": version, "all": true, "targets": [cache, world.json["known"]["targets"][1]]})
+        json!({"rev": version, "all": true, "targets": [cache, world.config_json["known"]["targets"][1]]})
             .to_string()
     };
     say(list(43, "leaving")).await.unwrap();
     say(list(42, "active")).await.unwrap();
-    world.until_counted("list_failures 1").await;
+    world.wait_for_counter("list_failures 1").await;
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
     say(list(42, "active")).await.unwrap();
-    world.discovery.until("index=42").await;
+    world.discovery.wait_for("index=42").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -112,7 +112,7 @@
         hit: origin's id-hit
         hit: value of id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.text()));
+    .assert_eq(&format!("{}{reply}", world.discovery.log()));
 }
 
 /// A new address is asked for the whole list while a call still waits at the old one; a configuration that
@@ -120,15 +120,15 @@
 #[tokio::test]
 async fn discovery_is_followed_to_where_a_new_configuration_says_it_is() {
     for asked in ["push", "ask"] {
-        let mut world = World::start(&[("/settings/discovery", json!(asked))]).await;
-        world.discovery.until("index=41").await;
+        let mut world = TestEnvironment::start(&[("/settings/discovery", json!(asked))]).await;
+        world.discovery.wait_for("index=41").await;
         world.configs.send(Err(anyhow::anyhow!("discovery: missing"))).await.unwrap();
-        world.until_counted("reloads_failed 1").await;
+        world.wait_for_counter("reloads_failed 1").await;
         let (moved, tell) = world.move_discovery().await;
-        moved.until("instances HTTP").await;
-        let origin = world.json["known"]["targets"][1].clone();
+        moved.wait_for("instances HTTP").await;
+        let origin = world.config_json["known"]["targets"][1].clone();
         tell.send(json!({"rev": 7, "all": true, "targets": [origin]}).to_string()).await.unwrap();
-        moved.until("index=7").await;
+        moved.wait_for("index=7").await;
         // The cache node is in the new list no more.
         let reply = world.client().await.get("hit").await;
         expect![[r#"
@@ -137,29 +137,33 @@
             GET /registry/instances?index=7&wait=2000 HTTP/1.1
             hit: origin's id-hit
         "#]]
-        .assert_eq(&format!("{}{}{reply}", world.discovery.text(), moved.text()));
+        .assert_eq(&format!("{}{}{reply}", world.discovery.log(), moved.log()));
     }
 }
 
 /// What is gone is forgotten with its connections, and one with a new uid at its address begins anew.
 #[tokio::test]
 async fn a_node_that_is_gone_is_forgotten() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let mut replies = client.get("hit-1").await;
     let (old, origin) =
-        (world.json["known"]["targets"][0].clone(), world.json["known"]["targets"][1].clone());
+        (world.config_json["known"]["targets"][0].clone(), world.config_json["known"]["targets"][1].clone());
     let stranger = target("s-9", "127.0.0.1:9", "node", "left");
     let whole = json!({"rev": 42, "all": true, "targets": [origin, stranger]});
-    world.tell.send(whole.to_string()).await.unwrap();
-    world.discovery.until("index=42").await;
+    world.discovery_replies.send(whole.to_string()).await.unwrap();
+    world.discovery.wait_for("index=42").await;
     replies += &client.get("hit-2").await;
-    world.until_counted("nodes_dismissed 1").await;
+    world.wait_for_counter("nodes_dismissed 1").await;
     let new = target("s-new", old["endpoint"].as_str().unwrap(), "node", "active");
-    world.tell.send(json!({"rev": 43, "all": false, "targets": [new]}).to_string()).await.unwrap();
-    world.discovery.until("index=43").await;
-    replies += &(client.get("hit-3").await + &world.counted("nodes_"));
-    world.check(
+    world
+        .discovery_replies
+        .send(json!({"rev": 43, "all": false, "targets": [new]}).to_string())
+        .await
+        .unwrap();
+    world.discovery.wait_for("index=43").await;
+    replies += &(client.get("hit-3").await + &world.counter_lines("nodes_"));
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
@@ -180,13 +184,13 @@
 /// Where the list must be asked for, the decisions say when it is asked for again.
 #[tokio::test]
 async fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
-    let world = World::start(&[("/settings/discovery", json!("ask"))]).await;
+    let world = TestEnvironment::start(&[("/settings/discovery", json!("ask"))]).await;
     for answer in ["close", "{}", r#"{"rev": 50, "all": false, "targets": []}"#] {
-        world.tell.send(answer.into()).await.unwrap();
+        world.discovery_replies.send(answer.into()).await.unwrap();
     }
-    world.discovery.until("index=50").await;
-    world.until_counted("list_failures 2").await;
-    world.until_counted("list_answers 1").await;
+    world.discovery.wait_for("index=50").await;
+    world.wait_for_counter("list_failures 2").await;
+    world.wait_for_counter("list_answers 1").await;
 }
 
 /// When the operators' page counts a change as told, from when discovery had it and could be reached.
@@ -246,14 +250,14 @@
                 tests.spawn(async move {
                     let (socket, set) = (refusing(), [("/settings/discovery", json!(asked))]);
                     let address = socket.local_addr().unwrap();
-                    let world = World::start_with(&set, |config| config.discovery = address).await;
-                    world.until_counted("list_failures 1").await;
+                    let world = TestEnvironment::start_with(&set, |config| config.discovery = address).await;
+                    world.wait_for_counter("list_failures 1").await;
                     let mut calls = scripted(socket, ["close", "500", "close", hung, met, CHANGE]);
                     for _ in 0..3 {
                         calls.recv().await.unwrap();
                     }
                     let there = calls.recv().await.unwrap();
-                    world.until_counted("list_answers 1").await;
+                    world.wait_for_counter("list_answers 1").await;
                     (there.elapsed(), format!("{asked}, {hung}, then {met}"))
                 });
             }
@@ -270,12 +274,12 @@
 async fn a_change_is_told_in_time_after_a_discovery_that_was_long_down() {
     let (socket, set) = (refusing(), [("/settings/discovery", json!("ask"))]);
     let (address, began) = (socket.local_addr().unwrap(), Instant::now());
-    let world = World::start_with(&set, |config| config.discovery = address).await;
-    world.until_counted("list_failures 6").await;
+    let world = TestEnvironment::start_with(&set, |config| config.discovery = address).await;
+    world.wait_for_counter("list_failures 6").await;
     let there = Instant::now();
     assert!(there - began > Duration::from_secs(1), "{:?}", there - began);
     let _calls = scripted(socket, ["500", CHANGE]);
-    world.until_counted("list_answers 1").await;
+    world.wait_for_counter("list_answers 1").await;
     let took = there.elapsed();
     assert!(took < TOLD, "{took:?}");
 }
@@ -286,16 +290,16 @@
     let (old, new, set) = (refusing(), refusing(), [("/settings/discovery", json!("ask"))]);
     let address = old.local_addr().unwrap();
     let mut calls = scripted(old, ["close", "close", "close", "close", "silence"]);
-    let mut world = World::start_with(&set, |config| config.discovery = address).await;
+    let mut world = TestEnvironment::start_with(&set, |config| config.discovery = address).await;
     for _ in 0..4 {
         calls.recv().await.unwrap();
     }
     let there = calls.recv().await.unwrap();
     sleep(Duration::from_secs(3)).await;
-    world.json["discovery"] = json!(new.local_addr().unwrap().to_string());
+    world.config_json["discovery"] = json!(new.local_addr().unwrap().to_string());
     let _calls = scripted(new, ["500", CHANGE]);
-    world.configs.send(config::parse(&world.json)).await.unwrap();
-    world.until_counted("list_answers 1").await;
+    world.configs.send(config::parse(&world.config_json)).await.unwrap();
+    world.wait_for_counter("list_answers 1").await;
     let took = there.elapsed();
     assert!(took < TOLD, "{took:?}");
 }
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,13 +1,16 @@
-//! A proxy on loopback with stand-ins for one cache node, the origin and discovery. What the stand-ins do
-//! with an exchange its key tells; what they see they write down.
+//! Integration tests of a proxy on loopback, with stub servers for one cache node, the origin and discovery. The
+//! key of a request selects how the stubs reply to it; they log what they receive.
 
+mod advertised_timeouts;
+mod cancellation;
 mod carrier;
 mod cli;
 mod clients;
+mod codecs;
 mod config;
 mod descriptors;
-mod endings;
 mod fleet;
+mod large_list;
 mod list;
 mod metrics;
 mod migrate;
@@ -16,9 +19,6 @@
 mod phases;
 mod replication;
 mod restart;
-mod size;
-mod told;
-mod wire;
 
 use bytes::BytesMut;
 use expect_test::Expect;
@@ -39,67 +39,79 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// What a stand-in saw, how many answers it holds back until told (for keys with `held`), and what attempts told it.
+/// State that a stub server shares with its test: a log of what it received, one permit for each held reply (to
+/// keys with `held`) that it may send, and the attempts that it received.
 #[derive(Clone)]
-pub struct Trace(Arc<Mutex<String>>, Arc<Semaphore>, Arc<Mutex<Vec<Told>>>);
+pub struct StubState(Arc<Mutex<String>>, Arc<Semaphore>, Arc<Mutex<Vec<ReceivedAttempt>>>);
 
-/// How long an attempt told its server that it would be waited for, and when that came.
+/// An attempt that reached a stub server.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReceivedAttempt {
+    /// The id of its request.
     pub id: String,
-    pub millis: Option<u64>,
-    pub at: Instant,
+    /// The timeout that the proxy advertised in label `d`, in milliseconds; None without a valid one.
+    pub timeout_ms: Option<u64>,
+    /// When the stub received it.
+    pub received_at: Instant,
 }
 
-impl Default for Trace {
-    fn default() -> Trace {
-        Trace(Arc::default(), Arc::new(Semaphore::new(0)), Arc::default())
+impl Default for StubState {
+    fn default() -> StubState {
+        StubState(Arc::default(), Arc::new(Semaphore::new(0)), Arc::default())
     }
 }
 
-impl Trace {
-    pub fn line(&self, line: &str) {
+impl StubState {
+    /// Adds a line to the log.
+    pub fn record(&self, line: &str) {
         *self.0.lock().unwrap() += &format!("{line}\n");
     }
 
-    pub fn text(&self) -> String {
+    /// The log so far.
+    pub fn log(&self) -> String {
         self.0.lock().unwrap().clone()
     }
 
-    /// An attempt came with these labels.
-    fn attempt(&self, id: &str, labels: &str) {
-        let millis = labels.split(',').filter_map(|label| label.strip_prefix("d=")?.parse().ok()).next_back();
-        self.2.lock().unwrap().push(Told { id: id.into(), millis, at: Instant::now() });
+    /// Adds an attempt of the request `id`, which carried these labels.
+    fn record_attempt(&self, id: &str, labels: &str) {
+        let timeout_ms =
+            labels.split(',').filter_map(|label| label.strip_prefix("d=")?.parse().ok()).next_back();
+        self.2.lock().unwrap().push(ReceivedAttempt {
+            id: id.into(),
+            timeout_ms,
+            received_at: Instant::now(),
+        });
     }
 
-    /// What attempts told so far.
-    pub fn told(&self) -> Vec<Told> {
+    /// The attempts received so far.
+    pub fn attempts(&self) -> Vec<ReceivedAttempt> {
         self.2.lock().unwrap().clone()
     }
 
-    /// Lets so many held answers go.
-    pub fn release(&self, answers: usize) {
-        self.1.add_permits(answers);
+    /// Lets the stub send this many held replies.
+    pub fn release(&self, replies: usize) {
+        self.1.add_permits(replies);
     }
 
-    async fn held(&self) {
+    /// Waits until the test releases a held reply.
+    async fn wait_for_release(&self) {
         self.1.acquire().await.expect("never closed").forget();
     }
 
-    /// Waits until something was seen; says so if that never happens.
-    pub async fn until(&self, seen: &str) {
+    /// Waits until the log contains this text; panics after 2000 checks 5 ms apart.
+    pub async fn wait_for(&self, text: &str) {
         for _ in 0..2000 {
-            if self.text().contains(seen) {
+            if self.log().contains(text) {
                 return;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        panic!("never seen: {seen}\n{}", self.text());
+        panic!("not received in time: {text}\n{}", self.log());
     }
 }
 
-/// A configuration with one deployment's figures; `set` changes it by JSON pointers.
-pub fn configuration(set: &[(&str, Json)]) -> Json {
+/// A configuration with the figures of one deployment; `overrides` are JSON pointers and the values to set there.
+pub fn configuration(overrides: &[(&str, Json)]) -> Json {
     let route = |name, effect, objective: u64| {
         json!({"name": name, "effect": effect, "latency-objective-us": objective * 1000, "payoff": 1.0,
                "overall-timeout-us": objective * 2000, "dedup-scope": "all", "window-us": 5_000_000})
@@ -120,122 +132,145 @@
             "telemetry": {"columns": [], "via": "silent"}
         }
     });
-    for (place, value) in set {
-        let (parent, key) = place.rsplit_once('/').expect("a pointer");
-        let parent = json.pointer_mut(parent).expect("a known place");
-        parent.as_object_mut().expect("an object").insert(key.into(), value.clone());
+    for (pointer, value) in overrides {
+        let (parent, key) = pointer.rsplit_once('/').expect("not a JSON pointer");
+        let parent = json.pointer_mut(parent).expect("the pointer's parent does not exist");
+        parent
+            .as_object_mut()
+            .expect("the pointer's parent is not an object")
+            .insert(key.into(), value.clone());
     }
     json
 }
 
+/// An entry of discovery's list of nodes.
 pub fn target(uid: &str, endpoint: &str, model: &str, state: &str) -> Json {
     json!({"uid": uid, "endpoint": endpoint, "az": "a", "model": model, "pod_group": 3, "state": state,
            "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-pub struct World {
+/// A running proxy with its stub servers.
+pub struct TestEnvironment {
+    /// Where the proxy accepts clients.
     pub address: SocketAddr,
-    pub operator: Option<SocketAddr>,
-    pub watch: PhaseWatch,
-    pub cache: Trace,
-    pub origin: Trace,
-    pub discovery: Trace,
+    /// Where the proxy accepts operator calls; None if not configured.
+    pub operator_address: Option<SocketAddr>,
+    /// Follows the proxy's phase.
+    pub phase_watch: PhaseWatch,
+    /// The stub of the cache node.
+    pub cache: StubState,
+    /// The stub of the origin.
+    pub origin: StubState,
+    /// The stub of discovery.
+    pub discovery: StubState,
+    /// The proxy's counters.
     pub counters: Arc<Counters>,
+    /// Where the cache node's stub listens.
     pub cache_address: SocketAddr,
-    /// Answers for discovery's next calls; a call without one waits.
-    pub tell: mpsc::Sender<String>,
+    /// Replies of the discovery stub to the next calls; a call waits until there is one.
+    pub discovery_replies: mpsc::Sender<String>,
+    /// Sending stops the proxy; None once it was told to stop.
     pub stop: Option<oneshot::Sender<()>>,
-    /// Configurations that are read anew.
+    /// Results of reading the configuration anew, for the proxy to apply.
     pub configs: mpsc::Sender<anyhow::Result<Config>>,
-    pub json: Json,
-    pub running: JoinHandle<()>,
+    /// The configuration that the proxy started with; `move_discovery` changes it.
+    pub config_json: Json,
+    /// Ends once the proxy has stopped.
+    pub proxy_task: JoinHandle<()>,
 }
 
-impl World {
-    pub async fn start(set: &[(&str, Json)]) -> World {
-        World::start_with(set, |_| {}).await
+impl TestEnvironment {
+    /// Starts the stubs and a proxy with `configuration(overrides)`.
+    pub async fn start(overrides: &[(&str, Json)]) -> TestEnvironment {
+        TestEnvironment::start_with(overrides, |_| {}).await
     }
 
-    pub async fn start_with(set: &[(&str, Json)], change: impl FnOnce(&mut Config)) -> World {
-        let (cache, origin, discovery) = (Trace::default(), Trace::default(), Trace::default());
-        let cache_address = listen(cache.clone(), cache_node).await;
-        let origin_address = listen(origin.clone(), origin_server).await;
-        let (tell, discovery_address) = self::discovery(discovery.clone()).await;
+    /// Like `start`; `adjust` changes the parsed configuration before the proxy starts.
+    pub async fn start_with(overrides: &[(&str, Json)], adjust: impl FnOnce(&mut Config)) -> TestEnvironment {
+        let (cache, origin, discovery) = (StubState::default(), StubState::default(), StubState::default());
+        let cache_address = start_server(cache.clone(), serve_cache_node).await;
+        let origin_address = start_server(origin.clone(), serve_origin).await;
+        let (discovery_replies, discovery_address) = self::start_discovery(discovery.clone()).await;
         let targets = json!([
             target("s-cache", &cache_address.to_string(), "node", "active"),
             target("s-origin", &origin_address.to_string(), "origin", "active"),
         ]);
-        let mut json = configuration(set);
-        json["known"]["targets"] = targets;
-        json["discovery"] = json!(discovery_address.to_string());
-        let mut config = parse(&json).expect("a sound configuration");
-        change(&mut config);
+        let mut config_json = configuration(overrides);
+        config_json["known"]["targets"] = targets;
+        config_json["discovery"] = json!(discovery_address.to_string());
+        let mut config = parse(&config_json).expect("invalid configuration");
+        adjust(&mut config);
         let counters = Arc::new(Counters::default());
-        let proxy = Proxy::start(config, counters.clone()).await.expect("a proxy");
-        let (address, operator, watch) = (proxy.address, proxy.operator, proxy.watch());
+        let proxy = Proxy::start(config, counters.clone()).await.expect("the proxy did not start");
+        let (address, operator_address, phase_watch) = (proxy.address, proxy.operator, proxy.watch());
         let (stop, stopped) = oneshot::channel();
-        let (configs, fresh) = mpsc::channel(1);
-        let running = tokio::spawn(async move {
+        let (configs, config_receiver) = mpsc::channel(1);
+        let proxy_task = tokio::spawn(async move {
             let stop = async { stopped.await.unwrap_or(()) };
-            proxy.run(stop, fresh).await.expect("a proxy that stops by itself");
+            proxy.run(stop, config_receiver).await.expect("the proxy failed");
         });
         let stop = Some(stop);
-        World {
+        TestEnvironment {
             address,
-            operator,
-            watch,
+            operator_address,
+            phase_watch,
             cache,
             origin,
             discovery,
             counters,
             cache_address,
-            tell,
+            discovery_replies,
             stop,
             configs,
-            json,
-            running,
+            config_json,
+            proxy_task,
         }
     }
 
-    /// Another discovery, which the configuration names from now on.
-    pub async fn move_discovery(&mut self) -> (Trace, mpsc::Sender<String>) {
-        let trace = Trace::default();
-        let (tell, address) = discovery(trace.clone()).await;
-        self.json["discovery"] = json!(address.to_string());
-        self.configs.send(parse(&self.json)).await.expect("a running proxy");
-        (trace, tell)
+    /// Starts another discovery stub and reloads the configuration with its address. Returns its state and the sender
+    /// of its replies.
+    pub async fn move_discovery(&mut self) -> (StubState, mpsc::Sender<String>) {
+        let state = StubState::default();
+        let (replies, address) = start_discovery(state.clone()).await;
+        self.config_json["discovery"] = json!(address.to_string());
+        self.configs.send(parse(&self.config_json)).await.expect("the proxy does not run");
+        (state, replies)
     }
 
+    /// Connects a new client.
     pub async fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).await.expect("a connection");
-        Client(Framed::new(stream, Replies))
+        let stream = TcpStream::connect(self.address).await.expect("could not connect to the proxy");
+        Client(Framed::new(stream, ReplyCodec))
     }
 
-    /// The counters whose names begin so.
-    pub fn counted(&self, name: &str) -> String {
+    /// The counters whose names begin with `prefix`, one a line.
+    pub fn counter_lines(&self, prefix: &str) -> String {
         let text = self.counters.to_string();
-        text.lines().filter(|line| line.starts_with(name)).map(|line| format!("{line}\n")).collect()
+        text.lines().filter(|line| line.starts_with(prefix)).map(|line| format!("{line}\n")).collect()
     }
 
-    pub async fn until_counted(&self, line: &str) {
+    /// Waits until the counters contain this line (name and value); panics after 4000 checks 5 ms apart.
+    pub async fn wait_for_counter(&self, line: &str) {
         for _ in 0..4000 {
-            if self.counters.to_string().lines().any(|counted| counted == line) {
+            if self.counters.to_string().lines().any(|other| other == line) {
                 return;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        panic!("never counted: {line}\n{}", self.counters);
+        panic!("the counters never contained: {line}\n{}", self.counters);
     }
 
+    /// Tells the proxy to stop, and returns once it drains.
     pub async fn stop(&mut self) {
-        self.stop.take().expect("stopped once").send(()).expect("a running proxy");
-        self.watch.reached(Phase::Draining).await;
+        self.stop.take().expect("stopped twice").send(()).expect("the proxy does not run");
+        self.phase_watch.reached(Phase::Draining).await;
     }
 
-    pub fn check(&self, replies: &str, expect: Expect) {
-        // By connection: what several do at the same time has no order.
-        let sorted = |trace: &Trace| {
-            let text = trace.text();
+    /// Compares the replies to clients and the logs of the cache node and the origin with the expected text.
+    pub fn assert_traffic(&self, replies: &str, expect: Expect) {
+        // Sorted by connection, since the order between concurrent connections varies.
+        let sorted = |state: &StubState| {
+            let text = state.log();
             let mut lines: Vec<&str> = text.lines().collect();
             lines.sort_by_key(|line| line.split(':').next().and_then(|number| number.parse::<usize>().ok()));
             lines.iter().map(|line| format!("{line}\n")).collect::<String>()
@@ -245,29 +280,29 @@
     }
 }
 
-/// What a client reads: values of any length whole.
-pub struct Replies;
+/// The codec of test clients. Unlike `Resp`, it decodes bulk strings of any length as one frame.
+pub struct ReplyCodec;
 
-impl Decoder for Replies {
+impl Decoder for ReplyCodec {
     type Item = Frame;
     type Error = std::io::Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> std::io::Result<Option<Frame>> {
-        let line = buffer.iter().take(20).position(|&byte| byte == b'\n');
-        let head = line.and_then(|end| std::str::from_utf8(&buffer[..end]).ok()).unwrap_or_default();
+        let line_end = buffer.iter().take(20).position(|&byte| byte == b'\n');
+        let head = line_end.and_then(|end| std::str::from_utf8(&buffer[..end]).ok()).unwrap_or_default();
         match head.trim_end().strip_prefix('$').and_then(|length| length.parse::<usize>().ok()) {
             Some(length) if length > MAX_BULK_BYTES => {
-                let begin = head.len() + 1;
-                let whole = buffer.len() >= begin + length + 2;
-                let mut frame = || buffer.split_to(begin + length + 2).freeze().slice(begin..begin + length);
-                Ok(whole.then(|| Frame::Bulk(frame())))
+                let start = head.len() + 1;
+                let complete = buffer.len() >= start + length + 2;
+                let mut frame = || buffer.split_to(start + length + 2).freeze().slice(start..start + length);
+                Ok(complete.then(|| Frame::Bulk(frame())))
             }
             _ => Resp.decode(buffer),
         }
     }
 }
 
-impl Encoder<&Frame> for Replies {
+impl Encoder<&Frame> for ReplyCodec {
     type Error = std::io::Error;
 
     fn encode(&mut self, frame: &Frame, buffer: &mut BytesMut) -> std::io::Result<()> {
@@ -275,20 +310,23 @@
     }
 }
 
-/// A long value in which each place differs from its neighbours.
-pub fn long(length: usize) -> Vec<u8> {
-    (0..length).map(|at| (at % 251) as u8).collect()
+/// A value of this length in which each byte differs from its neighbours, so that lost or swapped parts are found.
+pub fn patterned_value(length: usize) -> Vec<u8> {
+    (0..length).map(|index| (index % 251) as u8).collect()
 }
 
-pub struct Client(pub Framed<TcpStream, Replies>);
+/// A client's connection to the proxy.
+pub struct Client(pub Framed<TcpStream, ReplyCodec>);
 
 impl Client {
-    pub async fn send(&mut self, words: &[&str]) {
-        let words = words.iter().map(|word| Frame::Bulk(word.as_bytes().to_vec().into())).collect();
-        self.0.send(&Frame::Array(words)).await.expect("a command sent");
+    /// Sends a command.
+    pub async fn send(&mut self, arguments: &[&str]) {
+        let arguments =
+            arguments.iter().map(|argument| Frame::Bulk(argument.as_bytes().to_vec().into())).collect();
+        self.0.send(&Frame::Array(arguments)).await.expect("could not send the command");
     }
 
-    /// The next reply as a line.
+    /// The next reply as a line of text, or `closed` at the end of the connection.
     pub async fn reply(&mut self) -> String {
         match self.0.next().await {
             Some(Ok(Frame::Bulk(bytes))) if bytes.len() > 100 => format!("{} bytes\n", bytes.len()),
@@ -301,86 +339,95 @@
         }
     }
 
-    pub async fn ask(&mut self, words: &[&str]) -> String {
-        self.send(words).await;
-        format!("{}: {}", words.get(1).unwrap_or(&words[0]), self.reply().await)
+    /// Sends a command and returns its reply as a line, after the key (or the command's name without one).
+    pub async fn execute(&mut self, arguments: &[&str]) -> String {
+        self.send(arguments).await;
+        format!("{}: {}", arguments.get(1).unwrap_or(&arguments[0]), self.reply().await)
     }
 
-    /// Reads a key whose name tells the stand-ins what to do.
+    /// Reads a key; its name selects how the stubs reply.
     pub async fn get(&mut self, key: &str) -> String {
-        self.ask(&["C.GET", key, &format!("id-{key}"), "c=read,t=acme,d=3000,size=9,k=x"]).await
+        self.execute(&["C.GET", key, &format!("id-{key}"), "c=read,t=acme,d=3000,size=9,k=x"]).await
     }
 }
 
-/// Accepts on a free port; each connection has a number.
-async fn listen<F>(trace: Trace, serve: impl Fn(TcpStream, Trace, usize) -> F + Send + 'static) -> SocketAddr
+/// Starts a server on a free port of loopback. `serve` handles one connection, given its number from 1.
+async fn start_server<F>(
+    state: StubState,
+    serve: impl Fn(TcpStream, StubState, usize) -> F + Send + 'static,
+) -> SocketAddr
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("no free port");
+    let address = listener.local_addr().expect("the listener has no address");
     tokio::spawn(async move {
         for number in 1.. {
             let Ok((stream, _)) = listener.accept().await else { return };
-            tokio::spawn(serve(stream, trace.clone(), number));
+            tokio::spawn(serve(stream, state.clone(), number));
         }
     });
     address
 }
 
-/// `d` varies with the time that has passed: all that is told is whether it is within what the client sent.
-fn labels(labels: &str) -> String {
-    let one = |label: &str| match label.strip_prefix("d=").map(str::parse::<u64>) {
+/// Replaces the value of label `d` by `LEFT` if it is within 1 to 4000 ms: the time that the client has left varies
+/// with the time that has passed.
+fn mask_time_left(labels: &str) -> String {
+    let mask = |label: &str| match label.strip_prefix("d=").map(str::parse::<u64>) {
         Some(Ok(1..=4000)) => "d=LEFT".into(),
         _ => label.to_string(),
     };
-    labels.split(',').map(one).collect::<Vec<_>>().join(",")
+    labels.split(',').map(mask).collect::<Vec<_>>().join(",")
 }
 
-async fn cache_node(stream: TcpStream, trace: Trace, number: usize) {
+/// A cache node's connection. The first part of the key (up to `-`) selects the reply, for example `hit`, `held`
+/// (sent once the test releases it), `slow`, `fail` or `hang` (none); any other key misses.
+async fn serve_cache_node(stream: TcpStream, state: StubState, number: usize) {
     let mut framed = Framed::new(stream, Resp);
-    while let Some(Ok(Frame::Array(words))) = framed.next().await {
-        let word = |at: usize| match words.get(at) {
-            Some(Frame::Bulk(word)) => String::from_utf8_lossy(word).into_owned(),
+    while let Some(Ok(Frame::Array(arguments))) = framed.next().await {
+        let argument = |index: usize| match arguments.get(index) {
+            Some(Frame::Bulk(argument)) => String::from_utf8_lossy(argument).into_owned(),
             _ => String::new(),
         };
-        let key = word(1);
-        let line = format!("{number}: {} {key} {} {}", word(0), word(2), labels(&word(3)));
+        let key = argument(1);
+        let line =
+            format!("{number}: {} {key} {} {}", argument(0), argument(2), mask_time_left(&argument(3)));
         if !key.is_empty() {
-            trace.attempt(&word(2), &word(3));
+            state.record_attempt(&argument(2), &argument(3));
         }
-        trace.line(line.trim_end());
-        let array = |first| Frame::Array(vec![first, Frame::Null, Frame::Null]);
+        state.record(line.trim_end());
+        let read_reply = |value| Frame::Array(vec![value, Frame::Null, Frame::Null]);
         let reply = match key.split('-').next().unwrap_or_default() {
-            "hit" => array(Frame::Bulk(format!("value of {}", word(2)).into())),
+            "hit" => read_reply(Frame::Bulk(format!("value of {}", argument(2)).into())),
             "held" => {
-                trace.held().await;
-                array(Frame::Bulk(format!("value of {}", word(2)).into()))
+                state.wait_for_release().await;
+                read_reply(Frame::Bulk(format!("value of {}", argument(2)).into()))
             }
             "slow" => {
                 sleep(Duration::from_millis(800)).await;
-                array(Frame::Bulk(format!("value of {}", word(2)).into()))
+                read_reply(Frame::Bulk(format!("value of {}", argument(2)).into()))
             }
             "late" => {
                 sleep(Duration::from_millis(300)).await;
-                array(Frame::Null)
+                read_reply(Frame::Null)
             }
-            "large" => array(Frame::Bulk(vec![b'x'; 60_000].into())),
-            "huge" => array(Frame::Bulk(vec![b'x'; 400_000].into())),
+            "large" => read_reply(Frame::Bulk(vec![b'x'; 60_000].into())),
+            "huge" => read_reply(Frame::Bulk(vec![b'x'; 400_000].into())),
             "endless" => {
                 let _ = framed.get_mut().write_all(b"*3\r\n$3221225472\r\nxxxx").await;
                 continue;
             }
             "long" => {
-                let piece = key.rsplit('-').next().and_then(|size| size.parse().ok()).unwrap_or(4 << 20);
+                let piece_length =
+                    key.rsplit('-').next().and_then(|size| size.parse().ok()).unwrap_or(4 << 20);
                 let mut reply = BytesMut::new();
-                Resp.encode(&array(Frame::Bulk(long(4 << 20).into())), &mut reply).unwrap();
-                for (at, some) in reply.chunks(piece).enumerate() {
-                    if framed.get_mut().write_all(some).await.is_err() {
+                Resp.encode(&read_reply(Frame::Bulk(patterned_value(4 << 20).into())), &mut reply).unwrap();
+                for (index, chunk) in reply.chunks(piece_length).enumerate() {
+                    if framed.get_mut().write_all(chunk).await.is_err() {
                         return;
                     }
-                    // Pieces apart where they are few, or at the beginning.
-                    if piece > 100_000 || at < 40 {
+                    // Pauses between pieces if they are large, and thus few, and between the first 40.
+                    if piece_length > 100_000 || index < 40 {
                         sleep(Duration::from_millis(2)).await;
                     }
                 }
@@ -388,7 +435,7 @@
             }
             "breaks" => {
                 let _ = framed.get_mut().write_all(b"*3\r\n$200000\r\n").await;
-                let _ = framed.get_mut().write_all(&long(150_000)).await;
+                let _ = framed.get_mut().write_all(&patterned_value(150_000)).await;
                 break;
             }
             "claims" => {
@@ -408,47 +455,54 @@
                 continue;
             }
             "twice" => {
-                let _ = framed.feed(&array(Frame::Bulk("value".into()))).await;
-                array(Frame::Bulk("value".into()))
+                let _ = framed.feed(&read_reply(Frame::Bulk("value".into()))).await;
+                read_reply(Frame::Bulk("value".into()))
             }
             "cut" => break,
             "hang" => continue,
             "" => Frame::simple("PONG"),
-            _ => array(Frame::Null),
+            _ => read_reply(Frame::Null),
         };
         if framed.send(&reply).await.is_err() {
             break;
         }
     }
-    trace.line(&format!("{number}: closed"));
+    state.record(&format!("{number}: closed"));
 }
 
-async fn origin_server(mut stream: TcpStream, trace: Trace, number: usize) {
+/// An origin's connection. The second part of the key (between the first two `-`) selects the reply, for example
+/// `held` (sent once the test releases it), `error`, `away` (turned away) or `mute` (none, and the connection ends);
+/// any other key has a value.
+async fn serve_origin(mut stream: TcpStream, state: StubState, number: usize) {
     let mut buffer = Vec::new();
     loop {
-        let mut some = [0; 65_536];
-        match stream.read(&mut some).await {
-            Ok(length) if length > 0 => buffer.extend_from_slice(&some[..length]),
+        let mut chunk = [0; 65_536];
+        match stream.read(&mut chunk).await {
+            Ok(length) if length > 0 => buffer.extend_from_slice(&chunk[..length]),
             _ => break,
         }
-        let Some(end) = buffer.windows(4).position(|four| four == b"\r\n\r\n") else { continue };
-        let (head, body) = (String::from_utf8_lossy(&buffer[..end]).into_owned(), &buffer[end + 4..]);
+        let Some(head_length) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") else { continue };
+        let (head, body) =
+            (String::from_utf8_lossy(&buffer[..head_length]).into_owned(), &buffer[head_length + 4..]);
         let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).unwrap_or_default();
         if body.len() < field("Content-Length: ").parse().unwrap_or(0) {
             continue;
         }
         let body = match body.len() {
             0..100 => String::from_utf8_lossy(body).into_owned(),
-            length if body == long(length) => format!("{length} bytes"),
+            length if body == patterned_value(length) => format!("{length} bytes"),
             length => format!("{length} other bytes"),
         };
-        let first = head.lines().next().unwrap_or_default().trim_end_matches(" HTTP/1.1");
-        let key = first.split('/').nth(1).unwrap_or_default();
-        // Of a late one `d` is written down as it came.
-        let told = field("X-Labels: ").to_string();
-        trace.attempt(field("X-Txn: "), &told);
-        let told = if key.starts_with("late") { told } else { labels(&told) };
-        trace.line(format!("{number}: {first} {} {told} {body}", field("X-Txn: ")).trim_end());
+        let request_line = head.lines().next().unwrap_or_default().trim_end_matches(" HTTP/1.1");
+        let key = request_line.split('/').nth(1).unwrap_or_default();
+        // For keys that begin with `late`, the log has the value of `d` as received.
+        let received_labels = field("X-Labels: ").to_string();
+        state.record_attempt(field("X-Txn: "), &received_labels);
+        let logged_labels =
+            if key.starts_with("late") { received_labels } else { mask_time_left(&received_labels) };
+        state.record(
+            format!("{number}: {request_line} {} {logged_labels} {body}", field("X-Txn: ")).trim_end(),
+        );
         let (status, header) = match key.split('-').nth(1).unwrap_or_default() {
             "error" => ("500 No", ""),
             "away" => ("503 No", "X-Turned-Away: 1\r\n"),
@@ -460,7 +514,7 @@
             _ => ("200 OK", "X-Pressure: inflight=3,util=0.5\r\n"),
         };
         if key.split('-').nth(1) == Some("held") {
-            trace.held().await;
+            state.wait_for_release().await;
         }
         let mut value = format!("origin's {}", field("X-Txn: "));
         if key == "miss-huge" {
@@ -476,29 +530,36 @@
         }
         buffer.clear();
     }
-    trace.line(&format!("{number}: closed"));
+    state.record(&format!("{number}: closed"));
 }
 
-async fn discovery(trace: Trace) -> (mpsc::Sender<String>, SocketAddr) {
-    let (tell, told) = mpsc::channel(8);
-    let told = Arc::new(tokio::sync::Mutex::new(told));
-    let agent = move |stream, trace, _| agent(stream, trace, told.clone());
-    (tell, listen(trace, agent).await)
+/// Starts a discovery stub. Returns the sender of its replies, and its address.
+async fn start_discovery(state: StubState) -> (mpsc::Sender<String>, SocketAddr) {
+    let (sender, receiver) = mpsc::channel(8);
+    let replies = Arc::new(tokio::sync::Mutex::new(receiver));
+    let serve = move |stream, state, _| serve_discovery(stream, state, replies.clone());
+    (sender, start_server(state, serve).await)
 }
 
-async fn agent(mut stream: TcpStream, trace: Trace, told: Arc<tokio::sync::Mutex<mpsc::Receiver<String>>>) {
-    let mut some = [0; 4096];
-    while let Ok(length @ 1..) = stream.read(&mut some).await {
-        let text = String::from_utf8_lossy(&some[..length]);
-        trace.line(text.lines().next().unwrap_or_default());
-        let Some(answer) = told.lock().await.recv().await else { return };
+/// A connection to the discovery stub: each call takes the next of the replies. `close` closes the connection, and a
+/// reply after `half ` is announced as longer than what is sent of it.
+async fn serve_discovery(
+    mut stream: TcpStream,
+    state: StubState,
+    replies: Arc<tokio::sync::Mutex<mpsc::Receiver<String>>>,
+) {
+    let mut chunk = [0; 4096];
+    while let Ok(length @ 1..) = stream.read(&mut chunk).await {
+        let text = String::from_utf8_lossy(&chunk[..length]);
+        state.record(text.lines().next().unwrap_or_default());
+        let Some(answer) = replies.lock().await.recv().await else { return };
         if answer == "close" {
             return;
         }
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.len());
-        if let Some(half) = answer.strip_prefix("half ") {
-            // The rest never comes.
-            let _ = stream.write_all(format!("{head}{half}").as_bytes()).await;
+        if let Some(partial_body) = answer.strip_prefix("half ") {
+            // The last bytes of the announced length, those of the prefix `half `, are never sent.
+            let _ = stream.write_all(format!("{head}{partial_body}").as_bytes()).await;
             std::future::pending::<()>().await;
         }
         if stream.write_all(format!("{head}{answer}").as_bytes()).await.is_err() {
--- a/crates/proxy/tests/proxy/migrate.rs
+++ b/crates/proxy/tests/proxy/migrate.rs
@@ -1,7 +1,7 @@
 //! The move of a configuration from a pool of proxies in several zones to one beside each client.
 
 use crate::cli::{File, program};
-use crate::{World, configuration};
+use crate::{TestEnvironment, configuration};
 use expect_test::expect;
 use pumicebay::config;
 use pumicebay::migrate::{MigrationOptions, migrate};
@@ -144,7 +144,7 @@
 
 #[tokio::test]
 async fn a_migrated_configuration_serves_a_hit_and_a_miss() {
-    let world = World::start_with(&[], |config| {
+    let world = TestEnvironment::start_with(&[], |config| {
         let mut json = pool();
         json["known"] = serde_json::from_str(&config.known.take().unwrap()).unwrap();
         json["discovery"] = json!(config.discovery.to_string());
@@ -154,7 +154,7 @@
     .await;
     let mut client = world.client().await;
     let replies = client.get("hit-1").await + &client.get("miss-1").await;
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
--- a/crates/proxy/tests/proxy/nodes.rs
+++ b/crates/proxy/tests/proxy/nodes.rs
@@ -1,7 +1,7 @@
 //! Tries: what goes out, what each end means, and what becomes of connections.
 
-use crate::World;
-use crate::endings::Late;
+use crate::TestEnvironment;
+use crate::cancellation::DelayedNode;
 use expect_test::expect;
 use pumicebay::upstream::connection::is_open_and_empty;
 use serde_json::json;
@@ -12,7 +12,7 @@
 
 #[tokio::test]
 async fn each_end_of_a_try_is_told_apart_and_answered_once() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut client = world.client().await;
     let mut replies = String::new();
     for key in [
@@ -34,13 +34,13 @@
     ] {
         replies += &client.get(key).await;
     }
-    replies += &client.ask(&["C.SET", "hit/é", "w1", "c=put,t=acme,d=3000,size=5", "bytes"]).await;
-    replies += &client.ask(&["C.SET", "x-error", "w2", "c=put,d=3000", "bytes"]).await;
-    replies += &client.ask(&["C.SET", "x-away", "w3", "c=put,d=3000", "bytes"]).await;
-    let counted = world.counted("tries");
+    replies += &client.execute(&["C.SET", "hit/é", "w1", "c=put,t=acme,d=3000,size=5", "bytes"]).await;
+    replies += &client.execute(&["C.SET", "x-error", "w2", "c=put,d=3000", "bytes"]).await;
+    replies += &client.execute(&["C.SET", "x-away", "w3", "c=put,d=3000", "bytes"]).await;
+    let counted = world.counter_lines("tries");
     let tries: Vec<&str> = counted.lines().filter(|line| !line.ends_with(" 0")).collect();
     replies += &format!("{}\n", tries.join(", "));
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
             hit: value of id-hit
@@ -114,9 +114,9 @@
 /// Guards the origin from work for those who have left: it once was told what the client had said at first.
 #[tokio::test]
 async fn a_further_try_tells_no_more_time_than_its_client_has_left() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     assert_eq!(world.client().await.get("late").await, "late: origin's id-late\n");
-    let origin = world.origin.text();
+    let origin = world.origin.log();
     let told = origin.split("d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap();
     let told: u64 = told.parse().unwrap();
     assert!((1..=2700).contains(&told), "{told} ms of 3000 after a miss of 300");
@@ -140,16 +140,16 @@
 /// Answers come in order, so a try that is given up takes its connection with it, and no other try.
 #[tokio::test]
 async fn giving_up_a_try_closes_its_connection_alone() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let (mut one, mut other) = (world.client().await, world.client().await);
     one.send(&["C.GET", "hang", "id-1", "c=quick,d=150"]).await;
-    world.cache.until("hang").await;
+    world.cache.wait_for("hang").await;
     other.send(&["C.GET", "slow", "id-2", "c=read,d=3000"]).await;
     let mut replies = one.reply().await;
-    world.cache.until("1: closed").await;
+    world.cache.wait_for("1: closed").await;
     replies += &other.reply().await;
     replies += &other.get("hit").await;
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
             origin's id-1
@@ -168,12 +168,12 @@
 
 #[tokio::test]
 async fn idle_connections_are_used_again_and_dropped_before_their_time() {
-    let world = World::start(&[("/settings/permissions/conn-idle-us", json!(3_000_000))]).await;
+    let world = TestEnvironment::start(&[("/settings/permissions/conn-idle-us", json!(3_000_000))]).await;
     let mut client = world.client().await;
     let mut replies = client.get("hit-1").await + &client.get("hit-2").await;
-    world.cache.until("1: closed").await;
+    world.cache.wait_for("1: closed").await;
     replies += &client.get("hit-3").await;
-    world.check(
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
@@ -191,13 +191,17 @@
 
 /// No connection to the cache node comes up, so the try never ran and the origin is asked.
 async fn a_miss_goes_by_the_cache_at(endpoint: &str) {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let moved = crate::target("s-cache", endpoint, "node", "active");
-    world.tell.send(json!({"rev": 42, "all": false, "targets": [moved]}).to_string()).await.unwrap();
-    world.discovery.until("index=42").await;
+    world
+        .discovery_replies
+        .send(json!({"rev": 42, "all": false, "targets": [moved]}).to_string())
+        .await
+        .unwrap();
+    world.discovery.wait_for("index=42").await;
     let reply = world.client().await.get("miss").await;
-    world.until_counted("tries_unreachable 1").await;
-    world.check(
+    world.wait_for_counter("tries_unreachable 1").await;
+    world.assert_traffic(
         &reply,
         expect![[r#"
         miss: origin's id-miss
@@ -220,21 +224,21 @@
 /// As with a machine that is cut off: its queue for connections is full, so the next never comes up.
 #[tokio::test]
 async fn a_connection_that_never_comes_up_is_given_up_in_time() {
-    let late = Late::start().await;
+    let late = DelayedNode::start().await;
     a_miss_goes_by_the_cache_at(&late.address.to_string()).await;
 }
 
 #[tokio::test]
 async fn without_a_connection_to_spare_a_try_is_not_sent() {
-    let world = World::start_with(&[], |config| config.max_node_connections = 1).await;
+    let world = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
     let (mut one, mut other) = (world.client().await, world.client().await);
     one.send(&["C.GET", "hang", "id-1", "c=read,d=1000"]).await;
-    world.cache.until("hang").await;
+    world.cache.wait_for("hang").await;
     let mut replies = other.get("hit").await + &one.reply().await;
-    world.cache.until("1: closed").await;
+    world.cache.wait_for("1: closed").await;
     replies += &other.get("hit").await;
-    world.until_counted("tries_unsent 1").await;
-    world.check(
+    world.wait_for_counter("tries_unsent 1").await;
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit: -BUSY 250
@@ -251,13 +255,13 @@
 
 #[tokio::test]
 async fn an_idle_connection_makes_room_for_one_to_another_node() {
-    let world = World::start_with(&[], |config| config.max_node_connections = 1).await;
+    let world = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
     let mut client = world.client().await;
     let mut replies = client.get("hit").await + &client.get("miss").await;
-    world.until_counted("connections_closed_for_room 1").await;
+    world.wait_for_counter("connections_closed_for_room 1").await;
     replies += &client.get("hit").await;
-    world.origin.until("1: closed").await;
-    world.check(
+    world.origin.wait_for("1: closed").await;
+    world.assert_traffic(
         &replies,
         expect![[r#"
         hit: value of id-hit
@@ -277,16 +281,16 @@
 
 #[tokio::test]
 async fn a_client_that_left_costs_nobody_a_connection() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let mut leaver = world.client().await;
     leaver.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
+    world.cache.wait_for("slow").await;
     drop(leaver);
-    world.until_counted("exchanges_dropped 1").await;
-    world.until_counted("tries_completed 1").await;
+    world.wait_for_counter("exchanges_dropped 1").await;
+    world.wait_for_counter("tries_completed 1").await;
     sleep(Duration::from_millis(20)).await;
     let reply = world.client().await.get("hit").await;
-    world.check(
+    world.assert_traffic(
         &reply,
         expect![[r#"
         hit: value of id-hit
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -1,7 +1,7 @@
 //! The operators' door, maintenance and what outlives a process.
 
 use crate::cli::{File, Running, program};
-use crate::{Client, Replies, Trace, World, target};
+use crate::{Client, ReplyCodec, StubState, TestEnvironment, target};
 use expect_test::expect;
 use pumicebay::config::{check_nothing_removed, parse};
 use pumicebay_names::stable_hash;
@@ -59,8 +59,8 @@
 
 #[tokio::test]
 async fn calls_are_answered_yes_or_no_with_a_line_that_says_why() {
-    let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let door = world.operator.expect("a door");
+    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let door = world.operator_address.expect("a door");
     let mut trace = call(door, "GET", "/status", "").await;
     for (method, path, body) in [
         ("POST", "/status", ""),
@@ -108,8 +108,8 @@
 
 #[tokio::test]
 async fn callers_that_say_nothing_or_half_take_no_place_from_others() {
-    let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let door = world.operator.expect("a door");
+    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let door = world.operator_address.expect("a door");
     let mut silent = Vec::new();
     for at in 0..60 {
         let mut stream = TcpStream::connect(door).await.unwrap();
@@ -140,24 +140,24 @@
     let folder = Folder::new("bans");
     let out = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
     let door = [("/operator", json!("127.0.0.1:0"))];
-    let world = World::start_with(&door, out).await;
+    let world = TestEnvironment::start_with(&door, out).await;
     let mut client = world.client().await;
     let mut trace = client.get("hit-1").await;
     for what in ["enter", "enter"] {
-        trace += &maintain(world.operator.unwrap(), what, "s-cache").await;
+        trace += &maintain(world.operator_address.unwrap(), what, "s-cache").await;
     }
     trace += &client.get("hit-2").await;
     // A process that comes after it knows, and so does one beside it when the node is put back.
-    let next = World::start_with(&door, out).await;
+    let next = TestEnvironment::start_with(&door, out).await;
     trace += &next.client().await.get("hit-3").await;
-    assert_eq!(next.cache.text(), "");
-    trace += &maintain(next.operator.unwrap(), "exit", "s-cache").await;
-    let there = |trace: &Trace| trace.text().contains("hit-back");
+    assert_eq!(next.cache.log(), "");
+    trace += &maintain(next.operator_address.unwrap(), "exit", "s-cache").await;
+    let there = |trace: &StubState| trace.log().contains("hit-back");
     while !there(&world.cache) {
         client.get("hit-back").await;
         sleep(Duration::from_millis(20)).await;
     }
-    trace += &world.cache.text();
+    trace += &world.cache.log();
     expect![[r#"
         hit-1: value of id-hit-1
         200 s-cache gets nothing more
@@ -180,7 +180,7 @@
     let folder = Folder::new("fences");
     let out = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
     let door = [("/operator", json!("127.0.0.1:0"))];
-    let world = World::start_with(&door, out).await;
+    let world = TestEnvironment::start_with(&door, out).await;
     let mut trace = String::new();
     let under = |what: &str, lease: Json, token: Json| {
         let body = json!({"who": "s-cache", "lease": lease, "token": token}).to_string();
@@ -198,15 +198,15 @@
         ("exit", json!("nodes"), json!(8)),
     ] {
         let (path, body) = under(what, lease, token);
-        let answer = call(world.operator.unwrap(), "POST", &path, &body).await;
+        let answer = call(world.operator_address.unwrap(), "POST", &path, &body).await;
         trace += &answer.replace(&"x".repeat(101), "x...");
     }
     // What is called under no lease is an operator's own word, as ever.
-    trace += &maintain(world.operator.unwrap(), "exit", "s-cache").await;
-    let next = World::start_with(&door, out).await;
+    trace += &maintain(world.operator_address.unwrap(), "exit", "s-cache").await;
+    let next = TestEnvironment::start_with(&door, out).await;
     for (token, lease) in [(9, "nodes"), (1, "others")] {
         let (path, body) = under("enter", json!(lease), json!(token));
-        trace += &call(next.operator.unwrap(), "POST", &path, &body).await;
+        trace += &call(next.operator_address.unwrap(), "POST", &path, &body).await;
     }
     expect![[r#"
         200 s-cache gets nothing more
@@ -227,18 +227,22 @@
 
 #[tokio::test]
 async fn a_ban_outlives_all_that_discovery_says() {
-    let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let (door, mut client) = (world.operator.unwrap(), world.client().await);
+    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let (door, mut client) = (world.operator_address.unwrap(), world.client().await);
     let mut trace = maintain(door, "enter", "s-cache").await;
     let node = target("s-cache", &world.cache_address.to_string(), "node", "active");
     for (at, state) in ["leaving", "left", "active"].into_iter().enumerate() {
         let mut node = node.clone();
         (node["state"], node["boot_ms"]) = (json!(state), json!(at));
-        world.tell.send(json!({"rev": 50 + at, "all": false, "targets": [node]}).to_string()).await.unwrap();
-        world.until_counted(&format!("list_answers {}", at + 1)).await;
+        world
+            .discovery_replies
+            .send(json!({"rev": 50 + at, "all": false, "targets": [node]}).to_string())
+            .await
+            .unwrap();
+        world.wait_for_counter(&format!("list_answers {}", at + 1)).await;
         trace += &client.get(&format!("hit-{state}")).await;
     }
-    trace += &world.cache.text();
+    trace += &world.cache.log();
     expect![[r#"
         200 s-cache gets nothing more
         hit-leaving: origin's id-hit-leaving
@@ -249,29 +253,29 @@
 }
 
 /// What a route of the test's configuration looks like, under another name.
-fn route(world: &World, name: &str) -> Json {
-    let mut route = world.json["settings"]["routes"][0].clone();
+fn route(world: &TestEnvironment, name: &str) -> Json {
+    let mut route = world.config_json["settings"]["routes"][0].clone();
     route["name"] = json!(name);
     route
 }
 
 #[tokio::test]
 async fn routes_come_and_go_while_exchanges_are_open() {
-    let mut world = World::start(&[]).await;
+    let mut world = TestEnvironment::start(&[]).await;
     let (mut open, mut client) = (world.client().await, world.client().await);
     open.send(&["C.GET", "slow", "id-open", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
-    let mut trace = client.ask(&["C.GET", "hit", "id-1", "c=map,d=3000"]).await;
+    world.cache.wait_for("slow").await;
+    let mut trace = client.execute(&["C.GET", "hit", "id-1", "c=map,d=3000"]).await;
     // The first route goes, another comes to its place in the list, and all get fewer tries.
     let map = route(&world, "map");
-    world.json["settings"]["routes"][0] = map;
-    world.json["settings"]["permissions"]["most-upstream-tries"] = json!(1);
-    world.configs.send(parse(&world.json)).await.unwrap();
-    world.until_counted("reloads 1").await;
+    world.config_json["settings"]["routes"][0] = map;
+    world.config_json["settings"]["permissions"]["most-upstream-tries"] = json!(1);
+    world.configs.send(parse(&world.config_json)).await.unwrap();
+    world.wait_for_counter("reloads 1").await;
     for (id, labels) in [("2", "c=map,d=3000"), ("3", "c=read,d=3000"), ("4", "c=put,d=3000")] {
-        trace += &client.ask(&["C.GET", "hit", id, labels]).await;
+        trace += &client.execute(&["C.GET", "hit", id, labels]).await;
     }
-    trace += &client.ask(&["C.GET", "fail", "5", "c=map,d=3000"]).await;
+    trace += &client.execute(&["C.GET", "fail", "5", "c=map,d=3000"]).await;
     trace += &open.reply().await;
     expect![[r#"
         hit: -ERR label 'c': unknown or missing class
@@ -286,8 +290,8 @@
 
 #[tokio::test]
 async fn a_file_that_is_broken_anywhere_changes_nothing() {
-    let mut world = World::start(&[]).await;
-    let good = world.json.clone();
+    let mut world = TestEnvironment::start(&[]).await;
+    let good = world.config_json.clone();
     let mut client = world.client().await;
     let mut trace = String::new();
     let map = route(&world, "map");
@@ -332,9 +336,9 @@
     json["settings"]["routes"].as_array_mut().unwrap().push(map);
     json["settings"]["routes"][3].as_object_mut().unwrap().remove("payoff");
     trace += &broken(&world, &json, 18).await;
-    trace += &client.ask(&["C.GET", "hit", "1", "c=map,d=3000"]).await;
+    trace += &client.execute(&["C.GET", "hit", "1", "c=map,d=3000"]).await;
     trace += &client.get("hit").await;
-    world.json = good;
+    world.config_json = good;
     expect![[r#"
         settings.permissions.most-upstream-tries: expected 1 or more, found 0
         settings.permissions.most-upstream-tries: expected a whole number, found -2
@@ -361,28 +365,28 @@
 }
 
 /// Why a file is turned down, and that it is.
-async fn broken(world: &World, json: &Json, failures: u64) -> String {
+async fn broken(world: &TestEnvironment, json: &Json, failures: u64) -> String {
     let fresh = parse(json);
     let kept = fresh.as_ref().map_err(|error| format!("{error:#}"));
     let why = kept.and_then(|fresh| {
-        check_nothing_removed(&world.json, &fresh.json).map_err(|error| format!("{error:#}"))
+        check_nothing_removed(&world.config_json, &fresh.json).map_err(|error| format!("{error:#}"))
     });
     world.configs.send(fresh).await.unwrap();
-    world.until_counted(&format!("reloads_failed {failures}")).await;
+    world.wait_for_counter(&format!("reloads_failed {failures}")).await;
     format!("{}\n", why.expect_err("a reason"))
 }
 
 /// A process that takes clients from the socket that the test holds, as the platform does.
 pub async fn process(
-    world: &World,
+    world: &TestEnvironment,
     socket: &std::net::TcpListener,
     folder: &Folder,
     name: &str,
     list: Option<Json>,
 ) -> (Running, SocketAddr) {
     let door = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (tell, discovery) = crate::discovery(Trace::default()).await;
-    let mut json = world.json.clone();
+    let (tell, discovery) = crate::start_discovery(StubState::default()).await;
+    let mut json = world.config_json.clone();
     json["discovery"] = json!(discovery.to_string());
     let file = File::new(name, &json.to_string());
     let mut command = program(&["serve", "--config", file.path()]);
@@ -401,13 +405,13 @@
 /// None may meet a connection that ends, nor a wrong answer.
 async fn press(address: SocketAddr, stop: Arc<AtomicBool>, number: usize) -> usize {
     let stream = TcpStream::connect(address).await.expect("a connection");
-    let mut client = Client(Framed::new(stream, Replies));
+    let mut client = Client(Framed::new(stream, ReplyCodec));
     for at in 0.. {
         if stop.load(Ordering::Relaxed) {
             return at;
         }
         let id = format!("hit-{number}-{at}");
-        let reply = client.ask(&["C.GET", &id, &id, "c=read,d=3000"]).await;
+        let reply = client.execute(&["C.GET", &id, &id, "c=read,d=3000"]).await;
         assert!(reply.ends_with(&format!("value of {id}\n")) || reply.contains("origin's"), "{reply}");
         sleep(Duration::from_millis(number as u64 % 7)).await;
     }
@@ -416,11 +420,11 @@
 
 #[tokio::test]
 async fn upgrades_under_load_lose_nothing_and_keep_the_bans() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let folder = Folder::new("upgrade");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let list = || Some(world.json["known"].clone());
+    let list = || Some(world.config_json["known"].clone());
     let own = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
     let (mut old, mut door) = process(&world, &socket, &folder, "upgrade-0", list()).await;
     let stop = Arc::new(AtomicBool::new(false));
@@ -433,7 +437,7 @@
         let (code, log) = tokio::task::spawn_blocking(move || old.stop()).await.unwrap();
         trace += &format!("{code:?}, takes over: {}\n", log.contains("another process takes over: 5 client"));
         trace += &format!("passed on: {}\n", log.contains("clients_passed_on 5"));
-        let sent = || world.cache.text().lines().count();
+        let sent = || world.cache.log().lines().count();
         let before = sent();
         if at == 1 {
             sleep(Duration::from_millis(300)).await;
@@ -471,17 +475,17 @@
 
 #[tokio::test]
 async fn a_drain_that_the_process_before_was_told_of_holds_while_discovery_is_silent() {
-    let world = World::start(&[]).await;
+    let world = TestEnvironment::start(&[]).await;
     let folder = Folder::new("drain");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut list = world.json["known"].clone();
+    let mut list = world.config_json["known"].clone();
     list["targets"][0]["state"] = json!("leaving");
     let (_old, _) = process(&world, &socket, &folder, "drain-0", Some(list)).await;
     let (mut new, _) = process(&world, &socket, &folder, "drain-1", None).await;
     drop(_old);
     let stream = TcpStream::connect(socket.local_addr().unwrap()).await.unwrap();
-    let reply = Client(Framed::new(stream, Replies)).get("hit").await;
-    assert_eq!((&*reply, &*world.cache.text()), ("hit: origin's id-hit\n", ""));
+    let reply = Client(Framed::new(stream, ReplyCodec)).get("hit").await;
+    assert_eq!((&*reply, &*world.cache.log()), ("hit: origin's id-hit\n", ""));
     tokio::task::spawn_blocking(move || new.stop()).await.unwrap();
 }
 
@@ -495,21 +499,21 @@
         ("/settings/routes/0/overall-timeout-us", json!(15_000_000)),
         ("/settings/rules/turn-gap-us", json!(100_000)),
     ];
-    let world = World::start(&patient).await;
+    let world = TestEnvironment::start(&patient).await;
     let mut clients = Vec::new();
     for id in ["1", "2", "3"] {
         let mut client = world.client().await;
         client.send(&["C.GET", "slow", id, "c=read,d=9000"]).await;
-        world.until_counted(&format!("exchanges_taken {id}")).await;
+        world.wait_for_counter(&format!("exchanges_taken {id}")).await;
         clients.push(client);
     }
     let mut trace = world.client().await.get("hit").await;
-    trace += &world.cache.text();
+    trace += &world.cache.log();
     let (mut first, leaves, mut third) = (clients.remove(0), clients.remove(0), clients.remove(0));
     drop(leaves);
     trace += &first.reply().await;
     trace += &third.reply().await;
-    trace += &world.cache.text();
+    trace += &world.cache.log();
     expect![[r#"
         hit: value of id-hit
         1: C.GET slow 1 c=read,d=LEFT
--- a/crates/proxy/tests/proxy/phases.rs
+++ b/crates/proxy/tests/proxy/phases.rs
@@ -1,6 +1,6 @@
 //! From the signal to stop until the exit.
 
-use crate::World;
+use crate::TestEnvironment;
 use expect_test::expect;
 use pumicebay::phases::{Phase, Phases};
 use serde_json::json;
@@ -11,11 +11,12 @@
 
 #[tokio::test]
 async fn told_to_stop_it_takes_what_still_comes_and_answers_all() {
-    let mut world = World::start_with(&[], |config| config.drain_period = Duration::from_secs(2)).await;
+    let mut world =
+        TestEnvironment::start_with(&[], |config| config.drain_period = Duration::from_secs(2)).await;
     let (mut busy, mut idle) = (world.client().await, world.client().await);
     let mut replies = idle.get("hit-1").await;
     busy.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.until("slow").await;
+    world.cache.wait_for("slow").await;
     world.stop().await;
     let mut late = world.client().await;
     replies += &late.get("hit-late").await;
@@ -24,7 +25,7 @@
     for mut client in [busy, idle, late] {
         replies += &client.reply().await;
     }
-    world.running.await.expect("an orderly end");
+    world.proxy_task.await.expect("an orderly end");
     expect![[r#"
         hit-1: value of id-hit-1
         hit-late: value of id-hit-late
@@ -44,23 +45,23 @@
         ("/settings/routes/0/overall-timeout-us", long.clone()),
         ("/settings/routes/0/latency-objective-us", long),
     ];
-    let mut world = World::start(&patient).await;
+    let mut world = TestEnvironment::start(&patient).await;
     let mut client = world.client().await;
     for key in ["hang-1", "hang-2"] {
         client.send(&["C.GET", key, key, "c=read,d=60000"]).await;
-        world.cache.until(key).await;
+        world.cache.wait_for(key).await;
     }
     world.stop().await;
     let mut half = world.client().await;
     half.0.get_mut().write_all(b"*4\r\n$5\r\nC.GET\r\n$3\r\nhit\r\n$2\r\nid\r\n").await.unwrap();
-    world.watch.reached(Phase::Closing).await;
+    world.phase_watch.reached(Phase::Closing).await;
     half.0.get_mut().write_all(b"$6\r\nc=read\r\n").await.unwrap();
     let mut replies = half.reply().await + &half.reply().await;
     for _ in 0..3 {
         replies += &client.reply().await;
     }
-    world.until_counted("tries_withdrawn 2").await;
-    world.running.await.expect("an orderly end");
+    world.wait_for_counter("tries_withdrawn 2").await;
+    world.proxy_task.await.expect("an orderly end");
     expect![[r#"
         value of id
         closed
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -3,7 +3,7 @@
 use crate::carrier::free;
 use crate::cli::{File, program};
 use crate::operations::{Folder, call};
-use crate::{World, configuration};
+use crate::{TestEnvironment, configuration};
 use expect_test::expect;
 use pumicebay::config::parse;
 use pumicebay::fleet::wire::{Frame, Hello, Role};
@@ -22,7 +22,7 @@
 
 /// All processes of it, each with its folder.
 struct Group {
-    worlds: BTreeMap<&'static str, World>,
+    worlds: BTreeMap<&'static str, TestEnvironment>,
     section: Json,
     folder: Folder,
     file: File,
@@ -53,7 +53,7 @@
         // A node that is put back is warm at once: whether it serves tells whether it is out.
         let warm = ("/settings/rules/cold-us", json!(1000));
         let own = [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0")), warm];
-        let world = World::start(&own).await;
+        let world = TestEnvironment::start(&own).await;
         self.worlds.insert(name, world);
     }
 
@@ -71,8 +71,8 @@
     /// As a process that is killed.
     async fn kill(&mut self, name: &str) {
         let mut world = self.worlds.remove(name).unwrap();
-        world.running.abort();
-        let _ = (&mut world.running).await;
+        world.proxy_task.abort();
+        let _ = (&mut world.proxy_task).await;
     }
 
     /// `pumicebay fleet` with these words, under this lease: its exit code, and what it says without stamps.
@@ -105,7 +105,7 @@
     async fn serves(&self) -> String {
         let mut trace = String::new();
         for (name, world) in &self.worlds {
-            let reply = world.client().await.ask(&["C.GET", "hit", name, "c=read,d=3000"]).await;
+            let reply = world.client().await.execute(&["C.GET", "hit", name, "c=read,d=3000"]).await;
             trace += if reply.contains("origin's") { "o" } else { "c" };
         }
         trace
@@ -122,7 +122,7 @@
     }
 
     async fn call(&self, name: &str, path: &str, body: Json) -> String {
-        call(self.worlds[name].operator.unwrap(), "POST", path, &body.to_string()).await
+        call(self.worlds[name].operator_address.unwrap(), "POST", path, &body.to_string()).await
     }
 }
 
@@ -175,7 +175,7 @@
     .assert_eq(&(back + &leased + &late));
     let mut status = String::new();
     for _ in 0..200 {
-        status = call(group.worlds["p2"].operator.unwrap(), "GET", "/status", "").await;
+        status = call(group.worlds["p2"].operator_address.unwrap(), "GET", "/status", "").await;
         if status.trim_end().ends_with(", 0 nodes out, 3 peers linked, 0 differ") {
             break;
         }
