--- a/crates/proxy/tests/proxy/advertised_timeouts.rs
+++ b/crates/proxy/tests/proxy/advertised_timeouts.rs
@@ -1,5 +1,6 @@
-//! What attempts tell their servers: never more time than their clients have left, by the clients' own clocks, whatever
-//! kept a request waiting on the way. A client's time counts from the last byte that it wrote.
+//! What attempts tell their servers: never more time than their clients have left, by the clients' own
+//! clocks, whatever kept a request waiting on the way. A client's time counts from the last byte that it
+//! wrote.
 
 use crate::cancellation::{DelayedNode, move_node};
 use crate::cli::{File, program};
@@ -30,7 +31,8 @@
     format!("*4\r\n{}", words.map(bulk).concat()).into_bytes()
 }
 
-/// Each attempt told no more than what was left of a patience that began then; and there were so many of them.
+/// Each attempt told no more than what was left of a patience that began then; and there were so many of
+/// them.
 fn within(told: &[ReceivedAttempt], asked: Instant, patience: u64, attempts: usize) {
     let kept: Vec<&ReceivedAttempt> = told.iter().filter(|told| told.id == "id-kept").collect();
     assert_eq!(kept.len(), attempts, "{kept:?}");
@@ -265,8 +267,8 @@
     within(&all(&world), asked, PATIENCE, 2);
 }
 
-/// A long value is passed on as it comes: its client's time counts from its last byte, so what is left at the head is
-/// less than what is left at the end.
+/// A long value is passed on as it comes: its client's time counts from its last byte, so what is left at the
+/// head is less than what is left at the end.
 #[tokio::test]
 async fn a_long_write_tells_no_more_than_is_left_at_its_end() {
     let world = TestEnvironment::start(&[]).await;
@@ -286,8 +288,8 @@
     within(&all(&world), asked, PATIENCE, 1);
 }
 
-/// A request lies in the listening socket that the platform holds, before the process that takes it is there. The
-/// process before it serves on the same socket, as at an upgrade, so the kernel stamps what comes.
+/// A request lies in the listening socket that the platform holds, before the process that takes it is there.
+/// The process before it serves on the same socket, as at an upgrade, so the kernel stamps what comes.
 #[test]
 fn a_request_older_than_its_process_tells_what_is_left() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -333,8 +335,8 @@
     within(&all(&world), asked, PATIENCE, 4);
 }
 
-/// A connection goes over to the process that takes this one's place, with a command that lies in it unread, whole or in
-/// part.
+/// A connection goes over to the process that takes this one's place, with a command that lies in it unread,
+/// whole or in part.
 #[tokio::test]
 async fn a_request_handed_over_tells_what_is_left() {
     let world = TestEnvironment::start(&[]).await;
--- a/crates/proxy/tests/proxy/cancellation.rs
+++ b/crates/proxy/tests/proxy/cancellation.rs
@@ -1,5 +1,6 @@
-//! What is still owed, or must not happen any more, where something ends while it waits. Each crossing is forced:
-//! the stand-in holds a connection or an answer until told, and the proxy's counters tell when it has seen an end.
+//! What is still owed, or must not happen any more, where something ends while it waits. Each crossing is
+//! forced: the stand-in holds a connection or an answer until told, and the proxy's counters tell when it has
+//! seen an end.
 
 use crate::operations::Folder;
 use crate::{Client, StubState, TestEnvironment, configuration, target};
@@ -135,8 +136,8 @@
     panic!("something is left:\n{}", world.counters);
 }
 
-/// How long it takes until the proxy counts this, in rounds of the thread that it shares with the test: one that the
-/// machine holds up is longer and not more of them.
+/// How long it takes until the proxy counts this, in rounds of the thread that it shares with the test: one
+/// that the machine holds up is longer and not more of them.
 async fn counts_after(world: &TestEnvironment, counted: &str) -> Duration {
     let mut rounds = 0;
     let ticks = async {
@@ -177,9 +178,9 @@
 const SOON: Duration = Duration::from_millis(100);
 const ROUND: Duration = Duration::from_millis(5);
 
-/// Clients leave right after the turn in which the proxy counts this, or some turns later, and for a while nothing else
-/// gets a turn: this stands in line with the proxy's own tasks, whose thread it shares, and before those that such a
-/// turn wakes. Nothing is heard for three times as long as a client may have gone.
+/// Clients leave right after the turn in which the proxy counts this, or some turns later, and for a while
+/// nothing else gets a turn: this stands in line with the proxy's own tasks, whose thread it shares, and
+/// before those that such a turn wakes. Nothing is heard for three times as long as a client may have gone.
 async fn leave_before_a_stall(
     world: &TestEnvironment,
     clients: Vec<Client>,
@@ -208,15 +209,16 @@
     (world.cache.log() + &world.origin.log()).matches("id-left").count()
 }
 
-/// A client that leaves amid a turn of the proxy's that is far too long: the attempts that the same turn asked for are
-/// not begun after it.
+/// A client that leaves amid a turn of the proxy's that is far too long: the attempts that the same turn
+/// asked for are not begun after it.
 #[tokio::test]
 async fn a_client_leaves_amid_a_long_turn() {
     let get = |key| vec!["C.GET", key, "id-left", "c=read,d=60000"];
     let put = vec!["C.SET", "x-mute", "id-left", "c=put,d=60000", "value"];
     let asked = [(get("hit"), 1), (get("miss"), 2), (get("fail"), 2), (get("cut"), 2), (put, 2)];
-    // The first attempt; further ones after a miss, after failures and, where nodes discard repeats, after one that
-    // may have run. Each on a new connection, which is not yet asked for or comes up, and on one that stands idle.
+    // The first attempt; further ones after a miss, after failures and, where nodes discard repeats, after
+    // one that may have run. Each on a new connection, which is not yet asked for or comes up, and on one
+    // that stands idle.
     for (words, attempts) in asked {
         for (idle, turns) in [(false, 0), (false, 1), (true, 0)] {
             let long = ("/settings/routes/1/overall-timeout-us", json!(60_000_000));
@@ -236,7 +238,8 @@
     }
 }
 
-/// A client that sends its command and closes within one long silence of the proxy's: both are heard together after it.
+/// A client that sends its command and closes within one long silence of the proxy's: both are heard together
+/// after it.
 #[tokio::test]
 async fn a_client_sends_and_leaves_amid_one_long_turn() {
     for connected in [true, false] {
@@ -259,8 +262,8 @@
     }
 }
 
-/// Clients wait for others, and leave all at once amid the turn in which these are answered: what that turn asked for
-/// in their place is not begun.
+/// Clients wait for others, and leave all at once amid the turn in which these are answered: what that turn
+/// asked for in their place is not begun.
 #[tokio::test]
 async fn clients_leave_amid_the_turn_that_places_them() {
     let one_proxy_of_many = ("/settings/fleet-size", json!(300));
@@ -321,8 +324,8 @@
     expect!["value\n"].assert_eq(&reply);
 }
 
-/// A fetch outlives its client's time, but only one that went out: its final answer is given while the connection
-/// to the origin comes up, which then carries nothing.
+/// A fetch outlives its client's time, but only one that went out: its final answer is given while the
+/// connection to the origin comes up, which then carries nothing.
 #[tokio::test]
 async fn an_answer_is_final_while_the_connection_to_the_origin_comes_up() {
     let world = patient_world(&[]).await;
@@ -363,8 +366,8 @@
     expect!["origin's id-1\n"].assert_eq(&reply);
 }
 
-/// The same where the drain comes by a whole list as a watch's answer, and by another discovery right after a new
-/// configuration.
+/// The same where the drain comes by a whole list as a watch's answer, and by another discovery right after a
+/// new configuration.
 #[tokio::test]
 async fn a_node_drains_by_a_whole_list_and_right_after_a_reload() {
     for reload in [false, true] {
@@ -446,7 +449,8 @@
     expect!["value of id-holds\n"].assert_eq(&reply);
 }
 
-/// A command that can't be read is refused once what came before it is answered: until then the client may leave.
+/// A command that can't be read is refused once what came before it is answered: until then the client may
+/// leave.
 #[tokio::test]
 async fn a_client_leaves_while_it_is_being_refused() {
     let world = patient_world(&[]).await;
@@ -618,7 +622,8 @@
     assert!(counters.to_string().contains("tries_taken_back 1\n"));
 }
 
-/// A command that is whole in the kernel, on a connection that nobody has taken yet, when the proxy begins to close.
+/// A command that is whole in the kernel, on a connection that nobody has taken yet, when the proxy begins to
+/// close.
 #[tokio::test]
 async fn what_the_kernel_has_accepted_is_taken_in_before_closing() {
     let (shared, phases, _mailbox) = shared();
@@ -641,7 +646,8 @@
     assert_eq!(reply, "+PONG\r\n");
 }
 
-/// Told by the old discovery when a new configuration moves it, and still on its way to the module: it is heard.
+/// Told by the old discovery when a new configuration moves it, and still on its way to the module: it is
+/// heard.
 #[tokio::test]
 async fn what_was_told_is_heard_though_discovery_moves() {
     let (shared, _phases, mailbox) = shared();
@@ -726,8 +732,8 @@
     .assert_eq(&replies);
 }
 
-/// A client's connection on its way to a process that dies before it takes it: the client learns of it at once, and
-/// what it sends meets no silence.
+/// A client's connection on its way to a process that dies before it takes it: the client learns of it at
+/// once, and what it sends meets no silence.
 #[tokio::test]
 async fn a_connection_whose_heir_dies_ends_for_its_client() {
     let folder = Folder::new("heir-dies");
--- a/crates/proxy/tests/proxy/clients.rs
+++ b/crates/proxy/tests/proxy/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: order, bad input, limits, slow readers.
+//! Client connections: order of replies, invalid input, connection limits, slow readers and long values.
 
 use crate::cancellation::wait_until_all_attempts_ended;
 use crate::{Client, TestEnvironment, patterned_value};
@@ -11,20 +11,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+/// Guards against replies out of order on one connection, and against a slow request that blocks other
+/// connections.
 #[tokio::test]
-async fn answers_come_in_the_order_of_commands_while_others_go_on() {
-    let world = TestEnvironment::start(&[]).await;
-    let (mut client, mut other) = (world.client().await, world.client().await);
+async fn replies_follow_the_order_of_commands_and_connections_are_independent() {
+    let env = TestEnvironment::start(&[]).await;
+    let (mut client, mut other) = (env.client().await, env.client().await);
     client.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.wait_for("slow").await;
+    env.cache.wait_for("slow").await;
     client.send(&["C.GET", "hit", "id-2", "c=read,d=3000"]).await;
     client.send(&["PING"]).await;
-    world.cache.wait_for("hit").await;
+    env.cache.wait_for("hit").await;
     let mut replies = other.get("hit-other").await;
     for _ in 0..3 {
         replies += &client.reply().await;
     }
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit-other: value of id-hit-other
@@ -40,22 +42,23 @@
     );
 }
 
-/// Commands ahead of their answers share a bound, which connections with nothing pending do not use up.
+/// Commands sent before the replies to earlier ones share one limit over all connections. Connections with no
+/// open request must not use it up.
 #[tokio::test]
-async fn only_commands_ahead_of_their_answers_count_against_the_bound() {
-    let world = TestEnvironment::start_with(&patient(), |config| config.max_pipelined_commands = 1).await;
-    let (mut idle, mut client) = (world.client().await, world.client().await);
+async fn idle_connections_do_not_use_up_the_pipeline_limit() {
+    let env = TestEnvironment::start_with(&long_timeouts(), |config| config.max_pipelined_commands = 1).await;
+    let (mut idle, mut client) = (env.client().await, env.client().await);
     let mut replies = idle.execute(&["PING"]).await;
     for key in ["slow", "hit-1", "hit-2"] {
         client.send(&["C.GET", key, key, "c=read,d=3000"]).await;
         if key != "hit-2" {
-            world.cache.wait_for(key).await;
+            env.cache.wait_for(key).await;
         }
     }
     for _ in 0..3 {
         replies += &client.reply().await;
     }
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         PING: +PONG
@@ -72,11 +75,11 @@
 }
 
 #[tokio::test]
-async fn bad_commands_get_a_plain_error_and_the_connection_goes_on() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+async fn invalid_commands_get_an_error_and_the_connection_stays_open() {
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let mut replies = String::new();
-    for words in [
+    for arguments in [
         &["PING"][..],
         &["PING", "text"],
         &["HELLO", "3"],
@@ -98,12 +101,12 @@
         &["C.GET", "hit", "no-d", "c=read"],
         &["C.GET", "hit", "large-d", "c=read,d=18446744073709551615"],
     ] {
-        replies += &format!("{}: ", words.join(" ").escape_debug());
-        client.send(words).await;
+        replies += &format!("{}: ", arguments.join(" ").escape_debug());
+        client.send(arguments).await;
         replies += &client.reply().await;
     }
-    replies += &world.counter_lines("bad_commands");
-    world.assert_traffic(
+    replies += &env.counter_lines("bad_commands");
+    env.assert_traffic(
         &replies,
         expect![[r#"
             PING: +PONG
@@ -135,17 +138,18 @@
     );
 }
 
-/// What nodes can't use is told to the client alone: no other node is asked, and none is set aside for it.
+/// A request that a node rejects as invalid is answered with the error. Guards against retries of it on other
+/// nodes, and against the ejection of nodes that rejected it.
 #[tokio::test]
-async fn what_a_node_rejects_is_no_fault_of_the_node() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+async fn a_rejected_request_is_not_retried_and_its_node_not_ejected() {
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let mut replies = client.get("miss-reject").await;
     for _ in 0..12 {
         replies = replies + &client.get("reject").await;
     }
     replies += &client.get("hit").await;
-    replies += &world.counter_lines("exchanges_rejected");
+    replies += &env.counter_lines("exchanges_rejected");
     expect![[r#"
         miss-reject: -ERR origin: status 400
         reject: -ERR bad request
@@ -167,15 +171,15 @@
 }
 
 #[tokio::test]
-async fn the_id_of_an_open_request_is_answered_to_its_own_client_alone() {
-    let world = TestEnvironment::start(&[]).await;
-    let (mut client, mut other) = (world.client().await, world.client().await);
+async fn a_request_with_the_id_of_an_open_request_is_refused() {
+    let env = TestEnvironment::start(&[]).await;
+    let (mut client, mut other) = (env.client().await, env.client().await);
     client.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.wait_for("slow").await;
+    env.cache.wait_for("slow").await;
     let mut replies = other.execute(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
     replies += &client.reply().await;
     replies += &other.execute(&["C.GET", "hit", "id-1", "c=read,d=3000"]).await;
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit: -ERR id of an open request
@@ -190,8 +194,8 @@
 }
 
 #[tokio::test]
-async fn what_is_no_resp_is_told_and_closed_after_what_came_before() {
-    let world = TestEnvironment::start(&[]).await;
+async fn a_protocol_error_is_reported_and_closes_the_connection_after_earlier_replies() {
+    let env = TestEnvironment::start(&[]).await;
     let ping = "*1\r\n$4\r\nPING\r\n";
     let mut replies = String::new();
     for bytes in [
@@ -206,7 +210,7 @@
         "\0\0\0".into(),
         format!("*2\r\n$65536\r\n{0}\r\n$65536\r\n{0}\r\n", "x".repeat(65536)),
     ] {
-        let mut stream = TcpStream::connect(world.address).await.unwrap();
+        let mut stream = TcpStream::connect(env.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
         let mut reply = String::new();
         let _ = timeout(Duration::from_secs(5), stream.read_to_string(&mut reply)).await.expect("closed");
@@ -216,8 +220,8 @@
             reply.escape_debug()
         );
     }
-    let alive = world.client().await.get("hit").await;
-    world.assert_traffic(&(replies + &alive), expect![[r#"
+    let alive = env.client().await.get("hit").await;
+    env.assert_traffic(&(replies + &alive), expect![[r#"
         PING\r\n: -ERR Protocol error: expected a RESP type\r\n
         *1\r\n$4\r\nPING\r\n*1\r\n$-7\r\n: +PONG\r\n-ERR Protocol error: invalid bulk length\r\n
         *1\r\n$65537\r\n: -ERR Protocol error: bulk string too long\r\n
@@ -235,30 +239,30 @@
     "#]]);
 }
 
-/// So many clients that have had an answer to a PING.
-async fn greeted(world: &TestEnvironment, clients: usize) -> Vec<Client> {
-    let mut greeted = Vec::new();
+/// Connects this many clients, each of which has had a reply to PING.
+async fn clients_after_ping(env: &TestEnvironment, clients: usize) -> Vec<Client> {
+    let mut connected = Vec::new();
     for _ in 0..clients {
-        let mut client = world.client().await;
+        let mut client = env.client().await;
         assert_eq!(client.execute(&["PING"]).await, "PING: +PONG\n");
-        greeted.push(client);
+        connected.push(client);
     }
-    greeted
+    connected
 }
 
 #[tokio::test]
-async fn past_the_cap_the_connection_that_is_idle_longest_makes_room() {
-    // 96 descriptors leave 38 for clients.
-    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
-    let mut clients = greeted(&world, 38).await;
+async fn at_the_connection_limit_the_longest_idle_connection_is_closed() {
+    // Of 96 descriptors 38 are for clients.
+    let env = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
+    let mut clients = clients_after_ping(&env, 38).await;
     clients[0].send(&["C.GET", "slow", "busy-one", "c=read,d=3000"]).await;
-    world.cache.wait_for("slow").await;
-    let mut late = world.client().await;
-    let mut replies = late.get("hit").await;
+    env.cache.wait_for("slow").await;
+    let mut new = env.client().await;
+    let mut replies = new.get("hit").await;
     replies += &clients[0].reply().await;
     replies += &clients[1].reply().await;
     replies += &clients[2].execute(&["PING"]).await;
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit: value of id-hit
@@ -273,27 +277,29 @@
     );
 }
 
-/// Those that never asked for anything go first, and with room for all they go in time, also amid a command.
-/// Who has asked before may write slowly.
+/// A connection without a whole command is the first to be closed when there are too many, and times out even
+/// where there are not, also in the middle of a command. A connection that has sent a whole command before
+/// may send the next one slowly.
 #[tokio::test]
-async fn what_says_nothing_whole_is_closed_in_time_and_first_for_room() {
-    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
-    let mut usual = greeted(&world, 20).await;
-    let (mut silent, mut half) = (world.client().await, world.client().await);
-    half.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
-    usual[0].0.get_mut().write_all(b"*1\r\n$4\r\nPI").await.unwrap();
-    let mut replies = silent.reply().await + &half.reply().await + &half.reply().await;
-    usual[0].0.get_mut().write_all(b"NG\r\n").await.unwrap();
-    replies += &format!("slowly: {}", usual[0].reply().await);
-    replies += &usual[1].execute(&["PING"]).await;
-    replies += &format!("--\n{}", world.counter_lines("clients_"));
-    // Eighteen that say nothing fill the room beside the twenty; the others are left before the door.
+async fn connections_without_a_whole_command_time_out_and_are_evicted_first() {
+    let env = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
+    let mut active = clients_after_ping(&env, 20).await;
+    let (mut silent, mut partial) = (env.client().await, env.client().await);
+    partial.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
+    active[0].0.get_mut().write_all(b"*1\r\n$4\r\nPI").await.unwrap();
+    let mut replies = silent.reply().await + &partial.reply().await + &partial.reply().await;
+    active[0].0.get_mut().write_all(b"NG\r\n").await.unwrap();
+    replies += &format!("slowly: {}", active[0].reply().await);
+    replies += &active[1].execute(&["PING"]).await;
+    replies += &format!("--\n{}", env.counter_lines("clients_"));
+    // Eighteen connections that send nothing reach the limit together with the twenty active ones; the others
+    // are turned away.
     let mut crowd = Vec::new();
     for _ in 0..60 {
-        crowd.push(world.client().await);
+        crowd.push(env.client().await);
     }
-    world.wait_for_counter("clients_accepted 82").await;
-    for client in &mut usual[1..] {
+    env.wait_for_counter("clients_accepted 82").await;
+    for client in &mut active[1..] {
         assert_eq!(client.execute(&["PING"]).await, "PING: +PONG\n");
     }
     expect![[r#"
@@ -312,24 +318,24 @@
     .assert_eq(&replies);
 }
 
-/// Clients that use each connection once and keep it would have none left: the one kept longest is closed
-/// while there is room for others yet.
+/// Guards against clients that use each connection once, keep it open and so run out of connections: the one
+/// idle longest is closed before the limit is reached.
 #[tokio::test]
-async fn used_connections_are_closed_before_they_fill_the_clients_allowance() {
-    // Of 96 descriptors clients hold 32 for requests, and may keep 24.
-    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
-    let mut kept = Vec::new();
-    for at in 0..26 {
-        let mut client = world.client().await;
-        client.get(&format!("hit-{at}")).await;
-        kept.push(client);
+async fn used_connections_are_closed_before_they_fill_the_connection_limit() {
+    // Of 96 descriptors clients may hold 32 for requests, and keep 24 used connections.
+    let env = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
+    let mut clients_used_once = Vec::new();
+    for index in 0..26 {
+        let mut client = env.client().await;
+        client.get(&format!("hit-{index}")).await;
+        clients_used_once.push(client);
     }
     let mut trace = String::new();
-    for at in [0, 1] {
-        trace += &format!("{at}: {}", kept[at].reply().await);
+    for index in [0, 1] {
+        trace += &format!("{index}: {}", clients_used_once[index].reply().await);
     }
-    trace += &kept[2].get("hit-again").await;
-    trace += &world.counter_lines("clients_closed");
+    trace += &clients_used_once[2].get("hit-again").await;
+    trace += &env.counter_lines("clients_closed");
     expect![[r#"
         0: closed
         1: closed
@@ -339,35 +345,36 @@
     .assert_eq(&trace);
 }
 
-/// Clients that stop amid a command hold no place that others need.
+/// Clients that stop in the middle of a command must not keep others from connecting.
 #[tokio::test]
-async fn half_a_command_holds_no_place() {
-    let world = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
-    let mut halves = Vec::new();
+async fn a_connection_with_a_partial_command_can_be_evicted() {
+    let env = TestEnvironment::start(&[("/limits/sockets", json!(96))]).await;
+    let mut partial_clients = Vec::new();
     for _ in 0..38 {
-        let mut half = world.client().await;
-        half.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
-        halves.push(half);
+        let mut partial = env.client().await;
+        partial.0.get_mut().write_all(b"*4\r\n$5\r\nC.G").await.unwrap();
+        partial_clients.push(partial);
     }
-    world.wait_for_counter("clients_accepted 38").await;
-    let reply = world.client().await.get("hit").await;
+    env.wait_for_counter("clients_accepted 38").await;
+    let reply = env.client().await.get("hit").await;
     assert_eq!(reply, "hit: value of id-hit\n");
-    world.wait_for_counter("clients_closed_for_room 1").await;
+    env.wait_for_counter("clients_closed_for_room 1").await;
 }
 
 #[tokio::test]
-async fn a_slow_reader_holds_up_nobody() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut slow = world.client().await;
-    for at in 0..500 {
-        let (key, patience) = (format!("large-{at}"), Duration::from_millis(200));
-        if timeout(patience, slow.send(&["C.GET", &key, &key, "c=read,d=3000"])).await.is_err() {
+async fn a_slow_reader_does_not_block_other_clients() {
+    let env = TestEnvironment::start(&[]).await;
+    let mut slow = env.client().await;
+    for index in 0..500 {
+        let (key, write_timeout) = (format!("large-{index}"), Duration::from_millis(200));
+        if timeout(write_timeout, slow.send(&["C.GET", &key, &key, "c=read,d=3000"])).await.is_err() {
             break;
         }
     }
-    // While its asks are still out a cache may have no room, and the origin serves as well.
-    wait_until_all_attempts_ended(&world).await;
-    let reply = world.client().await.get("hit").await;
+    // While its attempts are open, the cache node may be at its concurrency limit, and the origin would serve
+    // instead.
+    wait_until_all_attempts_ended(&env).await;
+    let reply = env.client().await.get("hit").await;
     expect![[r#"
         hit: value of id-hit
     "#]]
@@ -375,9 +382,9 @@
 }
 
 #[tokio::test]
-async fn the_largest_value_passes_both_ways() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+async fn large_values_pass_in_both_directions() {
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let value = "v".repeat(64 * 1024);
     let mut replies = client.execute(&["C.SET", "key", "w", "c=put,d=3000", &value]).await;
     replies += &client.get("large").await;
@@ -388,14 +395,15 @@
     .assert_eq(&replies);
 }
 
-/// The place that a long answer takes is had again after each, also after one that broke off: then the client's
-/// connection ends, so that it can tell. What only claims to be long is tried elsewhere.
+/// Guards against a leaked permit to stream a long value, also after a value that broke off: then the
+/// client's connection is closed, so that the client can tell. Where a node announces a long value and sends
+/// almost none of it, another server is tried.
 #[tokio::test]
-async fn long_answers_pass_by_turns() {
-    let world = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
+async fn the_permit_of_a_streamed_value_is_released_after_each_reply() {
+    let env = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
     let mut replies = String::new();
     for key in ["huge", "huge", "miss-huge", "endless", "claims", "breaks", "hit", "huge"] {
-        replies += &world.client().await.get(key).await;
+        replies += &env.client().await.get(key).await;
     }
     expect![[r#"
         huge: 400000 bytes
@@ -408,11 +416,12 @@
         huge: 400000 bytes
     "#]]
     .assert_eq(&replies);
-    assert_eq!(world.counter_lines("values_broken"), "values_broken 1\n");
+    assert_eq!(env.counter_lines("values_broken"), "values_broken 1\n");
 }
 
-/// Settings under which no try is given up halfway to its objective while a busy machine is slow with the pieces.
-fn patient() -> [(&'static str, Json); 2] {
+/// Settings under which no attempt times out halfway to its latency objective while a busy machine is slow
+/// with the pieces of a value.
+fn long_timeouts() -> [(&'static str, Json); 2] {
     [
         ("/settings/routes/0/latency-objective-us", json!(20_000_000)),
         ("/settings/routes/0/overall-timeout-us", json!(40_000_000)),
@@ -420,66 +429,72 @@
 }
 
 #[tokio::test]
-async fn four_mebibytes_pass_byte_for_byte_through_pieces_cut_anywhere() {
-    let world = TestEnvironment::start(&patient()).await;
-    let mut client = world.client().await;
+async fn a_four_mebibyte_value_arrives_intact_whatever_its_fragmentation() {
+    let env = TestEnvironment::start(&long_timeouts()).await;
+    let mut client = env.client().await;
     let value = patterned_value(4 << 20);
     for key in
         ["long-1-999", "long-2-1460", "long-3-16384", "long-4-65536", "long-5-1000003", "long-6-8000000"]
     {
         client.send(&["C.GET", key, key, "c=read,d=40000"]).await;
-        let Some(Ok(Frame::Bulk(came))) = client.0.next().await else { panic!("{key}: no value") };
-        assert!(came == value, "{key}: {} bytes", came.len());
+        let Some(Ok(Frame::Bulk(received))) = client.0.next().await else { panic!("{key}: no value") };
+        assert!(received == value, "{key}: {} bytes", received.len());
     }
     assert_eq!(client.get("hit").await, "hit: value of id-hit\n");
 }
 
-/// Many at once, each far more than its place in memory, while most of their readers are slow: the others get theirs.
+/// Many long values at once, each far larger than its buffer, for clients that read slowly: other clients
+/// must not have to wait for them.
 #[tokio::test]
-async fn slow_readers_of_long_answers_hold_up_nobody() {
-    // A connection may come up late where the machine is busy: forty do at once, on one thread with all that they bring.
-    let patient = ("/settings/permissions/connect-timeout-us", json!(10_000_000));
-    let world = TestEnvironment::start(&[("/limits/memory_mb", json!(32)), patient]).await;
+async fn slow_readers_of_long_values_do_not_block_other_clients() {
+    // Forty connections are established on one thread together with their traffic, which takes long on a busy
+    // machine.
+    let connect_timeout = ("/settings/permissions/connect-timeout-us", json!(10_000_000));
+    let env = TestEnvironment::start(&[("/limits/memory_mb", json!(32)), connect_timeout]).await;
     let mut slow = Vec::new();
-    for at in 0..40 {
-        let mut client = world.client().await;
-        let key = format!("long-{at}-8000000");
+    for index in 0..40 {
+        let mut client = env.client().await;
+        let key = format!("long-{index}-8000000");
         client.send(&["C.GET", &key, &key, "c=read,d=4000"]).await;
         slow.push(client);
-        // One has begun before the next asks: the node's concurrency limit is 36 while nothing is measured.
-        world.wait_for_counter(&format!("exchanges_completed {}", at + 1)).await;
+        // Each reply has begun before the next request: the node's concurrency limit is 36 until latency is
+        // measured.
+        env.wait_for_counter(&format!("exchanges_completed {}", index + 1)).await;
     }
-    let mut quick = world.client().await;
+    let mut quick = env.client().await;
     assert_eq!(quick.get("hit").await, "hit: value of id-hit\n");
     assert_eq!(quick.get("huge").await, "huge: 400000 bytes\n");
     for mut client in slow {
-        assert_eq!(client.reply().await, format!("{} bytes\n", 4 << 20), "{}", world.counters);
+        assert_eq!(client.reply().await, format!("{} bytes\n", 4 << 20), "{}", env.counters);
     }
 }
 
-/// Sends a long write in pieces; returns before its last byte.
-async fn begin_write(client: &mut Client, key: &str, labels: &str, value: &[u8], cut: usize) {
-    let words = ["C.SET", key, key, labels].map(|word| format!("${}\r\n{word}\r\n", word.len()));
-    let head = format!("*5\r\n{}${}\r\n", words.concat(), value.len());
+/// Sends a long write in chunks, all but its last byte.
+async fn begin_write(client: &mut Client, key: &str, labels: &str, value: &[u8], chunk_length: usize) {
+    let arguments =
+        ["C.SET", key, key, labels].map(|argument| format!("${}\r\n{argument}\r\n", argument.len()));
+    let head = format!("*5\r\n{}${}\r\n", arguments.concat(), value.len());
     let stream = client.0.get_mut();
     stream.write_all(head.as_bytes()).await.unwrap();
-    for some in value[..value.len() - 1].chunks(cut) {
-        stream.write_all(some).await.unwrap();
+    for chunk in value[..value.len() - 1].chunks(chunk_length) {
+        stream.write_all(chunk).await.unwrap();
     }
 }
 
+/// Sends the last byte of a long write.
 async fn end_write(client: &mut Client, value: &[u8]) {
-    let end = [&value[value.len() - 1..], b"\r\n"].concat();
-    client.0.get_mut().write_all(&end).await.unwrap();
+    let tail = [&value[value.len() - 1..], b"\r\n"].concat();
+    client.0.get_mut().write_all(&tail).await.unwrap();
 }
 
 #[tokio::test]
-async fn long_writes_go_to_the_origin_as_they_come_and_once() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+async fn a_long_write_is_streamed_to_the_origin_in_one_attempt_only() {
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let value = patterned_value(4 << 20);
     let mut replies = String::new();
-    // An origin that errs or turns away the first try: the value is gone, and no other try is made.
+    // Where the origin fails or turns away the first attempt, the value is no longer there, and no other
+    // attempt is made.
     for (key, route) in
         [("w-good", "put"), ("w-error", "put"), ("w-error-2", "read"), ("w-away", "put"), ("w-no", "none")]
     {
@@ -500,33 +515,33 @@
         1: PUT /w-error-2 w-error-2 c=read,d=LEFT 4194304 bytes
         1: PUT /w-away w-away c=put,d=LEFT 4194304 bytes
     "#]]
-    .assert_eq(&format!("{replies}{}", world.origin.log()));
+    .assert_eq(&format!("{replies}{}", env.origin.log()));
 }
 
 #[tokio::test]
-async fn a_long_write_that_stops_ends_for_the_origin_too_and_slow_ones_are_awaited() {
-    let world = TestEnvironment::start(&[("/settings/routes/1/overall-timeout-us", json!(300_000))]).await;
-    let (mut stops, mut slow) = (world.client().await, world.client().await);
+async fn an_abandoned_long_write_is_never_completed_and_a_slow_one_does_not_time_out() {
+    let env = TestEnvironment::start(&[("/settings/routes/1/overall-timeout-us", json!(300_000))]).await;
+    let (mut stopped, mut slow) = (env.client().await, env.client().await);
     let value = patterned_value(200_000);
-    begin_write(&mut stops, "stops", "c=put,d=300", &value, 50_000).await;
-    drop(stops);
+    begin_write(&mut stopped, "stops", "c=put,d=300", &value, 50_000).await;
+    drop(stopped);
     begin_write(&mut slow, "w-slow", "c=put,d=300", &value, 50_000).await;
-    // Longer than its route waits: the time counts from the last byte.
+    // Longer than the route's overall timeout, which counts from the last byte.
     tokio::time::sleep(Duration::from_millis(600)).await;
     end_write(&mut slow, &value).await;
     let reply = slow.reply().await;
-    world.origin.wait_for("closed").await;
+    env.origin.wait_for("closed").await;
     assert_eq!(reply, "origin's w-slow\n");
-    assert!(!world.origin.log().contains("PUT /stops"), "{}", world.origin.log());
+    assert!(!env.origin.log().contains("PUT /stops"), "{}", env.origin.log());
 }
 
 #[tokio::test]
-async fn a_long_write_without_a_place_is_answered_by_its_length_alone() {
-    let world = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
-    let (mut one, mut other) = (world.client().await, world.client().await);
+async fn a_long_write_without_a_permit_is_refused_at_its_length() {
+    let env = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
+    let (mut one, mut other) = (env.client().await, env.client().await);
     let value = patterned_value(100_000);
     begin_write(&mut one, "w-one", "c=put,d=3000", &value, 50_000).await;
-    world.wait_for_counter("exchanges_taken 1").await;
+    env.wait_for_counter("exchanges_taken 1").await;
     begin_write(&mut other, "w-other", "c=put,d=3000", &value, 50_000).await;
     let mut replies = other.reply().await;
     end_write(&mut other, &value).await;
--- a/crates/proxy/tests/proxy/codecs.rs
+++ b/crates/proxy/tests/proxy/codecs.rs
@@ -296,7 +296,8 @@
     .assert_eq(&trace);
 }
 
-/// What a codec makes of these bytes cut into pieces of any size, with the pieces of a long value put together.
+/// What a codec makes of these bytes cut into pieces of any size, with the pieces of a long value put
+/// together.
 fn in_parts<D: Decoder<Error = std::io::Error>>(
     new: impl Fn() -> D,
     bytes: &[u8],
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients may fill all descriptors while discovery is down: it is followed again all the same, and what an
-//! operator asks for meanwhile is done.
+//! Idle clients may fill all descriptors while discovery is down: it is followed again all the same, and what
+//! an operator asks for meanwhile is done.
 
 use crate::cli::{File, Running};
 use crate::operations::call;
--- a/crates/proxy/tests/proxy/main.rs
+++ b/crates/proxy/tests/proxy/main.rs
@@ -1,5 +1,5 @@
-//! Integration tests of a proxy on loopback, with stub servers for one cache node, the origin and discovery. The
-//! key of a request selects how the stubs reply to it; they log what they receive.
+//! Integration tests of a proxy on loopback, with stub servers for one cache node, the origin and discovery.
+//! The key of a request selects how the stubs reply to it; they log what they receive.
 
 mod advertised_timeouts;
 mod cancellation;
@@ -39,8 +39,8 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::codec::{Decoder, Encoder, Framed};
 
-/// State that a stub server shares with its test: a log of what it received, one permit for each held reply (to
-/// keys with `held`) that it may send, and the attempts that it received.
+/// State that a stub server shares with its test: a log of what it received, one permit for each held reply
+/// (to keys with `held`) that it may send, and the attempts that it received.
 #[derive(Clone)]
 pub struct StubState(Arc<Mutex<String>>, Arc<Semaphore>, Arc<Mutex<Vec<ReceivedAttempt>>>);
 
@@ -110,7 +110,8 @@
     }
 }
 
-/// A configuration with the figures of one deployment; `overrides` are JSON pointers and the values to set there.
+/// A configuration with the figures of one deployment; `overrides` are JSON pointers and the values to set
+/// there.
 pub fn configuration(overrides: &[(&str, Json)]) -> Json {
     let route = |name, effect, objective: u64| {
         json!({"name": name, "effect": effect, "latency-objective-us": objective * 1000, "payoff": 1.0,
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Starts another discovery stub and reloads the configuration with its address. Returns its state and the sender
-    /// of its replies.
+    /// Starts another discovery stub and reloads the configuration with its address. Returns its state and
+    /// the sender of its replies.
     pub async fn move_discovery(&mut self) -> (StubState, mpsc::Sender<String>) {
         let state = StubState::default();
         let (replies, address) = start_discovery(state.clone()).await;
@@ -310,7 +311,8 @@
     }
 }
 
-/// A value of this length in which each byte differs from its neighbours, so that lost or swapped parts are found.
+/// A value of this length in which each byte differs from its neighbours, so that lost or swapped parts are
+/// found.
 pub fn patterned_value(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index % 251) as u8).collect()
 }
@@ -370,8 +372,8 @@
     address
 }
 
-/// Replaces the value of label `d` by `LEFT` if it is within 1 to 4000 ms: the time that the client has left varies
-/// with the time that has passed.
+/// Replaces the value of label `d` by `LEFT` if it is within 1 to 4000 ms: the time that the client has left
+/// varies with the time that has passed.
 fn mask_time_left(labels: &str) -> String {
     let mask = |label: &str| match label.strip_prefix("d=").map(str::parse::<u64>) {
         Some(Ok(1..=4000)) => "d=LEFT".into(),
@@ -380,8 +382,8 @@
     labels.split(',').map(mask).collect::<Vec<_>>().join(",")
 }
 
-/// A cache node's connection. The first part of the key (up to `-`) selects the reply, for example `hit`, `held`
-/// (sent once the test releases it), `slow`, `fail` or `hang` (none); any other key misses.
+/// A cache node's connection. The first part of the key (up to `-`) selects the reply, for example `hit`,
+/// `held` (sent once the test releases it), `slow`, `fail` or `hang` (none); any other key misses.
 async fn serve_cache_node(stream: TcpStream, state: StubState, number: usize) {
     let mut framed = Framed::new(stream, Resp);
     while let Some(Ok(Frame::Array(arguments))) = framed.next().await {
@@ -470,9 +472,9 @@
     state.record(&format!("{number}: closed"));
 }
 
-/// An origin's connection. The second part of the key (between the first two `-`) selects the reply, for example
-/// `held` (sent once the test releases it), `error`, `away` (turned away) or `mute` (none, and the connection ends);
-/// any other key has a value.
+/// An origin's connection. The second part of the key (between the first two `-`) selects the reply, for
+/// example `held` (sent once the test releases it), `error`, `away` (turned away) or `mute` (none, and the
+/// connection ends); any other key has a value.
 async fn serve_origin(mut stream: TcpStream, state: StubState, number: usize) {
     let mut buffer = Vec::new();
     loop {
@@ -541,8 +543,8 @@
     (sender, start_server(state, serve).await)
 }
 
-/// A connection to the discovery stub: each call takes the next of the replies. `close` closes the connection, and a
-/// reply after `half ` is announced as longer than what is sent of it.
+/// A connection to the discovery stub: each call takes the next of the replies. `close` closes the
+/// connection, and a reply after `half ` is announced as longer than what is sent of it.
 async fn serve_discovery(
     mut stream: TcpStream,
     state: StubState,
