--- a/crates/proxy/tests/proxy/cancellation.rs
+++ b/crates/proxy/tests/proxy/cancellation.rs
@@ -60,6 +60,7 @@
 /// its socket is full.
 pub struct DelayedNode {
     listener: TcpListener,
+    /// Where connections to it arrive.
     pub address: SocketAddr,
     _queue_fillers: Vec<TcpStream>,
 }
@@ -120,7 +121,7 @@
     let answers = ["completed", "shed", "errored", "rejected", "dropped"];
     wait_until_ended(env, "exchanges", "taken", &answers).await;
     wait_until_all_attempts_ended(env).await;
-    // No new request has begun while the attempts ended.
+    // Nor is a request open that began meanwhile.
     wait_until_ended(env, "exchanges", "taken", &answers).await;
 }
 
@@ -144,21 +145,21 @@
     panic!("requests or attempts without an end:\n{}", env.counters);
 }
 
-/// How long it takes until the counters contain this line, measured in turns of the thread that the proxy
-/// shares with the test: a turn that a busy machine delays counts as one.
+/// How long it takes until the counters contain this line, counted in ticks on the thread that the proxy
+/// shares with the test: a tick that a busy machine delays counts no more than another.
 async fn time_until_counter(env: &TestEnvironment, line: &str) -> Duration {
-    let mut turns = 0;
-    let count_turns = async {
+    let mut ticks = 0;
+    let count_ticks = async {
         loop {
-            sleep(TURN).await;
-            turns += 1;
+            sleep(TICK).await;
+            ticks += 1;
         }
     };
     tokio::select! {
         () = env.wait_for_counter(line) => {}
-        () = count_turns => {}
+        () = count_ticks => {}
     }
-    TURN * turns
+    TICK * ticks
 }
 
 /// Disconnects a client. Returns how long it takes until the counters contain this line.
@@ -187,14 +188,14 @@
 
 /// How long the proxy may take to notice that a client has disconnected.
 const DETECTION_LIMIT: Duration = Duration::from_millis(100);
-/// The unit of time for `time_until_counter`.
-const TURN: Duration = Duration::from_millis(5);
+/// The length of a tick of `time_until_counter`.
+const TICK: Duration = Duration::from_millis(5);
 
 /// Disconnects clients right after the turn in which the counters come to contain this line, or `turns` turns
 /// later, and then blocks the thread that the proxy shares with the test. This task is queued together with
 /// the proxy's own tasks, and before those that such a turn wakes. The thread is blocked for three times as
 /// long as the proxy may take to notice a disconnected client.
-async fn disconnect_before_blocking_thread(
+async fn disconnect_and_block_thread(
     env: &TestEnvironment,
     clients: Vec<Client>,
     line: String,
@@ -228,11 +229,11 @@
 async fn a_client_disconnects_during_a_long_turn() {
     let get = |key| vec!["C.GET", key, "id-left", "c=read,d=60000"];
     let put = vec!["C.SET", "x-mute", "id-left", "c=put,d=60000", "value"];
-    let asked = [(get("hit"), 1), (get("miss"), 2), (get("fail"), 2), (get("cut"), 2), (put, 2)];
+    let cases = [(get("hit"), 1), (get("miss"), 2), (get("fail"), 2), (get("cut"), 2), (put, 2)];
     // The first attempt, and further ones: after a miss, after failures, and, where nodes discard repeats,
-    // after an attempt that may have run. Each is made on a new connection, which is not yet requested or is
-    // being established, and on an idle one.
-    for (arguments, attempts) in asked {
+    // after an attempt that may have run. Each is made on a new connection, which has not been requested yet
+    // or is being established, and on an idle one.
+    for (arguments, attempts) in cases {
         for (idle, turns) in [(false, 0), (false, 1), (true, 0)] {
             let long = ("/settings/routes/1/overall-timeout-us", json!(60_000_000));
             let env = start_with_long_timeouts(&[long, ("/settings/routes/1/effect", json!("by_key"))]).await;
@@ -243,13 +244,8 @@
             }
             let mut client = env.client().await;
             client.send(&arguments).await;
-            disconnect_before_blocking_thread(
-                &env,
-                vec![client],
-                format!("tries_sent {total_attempts}"),
-                turns,
-            )
-            .await;
+            disconnect_and_block_thread(&env, vec![client], format!("tries_sent {total_attempts}"), turns)
+                .await;
             env.wait_for_counter("exchanges_dropped 1").await;
             wait_until_all_ended(&env).await;
             assert_eq!(attempts_received(&env), attempts - 1, "{arguments:?}, idle {idle}, {turns}");
@@ -266,7 +262,7 @@
         let mut client = std::net::TcpStream::connect(env.address).unwrap();
         if connected {
             env.wait_for_counter("clients_accepted 1").await;
-            sleep(TURN * 4).await;
+            sleep(TICK * 4).await;
         }
         let arguments = ["C.GET", "hit", "id-left", "c=read,d=60000"];
         let command = arguments.map(|argument| format!("${}\r\n{argument}\r\n", argument.len())).concat();
@@ -274,7 +270,7 @@
         drop(client);
         std::thread::sleep(3 * DETECTION_LIMIT);
         for _ in 0..10 {
-            sleep(TURN).await;
+            sleep(TICK).await;
         }
         assert_never_sent(&env).await;
         assert_eq!(counter_value(&env, "clients_accepted"), 1);
@@ -317,7 +313,7 @@
         env.wait_for_counter(counter_line).await;
         let before = (attempts_received(&env), self::counter_value(&env, "tries_sent"));
         holding_stub.release(1);
-        disconnect_before_blocking_thread(&env, clients, "exchanges_completed 1".into(), 0).await;
+        disconnect_and_block_thread(&env, clients, "exchanges_completed 1".into(), 0).await;
         let attempts_sent = self::counter_value(&env, "tries_sent");
         env.origin.release(2);
         wait_until_all_ended(&env).await;
@@ -418,6 +414,8 @@
     }
 }
 
+/// Guards against an attempt that is sent for a disconnected client once a connection is free, and against a
+/// connection that is then lost to others.
 #[tokio::test]
 async fn a_client_disconnects_while_its_attempt_waits_at_the_node_connection_limit() {
     let env =
@@ -456,8 +454,8 @@
     assert_eq!(env.counter_lines("exchanges_taken"), "exchanges_taken 1\n");
 }
 
-/// The whole command has arrived and its client has disconnected by the time the connection limit allows the
-/// connection.
+/// The whole command has arrived and its client has disconnected by the time the connection limit admits the
+/// connection. Guards against sending the request then.
 #[tokio::test]
 async fn a_client_disconnects_while_its_connection_waits_at_the_limit() {
     let env =
@@ -479,8 +477,8 @@
     expect!["value of id-holds\n"].assert_eq(&reply);
 }
 
-/// An invalid command is refused once the commands before it are answered; the client may disconnect before
-/// that.
+/// An invalid command is refused once the commands before it are answered, and the client disconnects before
+/// that. Guards against sending the earlier request then.
 #[tokio::test]
 async fn a_client_disconnects_before_its_invalid_command_is_refused() {
     let env = start_with_long_timeouts(&[]).await;
@@ -523,8 +521,8 @@
     move_node(&env, "s-origin", "origin", &delayed_node).await;
     let mut client = env.client().await;
     // More than the socket buffers hold, and after it a request that waits for its connection.
-    for at in 0..4 {
-        let arguments = ["C.GET", &format!("long-{at}-4194304"), &format!("id-{at}"), "c=read,d=60000"];
+    for index in 0..4 {
+        let arguments = ["C.GET", &format!("long-{index}-4194304"), &format!("id-{index}"), "c=read,d=60000"];
         client.0.feed(&Frame::command(arguments.map(str::as_bytes))).await.unwrap();
     }
     client.send(&["C.SET", "key", "id-left", "c=put,d=60000", "value"]).await;
@@ -561,6 +559,8 @@
     .assert_eq(&replies);
 }
 
+/// Guards against a disconnected client's request that runs when its turn on the key comes, or that blocks
+/// the requests behind it.
 #[tokio::test]
 async fn a_client_disconnects_while_it_waits_for_its_turn_on_a_key() {
     let env = start_with_long_timeouts(&[("/settings/routes/0/keep-order", json!(true))]).await;
@@ -581,6 +581,7 @@
     .assert_eq(&replies);
 }
 
+/// Guards against a disconnected client's request that is sent once the other request's fetch has ended.
 #[tokio::test]
 async fn a_client_disconnects_while_it_waits_for_the_fetch_of_another() {
     let env = start_with_long_timeouts(&[]).await;
@@ -767,10 +768,10 @@
 }
 
 /// A client's connection is being passed to a successor process that dies before it receives it. Guards
-/// against a connection that remaining_client open with nobody to read it: the client sees its end at once.
+/// against a connection that stays open with nobody to read it: its client sees its end at once.
 #[tokio::test]
 async fn a_connection_passed_to_a_dying_successor_is_closed() {
-    let folder = Folder::new("heir-dies");
+    let folder = Folder::new("successor-dies");
     let old = TakeoverSocket::bind(&folder.0).unwrap();
     let new = TakeoverSocket::bind(&folder.0).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/proxy/tests/proxy/clients.rs
+++ b/crates/proxy/tests/proxy/clients.rs
@@ -170,6 +170,8 @@
     .assert_eq(&replies);
 }
 
+/// Guards against two open requests with one id, whose replies could be mixed up: the second client gets an
+/// error.
 #[tokio::test]
 async fn a_request_with_the_id_of_an_open_request_is_refused() {
     let env = TestEnvironment::start(&[]).await;
@@ -193,6 +195,8 @@
     );
 }
 
+/// Guards against input that is not RESP, or beyond its limits, and that crashes the proxy or is read as
+/// commands.
 #[tokio::test]
 async fn a_protocol_error_is_reported_and_closes_the_connection_after_earlier_replies() {
     let env = TestEnvironment::start(&[]).await;
@@ -213,7 +217,9 @@
         let mut stream = TcpStream::connect(env.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
         let mut reply = String::new();
-        let _ = timeout(Duration::from_secs(5), stream.read_to_string(&mut reply)).await.expect("closed");
+        let _ = timeout(Duration::from_secs(5), stream.read_to_string(&mut reply))
+            .await
+            .expect("the connection stayed open");
         replies += &format!(
             "{}: {}\n",
             bytes.chars().take(40).collect::<String>().escape_debug(),
@@ -361,6 +367,7 @@
     env.wait_for_counter("clients_closed_for_room 1").await;
 }
 
+/// Guards against a client that reads no replies and thereby blocks other clients.
 #[tokio::test]
 async fn a_slow_reader_does_not_block_other_clients() {
     let env = TestEnvironment::start(&[]).await;
@@ -487,6 +494,7 @@
     client.0.get_mut().write_all(&tail).await.unwrap();
 }
 
+/// Guards against a second attempt of a write whose value was streamed and not kept.
 #[tokio::test]
 async fn a_long_write_is_streamed_to_the_origin_in_one_attempt_only() {
     let env = TestEnvironment::start(&[]).await;
@@ -518,6 +526,8 @@
     .assert_eq(&format!("{replies}{}", env.origin.log()));
 }
 
+/// Guards against a partial value that the origin takes for whole, and against a timeout that counts from the
+/// beginning of a long write.
 #[tokio::test]
 async fn an_abandoned_long_write_is_never_completed_and_a_slow_one_does_not_time_out() {
     let env = TestEnvironment::start(&[("/settings/routes/1/overall-timeout-us", json!(300_000))]).await;
@@ -535,6 +545,8 @@
     assert!(!env.origin.log().contains("PUT /stops"), "{}", env.origin.log());
 }
 
+/// A long write for which no permit is free is refused as soon as its length is known; its value is then
+/// discarded, and the connection stays usable.
 #[tokio::test]
 async fn a_long_write_without_a_permit_is_refused_at_its_length() {
     let env = TestEnvironment::start_with(&[], |config| config.max_streamed_values = 1).await;
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -43,7 +43,7 @@
         self.stub.log().matches(text).count()
     }
 
-    /// Waits until it has received this many requests with this text; panics after `MAX_DELAY`.
+    /// Waits until it has received at least this many requests with this text; panics after `MAX_DELAY`.
     async fn wait_for(&self, text: &str, times: usize) {
         let start = Instant::now();
         while self.request_count(text) < times {
@@ -249,8 +249,8 @@
     }
 }
 
-/// Uses up all descriptors with idle clients above the limit and all other connections at theirs; then
-/// discovery's connection is closed, the list changes, and discovery moves.
+/// Uses up all descriptors with more than a hundred idle clients above the limit and all other connections at
+/// theirs; then discovery's connection is closed, the list changes, and discovery moves.
 async fn assert_discovery_followed(sockets: usize, descriptors: usize, clients: usize) {
     let mut process = SaturatedProcess::start(sockets, descriptors).await;
     process.open_connections(clients).await;
--- a/crates/proxy/tests/proxy/phases.rs
+++ b/crates/proxy/tests/proxy/phases.rs
@@ -41,7 +41,7 @@
 }
 
 /// Guards against requests without an answer when the time to stop is over: open attempts are withdrawn, and
-/// their requests refused as busy.
+/// their requests refused as busy. A command that was partly sent when closing began is still served.
 #[tokio::test]
 async fn requests_still_open_at_the_end_are_withdrawn_and_answered() {
     let long_timeout = json!(60_000_000);
