--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -61,7 +61,7 @@
             MaintenanceResult::IsOrigin => format!("{uid} is the origin, not a cache node"),
             MaintenanceResult::StaleToken(lease, token) => format!("{lease} has gone on to token {token}"),
             MaintenanceResult::Refused(why) => format!("{uid}: {why}"),
-            MaintenanceResult::Failed(error) => format!("{uid}: could not be saved: {error}"),
+            MaintenanceResult::Failed(error) => format!("{uid}: could not be kept: {error}"),
         }
     }
 }
@@ -89,7 +89,7 @@
         lease: Option<(String, Token)>,
     ) -> MaintenanceResult {
         let (reply, result) = oneshot::channel();
-        let stopping = || MaintenanceResult::Failed("the proxy is stopping".into());
+        let stopping = || MaintenanceResult::Failed("the proxy ends".into());
         if self.0.send(MaintenanceCall { uid, out_of_service, lease, reply }).await.is_err() {
             return stopping();
         }
@@ -280,10 +280,10 @@
         self.handle.give(order).await.map_err(|not_given| match not_given {
             NotGiven::Refused(Refusal::Late { token }) => MaintenanceResult::StaleToken(name, token),
             NotGiven::Refused(refusal) => MaintenanceResult::Refused(refusal.to_string()),
-            NotGiven::NotOnDisk => {
-                MaintenanceResult::Failed("the order holds and is replicated, but is not on this disk".into())
-            }
-            NotGiven::Ended => MaintenanceResult::Failed("the proxy is stopping".into()),
+            NotGiven::NotOnDisk => MaintenanceResult::Failed(
+                "it holds and goes on to the others, but is not on this disk".into(),
+            ),
+            NotGiven::Ended => MaintenanceResult::Failed("the proxy ends".into()),
         })
     }
 }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -138,7 +138,7 @@
             path => return CallResponse(404, format!("no such call: {path:?}")),
         };
         if call.method != method {
-            return CallResponse(405, format!("{} requires {method}, found {:?}", call.path, call.method));
+            return CallResponse(405, format!("{} wants {method}, found {:?}", call.path, call.method));
         }
         if call.path == "/counters" {
             return CallResponse(200, self.counters.to_string());
@@ -152,11 +152,11 @@
         let mut body = match serde_json::from_slice::<Json>(&call.body) {
             Ok(Json::Object(body)) => body,
             Ok(other) => return CallResponse(400, format!("expected {{\"who\":\"ID\"}}, found {other}")),
-            Err(error) => return CallResponse(400, format!("the body is not JSON: {error}")),
+            Err(error) => return CallResponse(400, format!("the body is no JSON: {error}")),
         };
         let uid = match body.remove("who") {
             Some(Json::String(uid)) => uid,
-            Some(other) => return CallResponse(400, format!("who: expected a string, found {other}")),
+            Some(other) => return CallResponse(400, format!("who: expected a text, found {other}")),
             None => return CallResponse(400, "who: missing".into()),
         };
         let lease = match (body.remove("lease"), body.remove("token")) {
@@ -178,7 +178,7 @@
         };
         // Until the list of nodes has been read, every uid would be unknown.
         if timeout(READY_TIMEOUT, self.watch.clone().reached(Phase::Serving)).await.is_err() {
-            return CallResponse(503, "has no list of nodes yet, call again".into());
+            return CallResponse(503, "has no list yet, call again".into());
         }
         let out_of_service = call.path == "/maintenance/enter";
         let result = self.maintenance.set_service(uid.clone(), out_of_service, lease).await;
