--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -1,7 +1,7 @@
 //! Changes of configuration to a fleet of proxies on loopback: three voters, two control machines, relays and
 //! leaves. Each is a whole proxy with stand-ins of its own.
 
-use crate::cli::{File, Running, program};
+use crate::cli::{File, RunningProxy, program};
 use crate::operations::{Folder, call};
 use crate::{World, configuration};
 use expect_test::expect;
@@ -419,8 +419,8 @@
         let json = configuration(&[("/name", json!(name)), ("/fleet", section.clone())]);
         files.insert(name, File::new(&format!("carrier-real-{name}"), &json.to_string()));
     }
-    let start = |name: &str| Running::start(program(&["serve", "--config", files[name].path()]));
-    let mut running: BTreeMap<&str, Running> = files.keys().map(|name| (*name, start(name))).collect();
+    let start = |name: &str| RunningProxy::start(program(&["serve", "--config", files[name].path()]));
+    let mut running: BTreeMap<&str, RunningProxy> = files.keys().map(|name| (*name, start(name))).collect();
     let say = |words: &[&str]| {
         let words: Vec<&str> =
             ["fleet"].iter().chain(words).chain(&["--config", files["l1"].path()]).copied().collect();
@@ -448,6 +448,6 @@
     assert_eq!(code, 3, "{said}");
     // All control machines are gone: a proxy that starts has the last good set.
     running.clear();
-    let log = start("l1").begun.clone();
+    let log = start("l1").startup_log.clone();
     assert!(log.contains("carrier: starts with version") && log.contains("1 of 1 resources"), "{log}");
 }
--- a/crates/proxy/tests/proxy/cli.rs
+++ b/crates/proxy/tests/proxy/cli.rs
@@ -1,4 +1,4 @@
-//! The program as a person or the platform starts it.
+//! The commands of the program, and how a serving process reacts to signals and to a lack of descriptors.
 
 use crate::configuration;
 use expect_test::expect;
@@ -7,21 +7,23 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// The program with these arguments. Its standard output and error are captured.
 pub fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pumicebay"));
     command.args(args).env_remove("PROXY_CONFIG").stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
 
-/// A configuration file, gone with the test.
+/// A file with a name of its own in the temporary folder, removed on drop.
 pub struct File(std::path::PathBuf);
 
 impl File {
+    /// Writes a file with this text; `name` becomes part of the file's name.
     pub fn new(name: &str, text: &str) -> File {
-        // Two tests that run at once must not have one file.
-        static FILES: AtomicUsize = AtomicUsize::new(0);
-        let (own, number) = (std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
-        let path = std::env::temp_dir().join(format!("pumicebay-{own}-{number}-{name}.json"));
+        // Tests that run at the same time must not share a file.
+        static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let (pid, number) = (std::process::id(), NEXT_NUMBER.fetch_add(1, Ordering::Relaxed));
+        let path = std::env::temp_dir().join(format!("pumicebay-{pid}-{number}-{name}.json"));
         std::fs::write(&path, text).unwrap();
         File(path)
     }
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn commands_say_what_they_do_and_what_is_wrong() {
+fn each_command_prints_its_result_or_an_error() {
     let good = File::new("good", &configuration(&[]).to_string());
     let bad = File::new("bad", &configuration(&[("/listen", json!("nowhere"))]).to_string());
     let broken = File::new("broken", "{");
@@ -54,11 +56,11 @@
         &["check", "--fast"],
         &[],
     ] {
-        let done = program(args).output().unwrap();
+        let output = program(args).output().unwrap();
         let text =
-            format!("{}{}", String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
+            format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
         let text = [&good, &bad, &broken].iter().fold(text, |text, file| text.replace(file.path(), "FILE"));
-        trace += &format!("{}: {:?}\n{text}", args.first().unwrap_or(&""), done.status.code());
+        trace += &format!("{}: {:?}\n{text}", args.first().unwrap_or(&""), output.status.code());
     }
     expect![[r#"
         version: Some(0)
@@ -85,48 +87,53 @@
     .assert_eq(&trace);
 }
 
-/// A running proxy; ends with the test at the latest.
-pub struct Running {
+/// A serving proxy process, killed on drop.
+pub struct RunningProxy {
     child: Child,
     log: BufReader<ChildStderr>,
     address: String,
-    /// What it said until it listened.
-    pub begun: String,
+    /// Its log up to the line that it listens.
+    pub startup_log: String,
 }
 
-impl Running {
-    pub fn start(mut command: Command) -> Running {
+impl RunningProxy {
+    /// Starts a process and waits until its log says that it listens.
+    pub fn start(mut command: Command) -> RunningProxy {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (mut begun, mut line) = (String::new(), String::new());
+        let (mut startup_log, mut line) = (String::new(), String::new());
         while !line.contains("INFO listens on 127.0.0.1:") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "ended before it listened");
-            begun += &line;
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended before it listened");
+            startup_log += &line;
         }
         let address = line.trim().rsplit(' ').next().unwrap().to_string();
-        Running { child, log, address, begun }
+        RunningProxy { child, log, address, startup_log }
     }
 
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
+    /// The address on which it accepts clients.
     pub fn address(&self) -> &str {
         &self.address
     }
 
+    /// The output of the command `counters` for this process.
     fn counters(&self) -> String {
-        let counted = program(&["counters", &self.address]).output().unwrap();
-        String::from_utf8_lossy(&counted.stdout).into_owned()
+        let counters = program(&["counters", &self.address]).output().unwrap();
+        String::from_utf8_lossy(&counters.stdout).into_owned()
     }
 
+    /// Sends a signal, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let sent = Command::new("kill").args([signal, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
-    /// Tells it to stop; its exit code and the rest of its log.
+    /// Sends SIGTERM and waits for the end. Returns the exit code and the rest of the log.
     pub fn stop(&mut self) -> (Option<i32>, String) {
         self.signal("-TERM");
         let mut rest = String::new();
@@ -135,24 +142,25 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Told to stop while it starts, here by waiting for a discovery that is silent: it ends in order once it could serve.
+/// A SIGTERM that arrives during startup, here while the process waits for a silent discovery, must neither be lost
+/// nor cut the startup off: once the process is ready to serve it drains and stops as usual.
 #[test]
-fn it_ends_in_order_when_told_to_while_it_starts() {
+fn sigterm_during_startup_leads_to_an_orderly_stop() {
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = silent.local_addr().unwrap().to_string();
-    let file = File::new("starting", &configuration(&[("/discovery", json!(at))]).to_string());
+    let address = silent.local_addr().unwrap().to_string();
+    let file = File::new("starting", &configuration(&[("/discovery", json!(address))]).to_string());
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut command = program(&["serve", "--config", file.path()]);
     command.stdin(std::os::fd::OwnedFd::from(socket)).env("PROXY_FD", "0").stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
-    // It has begun to start when discovery is called.
+    // The call to discovery shows that startup is under way.
     let (_call, _) = silent.accept().unwrap();
     let sent = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     assert!(sent.success());
@@ -162,11 +170,11 @@
     assert!(log.contains("Draining") && log.contains("Stopped") && !log.contains("panicked"), "{log}");
 }
 
-/// Told to stop once more, and to read its configuration, while it stops: both change nothing.
+/// A second SIGTERM, and a SIGHUP to reload the configuration, change nothing in a process that is already stopping.
 #[test]
-fn it_ends_in_order_however_often_it_is_told() {
+fn further_signals_do_not_disturb_an_orderly_stop() {
     let file = File::new("twice", &configuration(&[]).to_string());
-    let mut running = Running::start(program(&["serve", "--config", file.path()]));
+    let mut running = RunningProxy::start(program(&["serve", "--config", file.path()]));
     running.signal("-TERM");
     running.signal("-HUP");
     let (code, log) = running.stop();
@@ -175,27 +183,31 @@
 }
 
 #[test]
-fn it_serves_tells_its_counters_and_ends_when_told_to() {
+fn serves_reports_its_counters_and_stops_on_sigterm() {
     let file = File::new("serve", &configuration(&[]).to_string());
-    let mut running = Running::start(program(&["serve", "--config", file.path()]));
-    let counted = running.counters();
-    assert!(counted.contains("clients_accepted 1\n") && counted.contains("exchanges_taken 0\n"), "{counted}");
+    let mut running = RunningProxy::start(program(&["serve", "--config", file.path()]));
+    let counters = running.counters();
+    assert!(
+        counters.contains("clients_accepted 1\n") && counters.contains("exchanges_taken 0\n"),
+        "{counters}"
+    );
     let (code, rest) = running.stop();
     assert_eq!(code, Some(0), "{rest}");
     let phases: Vec<&str> = rest.lines().filter_map(|line| line.rsplit("INFO ").next()).collect();
-    let told = ["Draining", "Closing", "Stopped"].iter().all(|phase| phases.contains(phase));
-    assert!(told && rest.contains("counters: clients_accepted 1, "), "{rest}");
+    let all_phases_logged = ["Draining", "Closing", "Stopped"].iter().all(|phase| phases.contains(phase));
+    assert!(all_phases_logged && rest.contains("counters: clients_accepted 1, "), "{rest}");
 }
 
-/// What the file then says of discovery goes before the variable.
+/// An invalid file leaves the old configuration in force. After a valid reload, the discovery address from the file
+/// replaces the one from `PROXY_DISCOVERY`.
 #[test]
-fn a_hangup_makes_it_read_its_configuration_again() {
+fn sighup_reloads_the_configuration() {
     let file = File::new("hangup", &configuration(&[]).to_string());
     let mut command = program(&["serve", "--config", file.path()]);
     command.env("PROXY_DISCOVERY", "127.0.0.1:7");
-    let mut running = Running::start(command);
-    let mut told = String::new();
-    for (text, word) in [
+    let mut running = RunningProxy::start(command);
+    let mut logged = String::new();
+    for (text, expected) in [
         (configuration(&[("/discovery", json!("nowhere"))]).to_string(), "ERROR"),
         ("{".into(), "ERROR"),
         (configuration(&[]).to_string(), "read again"),
@@ -203,29 +215,30 @@
         std::fs::write(file.path(), text).unwrap();
         running.signal("-HUP");
         let mut line = String::new();
-        while !line.contains(word) {
+        while !line.contains(expected) {
             line.clear();
-            assert!(running.log.read_line(&mut line).unwrap() > 0, "ended");
+            assert!(running.log.read_line(&mut line).unwrap() > 0, "the process ended");
         }
         let (_, text) = line.split_once('Z').unwrap();
-        told += text.trim_start().replace(file.path(), "FILE").as_str();
+        logged += text.trim_start().replace(file.path(), "FILE").as_str();
     }
     expect![[r#"
         ERROR the old configuration stays: configuration FILE: discovery: expected ADDRESS:PORT, found "nowhere": invalid socket address syntax
         ERROR the old configuration stays: configuration FILE: EOF while parsing an object at line 1 column 1
         INFO configuration read again: n0 listens on 127.0.0.1:0, discovery at 127.0.0.1:9, 0 nodes known; at most 595 client connections and 397 to nodes; routes: read (retriable), put (non-retriable), quick (retriable)
-    "#]].assert_eq(&told);
+    "#]].assert_eq(&logged);
     assert_eq!(running.stop().0, Some(0));
 }
 
-/// Fewer descriptors than it was told: the connections that are idle longest make room, and it lives on.
+/// The system allows fewer descriptors than the configuration says, so accepting connections fails. The process must
+/// close the connections that are idle longest to make room, and go on serving.
 #[test]
-fn it_survives_a_want_of_descriptors() {
+fn running_out_of_descriptors_does_not_stop_the_process() {
     let file = File::new("few", &configuration(&[]).to_string());
     let mut command = Command::new("sh");
     let serve =
         format!("ulimit -n 40; exec {} serve --config {}", env!("CARGO_BIN_EXE_pumicebay"), file.path());
-    let mut running = Running::start({
+    let mut running = RunningProxy::start({
         command.args(["-c", &serve]);
         command
     });
@@ -238,10 +251,10 @@
         assert_eq!(&reply, b"+PONG\r\n");
         clients.push(client);
     }
-    let counted = running.counters();
+    let counters = running.counters();
     assert!(
-        !counted.contains("accept_failures 0\n") && !counted.contains("clients_closed_for_room 0\n"),
-        "{counted}"
+        !counters.contains("accept_failures 0\n") && !counters.contains("clients_closed_for_room 0\n"),
+        "{counters}"
     );
     let (code, rest) = running.stop();
     assert_eq!(code, Some(0), "{rest}");
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -1,7 +1,7 @@
 //! Idle clients may fill all descriptors while discovery is down: it is followed again all the same, and what an
 //! operator asks for meanwhile is done.
 
-use crate::cli::{File, Running};
+use crate::cli::{File, RunningProxy};
 use crate::operations::call;
 use crate::{Trace, cache_node, configuration, listen, origin_server, target};
 use anyhow::Context as _;
@@ -80,7 +80,7 @@
 
 /// A process with few descriptors, filled up by clients, callers and nodes.
 struct Filled {
-    running: Running,
+    running: RunningProxy,
     file: File,
     json: Json,
     address: SocketAddr,
@@ -132,7 +132,7 @@
         let serve = format!("ulimit -n {descriptors}; exec {program} serve --config {}", file.path());
         let mut command = Command::new("sh");
         command.args(["-c", &serve]);
-        let running = tokio::task::spawn_blocking(|| Running::start(command)).await.unwrap();
+        let running = tokio::task::spawn_blocking(|| RunningProxy::start(command)).await.unwrap();
         let address = running.address().parse().unwrap();
         discovery.until("index=41", 1).await;
         let (busy, idle) = (Vec::new(), Vec::new());
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -1,6 +1,6 @@
-//! The operators' door, maintenance and what outlives a process.
+//! Calls of operators, maintenance, configuration reloads, upgrades to a new process, and what that process keeps.
 
-use crate::cli::{File, Running, program};
+use crate::cli::{File, RunningProxy, program};
 use crate::{Client, Replies, Trace, World, target};
 use expect_test::expect;
 use pumicebay::config::{check_nothing_removed, parse};
@@ -16,10 +16,11 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// A private folder, gone with the test.
+/// A private folder for a proxy, removed with its content on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
+    /// Creates a folder; `name` becomes part of the folder's name.
     pub fn new(name: &str) -> Folder {
         let path = std::env::temp_dir().join(format!("pumicebay-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
@@ -33,35 +34,38 @@
     }
 }
 
-/// One call as it is; the status and the line of the answer, within the second that it is due in.
-pub async fn raw(door: SocketAddr, call: &[u8]) -> String {
+/// Sends these bytes to the operators' listener. Returns the status and the text of the answer, which must come within
+/// one second.
+pub async fn raw_call(operator: SocketAddr, call: &[u8]) -> String {
     let answer = timeout(Duration::from_secs(1), async {
-        let mut stream = TcpStream::connect(door).await.expect("a door");
+        let mut stream = TcpStream::connect(operator).await.expect("an operator listener");
         stream.write_all(call).await.unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).await.unwrap();
         text
     });
-    let text = answer.await.expect("an answer in time");
+    let text = answer.await.expect("an answer within one second");
     let status = text.split(' ').nth(1).unwrap_or_default().to_string();
     format!("{status} {}\n", text.split("\r\n\r\n").nth(1).unwrap_or_default().trim_end())
 }
 
-pub async fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> String {
+/// Makes an operator's call. Returns the status and the text of the answer, which must come within one second.
+pub async fn call(operator: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let length = body.len();
     let call = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n{body}");
-    raw(door, call.as_bytes()).await
+    raw_call(operator, call.as_bytes()).await
 }
 
-async fn maintain(door: SocketAddr, what: &str, who: &str) -> String {
-    call(door, "POST", &format!("/maintenance/{what}"), &json!({"who": who}).to_string()).await
+/// Calls `/maintenance/enter` or `/maintenance/exit` for a node.
+async fn maintain(operator: SocketAddr, action: &str, uid: &str) -> String {
+    call(operator, "POST", &format!("/maintenance/{action}"), &json!({"who": uid}).to_string()).await
 }
 
 #[tokio::test]
-async fn calls_are_answered_yes_or_no_with_a_line_that_says_why() {
+async fn each_call_is_answered_with_a_status_and_a_reason() {
     let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let door = world.operator.expect("a door");
-    let mut trace = call(door, "GET", "/status", "").await;
+    let operator = world.operator.expect("an operator listener");
+    let mut trace = call(operator, "GET", "/status", "").await;
     for (method, path, body) in [
         ("POST", "/status", ""),
         ("GET", "/maintenance/enter", r#"{"who":"s-cache"}"#),
@@ -75,15 +79,19 @@
         ("POST", "/maintenance/exit", r#"{"who":"s-nobody"}"#),
         ("POST", "/maintenance/exit", r#"{"who":"s-cache"}"#),
     ] {
-        trace += &call(door, method, path, body).await;
+        trace += &call(operator, method, path, body).await;
     }
     let long = format!("GET /status HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(20_000));
-    trace += &raw(door, long.as_bytes()).await;
+    trace += &raw_call(operator, long.as_bytes()).await;
+    trace += &raw_call(
+        operator,
+        b"POST /maintenance/enter HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n",
+    )
+    .await;
+    trace += &raw_call(operator, b"POST /maintenance/enter HTTP/1.1\r\nContent-Length: -1\r\n\r\n").await;
     trace +=
-        &raw(door, b"POST /maintenance/enter HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n").await;
-    trace += &raw(door, b"POST /maintenance/enter HTTP/1.1\r\nContent-Length: -1\r\n\r\n").await;
-    trace += &raw(door, b"POST /maintenance/enter HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-    trace += &raw(door, b"\x00\x01\x02\r\n\r\n").await;
+        &raw_call(operator, b"POST /maintenance/enter HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+    trace += &raw_call(operator, b"\x00\x01\x02\r\n\r\n").await;
     expect![[r#"
         200 serving
         405 /status wants GET, found "POST"
@@ -106,13 +114,15 @@
     .assert_eq(&trace);
 }
 
+/// Connections that send nothing, or only half a call, fill the operators' listener, which allows 16 at a time. Others
+/// must still get their answers in time, also while clients send requests.
 #[tokio::test]
-async fn callers_that_say_nothing_or_half_take_no_place_from_others() {
+async fn silent_callers_do_not_block_other_calls() {
     let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let door = world.operator.expect("a door");
+    let operator = world.operator.expect("an operator listener");
     let mut silent = Vec::new();
     for at in 0..60 {
-        let mut stream = TcpStream::connect(door).await.unwrap();
+        let mut stream = TcpStream::connect(operator).await.unwrap();
         if at % 2 == 0 {
             stream
                 .write_all(b"POST /maintenance/enter HTTP/1.1\r\nContent-Length: 5\r\n\r\n{")
@@ -122,38 +132,40 @@
         silent.push(stream);
     }
     let stop = Arc::new(AtomicBool::new(false));
-    let clients: Vec<_> = (0..5).map(|at| tokio::spawn(press(world.address, stop.clone(), at))).collect();
-    // Each within the second that `call` gives it.
+    let clients: Vec<_> =
+        (0..5).map(|at| tokio::spawn(send_requests_until(world.address, stop.clone(), at))).collect();
+    // `call` panics if an answer takes longer than one second.
     for _ in 0..10 {
-        assert_eq!(call(door, "GET", "/status", "").await, "200 serving\n");
-        assert_eq!(maintain(door, "enter", "s-cache").await, "200 s-cache gets nothing more\n");
-        assert_eq!(maintain(door, "exit", "s-cache").await, "200 s-cache is back\n");
+        assert_eq!(call(operator, "GET", "/status", "").await, "200 serving\n");
+        assert_eq!(maintain(operator, "enter", "s-cache").await, "200 s-cache gets nothing more\n");
+        assert_eq!(maintain(operator, "exit", "s-cache").await, "200 s-cache is back\n");
     }
     stop.store(true, Ordering::Relaxed);
     for client in clients {
-        client.await.expect("a client that met nothing wrong");
+        client.await.expect("a client failed");
     }
 }
 
 #[tokio::test]
-async fn a_node_out_of_service_gets_nothing_until_it_is_back() {
+async fn a_node_out_of_service_gets_no_attempts_until_it_is_put_back() {
     let folder = Folder::new("bans");
-    let out = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
-    let door = [("/operator", json!("127.0.0.1:0"))];
-    let world = World::start_with(&door, out).await;
+    let with_folder = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
+    let settings = [("/operator", json!("127.0.0.1:0"))];
+    let world = World::start_with(&settings, with_folder).await;
     let mut client = world.client().await;
     let mut trace = client.get("hit-1").await;
-    for what in ["enter", "enter"] {
-        trace += &maintain(world.operator.unwrap(), what, "s-cache").await;
+    for action in ["enter", "enter"] {
+        trace += &maintain(world.operator.unwrap(), action, "s-cache").await;
     }
     trace += &client.get("hit-2").await;
-    // A process that comes after it knows, and so does one beside it when the node is put back.
-    let next = World::start_with(&door, out).await;
-    trace += &next.client().await.get("hit-3").await;
-    assert_eq!(next.cache.text(), "");
-    trace += &maintain(next.operator.unwrap(), "exit", "s-cache").await;
-    let there = |trace: &Trace| trace.text().contains("hit-back");
-    while !there(&world.cache) {
+    // A process started later on the same folder keeps the node out. When it puts the node back, the first process,
+    // which still runs, does so as well.
+    let successor = World::start_with(&settings, with_folder).await;
+    trace += &successor.client().await.get("hit-3").await;
+    assert_eq!(successor.cache.text(), "");
+    trace += &maintain(successor.operator.unwrap(), "exit", "s-cache").await;
+    let got_request = |trace: &Trace| trace.text().contains("hit-back");
+    while !got_request(&world.cache) {
         client.get("hit-back").await;
         sleep(Duration::from_millis(20)).await;
     }
@@ -169,24 +181,25 @@
         1: C.GET hit-back id-hit-back c=read,t=acme,d=LEFT,size=9,k=x
     "#]]
     .assert_eq(&trace);
-    let left = std::fs::read_dir(&folder.0).unwrap().map(|file| file.unwrap().file_name());
-    let left: Vec<_> = left.map(|name| name.into_string().unwrap()).collect();
-    assert_eq!(left, ["pumicebay-back-1-732d6361636865"]);
+    let remaining_files = std::fs::read_dir(&folder.0).unwrap().map(|file| file.unwrap().file_name());
+    let remaining_files: Vec<_> = remaining_files.map(|name| name.into_string().unwrap()).collect();
+    assert_eq!(remaining_files, ["pumicebay-back-1-732d6361636865"]);
 }
 
-/// Who held a lease, stood still and goes on must not undo what the next holder did; nor over a restart of the proxy.
+/// A former holder of a lease that was paused and resumes must not undo what the next holder did. This must hold after a
+/// restart of the proxy as well.
 #[tokio::test]
-async fn a_ban_refuses_lower_tokens() {
+async fn a_maintenance_call_with_a_lower_token_is_refused() {
     let folder = Folder::new("fences");
-    let out = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
-    let door = [("/operator", json!("127.0.0.1:0"))];
-    let world = World::start_with(&door, out).await;
+    let with_folder = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
+    let settings = [("/operator", json!("127.0.0.1:0"))];
+    let world = World::start_with(&settings, with_folder).await;
     let mut trace = String::new();
-    let under = |what: &str, lease: Json, token: Json| {
+    let leased_call = |action: &str, lease: Json, token: Json| {
         let body = json!({"who": "s-cache", "lease": lease, "token": token}).to_string();
-        (format!("/maintenance/{what}"), body)
+        (format!("/maintenance/{action}"), body)
     };
-    for (what, lease, token) in [
+    for (action, lease, token) in [
         ("enter", json!("nodes"), json!(7)),
         ("exit", json!("nodes"), json!(6)),
         ("enter", json!("nodes"), json!(7)),
@@ -197,16 +210,16 @@
         ("enter", json!("nodes"), json!(u64::MAX)),
         ("exit", json!("nodes"), json!(8)),
     ] {
-        let (path, body) = under(what, lease, token);
+        let (path, body) = leased_call(action, lease, token);
         let answer = call(world.operator.unwrap(), "POST", &path, &body).await;
         trace += &answer.replace(&"x".repeat(101), "x...");
     }
-    // What is called under no lease is an operator's own word, as ever.
+    // A call without a lease comes from an operator directly and is not checked against tokens.
     trace += &maintain(world.operator.unwrap(), "exit", "s-cache").await;
-    let next = World::start_with(&door, out).await;
+    let successor = World::start_with(&settings, with_folder).await;
     for (token, lease) in [(9, "nodes"), (1, "others")] {
-        let (path, body) = under("enter", json!(lease), json!(token));
-        trace += &call(next.operator.unwrap(), "POST", &path, &body).await;
+        let (path, body) = leased_call("enter", json!(lease), json!(token));
+        trace += &call(successor.operator.unwrap(), "POST", &path, &body).await;
     }
     expect![[r#"
         200 s-cache gets nothing more
@@ -225,11 +238,12 @@
     .assert_eq(&trace);
 }
 
+/// Only an operator puts a node back: no state that discovery reports may do so.
 #[tokio::test]
-async fn a_ban_outlives_all_that_discovery_says() {
+async fn a_node_out_of_service_stays_out_whatever_discovery_reports() {
     let world = World::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let (door, mut client) = (world.operator.unwrap(), world.client().await);
-    let mut trace = maintain(door, "enter", "s-cache").await;
+    let (operator, mut client) = (world.operator.unwrap(), world.client().await);
+    let mut trace = maintain(operator, "enter", "s-cache").await;
     let node = target("s-cache", &world.cache_address.to_string(), "node", "active");
     for (at, state) in ["leaving", "left", "active"].into_iter().enumerate() {
         let mut node = node.clone();
@@ -248,21 +262,22 @@
     .assert_eq(&trace);
 }
 
-/// What a route of the test's configuration looks like, under another name.
+/// A copy of the configuration's first route under another name.
 fn route(world: &World, name: &str) -> Json {
     let mut route = world.json["settings"]["routes"][0].clone();
     route["name"] = json!(name);
     route
 }
 
+/// A reload that removes, adds and reorders routes must not change the route of a request that is already open.
 #[tokio::test]
-async fn routes_come_and_go_while_exchanges_are_open() {
+async fn routes_are_added_and_removed_while_requests_are_open() {
     let mut world = World::start(&[]).await;
-    let (mut open, mut client) = (world.client().await, world.client().await);
-    open.send(&["C.GET", "slow", "id-open", "c=read,d=3000"]).await;
+    let (mut open_client, mut client) = (world.client().await, world.client().await);
+    open_client.send(&["C.GET", "slow", "id-open", "c=read,d=3000"]).await;
     world.cache.until("slow").await;
     let mut trace = client.ask(&["C.GET", "hit", "id-1", "c=map,d=3000"]).await;
-    // The first route goes, another comes to its place in the list, and all get fewer tries.
+    // The first route is replaced by another at the same place in the list, and all routes get fewer attempts.
     let map = route(&world, "map");
     world.json["settings"]["routes"][0] = map;
     world.json["settings"]["permissions"]["most-upstream-tries"] = json!(1);
@@ -272,7 +287,7 @@
         trace += &client.ask(&["C.GET", "hit", id, labels]).await;
     }
     trace += &client.ask(&["C.GET", "fail", "5", "c=map,d=3000"]).await;
-    trace += &open.reply().await;
+    trace += &open_client.reply().await;
     expect![[r#"
         hit: -ERR label 'c': unknown or missing class
         hit: value of 2
@@ -284,14 +299,16 @@
     .assert_eq(&trace);
 }
 
+/// Each file also adds a valid route. One invalid or missing value anywhere must reject the whole file, so that no part of
+/// it takes effect.
 #[tokio::test]
-async fn a_file_that_is_broken_anywhere_changes_nothing() {
+async fn an_invalid_configuration_file_changes_nothing() {
     let mut world = World::start(&[]).await;
-    let good = world.json.clone();
+    let valid = world.json.clone();
     let mut client = world.client().await;
     let mut trace = String::new();
     let map = route(&world, "map");
-    for (at, (place, value)) in [
+    for (at, (pointer, value)) in [
         ("/settings/permissions/most-upstream-tries", json!(0)),
         ("/settings/permissions/most-upstream-tries", json!(-2)),
         ("/settings/permissions/most-upstream-tries", json!("3")),
@@ -307,12 +324,12 @@
     .into_iter()
     .enumerate()
     {
-        let mut json = good.clone();
+        let mut json = valid.clone();
         json["settings"]["routes"].as_array_mut().unwrap().push(map.clone());
-        *json.pointer_mut(place).unwrap() = value;
-        trace += &broken(&world, &json, at as u64 + 1).await;
+        *json.pointer_mut(pointer).unwrap() = value;
+        trace += &reload_error(&world, &json, at as u64 + 1).await;
     }
-    for (at, place) in [
+    for (at, pointer) in [
         "/discovery",
         "/limits",
         "/settings",
@@ -323,18 +340,18 @@
     .into_iter()
     .enumerate()
     {
-        let mut json = good.clone();
-        let (parent, key) = place.rsplit_once('/').unwrap();
+        let mut json = valid.clone();
+        let (parent, key) = pointer.rsplit_once('/').unwrap();
         json.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key);
-        trace += &broken(&world, &json, at as u64 + 12).await;
+        trace += &reload_error(&world, &json, at as u64 + 12).await;
     }
-    let mut json = good.clone();
+    let mut json = valid.clone();
     json["settings"]["routes"].as_array_mut().unwrap().push(map);
     json["settings"]["routes"][3].as_object_mut().unwrap().remove("payoff");
-    trace += &broken(&world, &json, 18).await;
+    trace += &reload_error(&world, &json, 18).await;
     trace += &client.ask(&["C.GET", "hit", "1", "c=map,d=3000"]).await;
     trace += &client.get("hit").await;
-    world.json = good;
+    world.json = valid;
     expect![[r#"
         settings.permissions.most-upstream-tries: expected 1 or more, found 0
         settings.permissions.most-upstream-tries: expected a whole number, found -2
@@ -360,46 +377,47 @@
     .assert_eq(&trace);
 }
 
-/// Why a file is turned down, and that it is.
-async fn broken(world: &World, json: &Json, failures: u64) -> String {
-    let fresh = parse(json);
-    let kept = fresh.as_ref().map_err(|error| format!("{error:#}"));
-    let why = kept.and_then(|fresh| {
-        check_nothing_removed(&world.json, &fresh.json).map_err(|error| format!("{error:#}"))
+/// Reloads an invalid configuration, waits until the counter of failed reloads has this value, and returns the error.
+async fn reload_error(world: &World, json: &Json, failures: u64) -> String {
+    let parsed = parse(json);
+    let parse_result = parsed.as_ref().map_err(|error| format!("{error:#}"));
+    let checked = parse_result.and_then(|parsed| {
+        check_nothing_removed(&world.json, &parsed.json).map_err(|error| format!("{error:#}"))
     });
-    world.configs.send(fresh).await.unwrap();
+    world.configs.send(parsed).await.unwrap();
     world.until_counted(&format!("reloads_failed {failures}")).await;
-    format!("{}\n", why.expect_err("a reason"))
+    format!("{}\n", checked.expect_err("the configuration was accepted"))
 }
 
-/// A process that takes clients from the socket that the test holds, as the platform does.
-pub async fn process(
+/// Starts a process that accepts clients from the test's listening socket, as the platform does it. `list` is
+/// discovery's first answer; without one discovery is silent. Returns the process and its operators' address.
+pub async fn start_process(
     world: &World,
     socket: &std::net::TcpListener,
     folder: &Folder,
     name: &str,
     list: Option<Json>,
-) -> (Running, SocketAddr) {
-    let door = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+) -> (RunningProxy, SocketAddr) {
+    let operator = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (tell, discovery) = crate::discovery(Trace::default()).await;
     let mut json = world.json.clone();
     json["discovery"] = json!(discovery.to_string());
     let file = File::new(name, &json.to_string());
     let mut command = program(&["serve", "--config", file.path()]);
     command.stdin(std::os::fd::OwnedFd::from(socket.try_clone().unwrap())).env("PROXY_FD", "0");
-    command.env("PROXY_OPERATOR", door.to_string()).env("TMPDIR", &folder.0);
-    // Its first call is for the whole list; without one discovery is silent.
+    command.env("PROXY_OPERATOR", operator.to_string()).env("TMPDIR", &folder.0);
+    // The process asks for the whole list in its first call.
     if let Some(list) = list {
         tell.send(list.to_string()).await.unwrap();
     }
-    let running = tokio::task::spawn_blocking(move || (Running::start(command), file)).await.unwrap().0;
-    assert_eq!(call(door, "GET", "/status", "").await, "200 serving\n");
-    (running, door)
+    let running = tokio::task::spawn_blocking(move || (RunningProxy::start(command), file)).await.unwrap().0;
+    assert_eq!(call(operator, "GET", "/status", "").await, "200 serving\n");
+    (running, operator)
 }
 
-/// Clients that ask all the time on connections that they keep, until told otherwise: how many answers they had.
-/// None may meet a connection that ends, nor a wrong answer.
-async fn press(address: SocketAddr, stop: Arc<AtomicBool>, number: usize) -> usize {
+/// Sends one request after another on a kept connection until `stop` is set, and returns how many were answered. Panics
+/// if the connection ends or an answer is wrong.
+async fn send_requests_until(address: SocketAddr, stop: Arc<AtomicBool>, number: usize) -> usize {
     let stream = TcpStream::connect(address).await.expect("a connection");
     let mut client = Client(Framed::new(stream, Replies));
     for at in 0.. {
@@ -414,28 +432,32 @@
     unreachable!()
 }
 
+/// A new process takes over the client connections of the old one and the nodes that are out of service. No client may
+/// lose its connection or get a wrong answer, and a node that is out of service gets nothing from the successor either.
 #[tokio::test]
-async fn upgrades_under_load_lose_nothing_and_keep_the_bans() {
+async fn upgrades_under_load_lose_no_request_and_keep_nodes_out_of_service() {
     let world = World::start(&[]).await;
     let folder = Folder::new("upgrade");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let list = || Some(world.json["known"].clone());
-    let own = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
-    let (mut old, mut door) = process(&world, &socket, &folder, "upgrade-0", list()).await;
+    let proxy_folder = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
+    let (mut old, mut operator) = start_process(&world, &socket, &folder, "upgrade-0", list()).await;
     let stop = Arc::new(AtomicBool::new(false));
-    let clients: Vec<_> = (0..5).map(|at| tokio::spawn(press(address, stop.clone(), at))).collect();
+    let clients: Vec<_> =
+        (0..5).map(|at| tokio::spawn(send_requests_until(address, stop.clone(), at))).collect();
     sleep(Duration::from_millis(200)).await;
     let mut trace = String::new();
-    for at in 1..3 {
-        trace += &maintain(door, if at == 1 { "enter" } else { "exit" }, "s-cache").await;
-        let (new, next) = process(&world, &socket, &folder, &format!("upgrade-{at}"), list()).await;
+    for round in 1..3 {
+        trace += &maintain(operator, if round == 1 { "enter" } else { "exit" }, "s-cache").await;
+        let (new, next_operator) =
+            start_process(&world, &socket, &folder, &format!("upgrade-{round}"), list()).await;
         let (code, log) = tokio::task::spawn_blocking(move || old.stop()).await.unwrap();
         trace += &format!("{code:?}, takes over: {}\n", log.contains("another process takes over: 5 client"));
         trace += &format!("passed on: {}\n", log.contains("clients_passed_on 5"));
         let sent = || world.cache.text().lines().count();
         let before = sent();
-        if at == 1 {
+        if round == 1 {
             sleep(Duration::from_millis(300)).await;
             trace += &format!("sent to the node that is out: {}\n", sent() - before);
         } else {
@@ -443,15 +465,15 @@
                 sleep(Duration::from_millis(10)).await;
             }
         }
-        (old, door) = (new, next);
+        (old, operator) = (new, next_operator);
     }
-    // One that is killed before it says yes changes nothing, nor does a file that is none of ours.
-    std::fs::write(own.join("pumicebay-ban-1-zz"), "").unwrap();
-    trace += &call(door, "GET", "/status", "").await;
+    // A file in the folder whose name is not a uid in hex must be ignored.
+    std::fs::write(proxy_folder.join("pumicebay-ban-1-zz"), "").unwrap();
+    trace += &call(operator, "GET", "/status", "").await;
     sleep(Duration::from_millis(200)).await;
     stop.store(true, Ordering::Relaxed);
     for client in clients {
-        assert!(client.await.expect("a client that met nothing wrong") > 10);
+        assert!(client.await.expect("a client failed") > 10);
     }
     let (code, log) = tokio::task::spawn_blocking(move || old.stop()).await.unwrap();
     trace += &format!("{code:?}, takes over: {}\n", log.contains("takes over"));
@@ -469,15 +491,17 @@
     .assert_eq(&trace);
 }
 
+/// The old process learned from discovery that a node drains; the configuration still lists it as active. A successor that
+/// gets no answer from discovery must not send new work to that node.
 #[tokio::test]
-async fn a_drain_that_the_process_before_was_told_of_holds_while_discovery_is_silent() {
+async fn a_successor_keeps_a_drain_while_discovery_is_silent() {
     let world = World::start(&[]).await;
     let folder = Folder::new("drain");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut list = world.json["known"].clone();
     list["targets"][0]["state"] = json!("leaving");
-    let (_old, _) = process(&world, &socket, &folder, "drain-0", Some(list)).await;
-    let (mut new, _) = process(&world, &socket, &folder, "drain-1", None).await;
+    let (_old, _) = start_process(&world, &socket, &folder, "drain-0", Some(list)).await;
+    let (mut new, _) = start_process(&world, &socket, &folder, "drain-1", None).await;
     drop(_old);
     let stream = TcpStream::connect(socket.local_addr().unwrap()).await.unwrap();
     let reply = Client(Framed::new(stream, Replies)).get("hit").await;
@@ -485,17 +509,17 @@
     tokio::task::spawn_blocking(move || new.stop()).await.unwrap();
 }
 
-/// Of a route that keeps order, a key's next exchange goes to a node only when the one before it is over; other keys,
-/// and a client that leaves its place in the line, hold nobody up.
+/// On a route that keeps order, a request is sent to a node only after the previous one of its key has ended. Neither
+/// requests of other keys nor a queued request whose client leaves may delay the rest.
 #[tokio::test]
-async fn exchanges_that_keep_order_go_one_by_one() {
-    let patient = [
+async fn requests_of_one_key_run_one_at_a_time_where_the_route_keeps_order() {
+    let settings = [
         ("/settings/routes/0/keep-order", json!(true)),
         ("/settings/routes/0/latency-objective-us", json!(7_500_000)),
         ("/settings/routes/0/overall-timeout-us", json!(15_000_000)),
         ("/settings/rules/turn-gap-us", json!(100_000)),
     ];
-    let world = World::start(&patient).await;
+    let world = World::start(&settings).await;
     let mut clients = Vec::new();
     for id in ["1", "2", "3"] {
         let mut client = world.client().await;
@@ -505,8 +529,8 @@
     }
     let mut trace = world.client().await.get("hit").await;
     trace += &world.cache.text();
-    let (mut first, leaves, mut third) = (clients.remove(0), clients.remove(0), clients.remove(0));
-    drop(leaves);
+    let (mut first, leaving, mut third) = (clients.remove(0), clients.remove(0), clients.remove(0));
+    drop(leaving);
     trace += &first.reply().await;
     trace += &third.reply().await;
     trace += &world.cache.text();
--- a/crates/proxy/tests/proxy/told.rs
+++ b/crates/proxy/tests/proxy/told.rs
@@ -3,7 +3,7 @@
 
 use crate::cli::{File, program};
 use crate::endings::{Late, move_node};
-use crate::operations::{Folder, process};
+use crate::operations::{Folder, start_process};
 use crate::{Told, Trace, World, configuration, target};
 use pumicebay::client_stream::enable_timestamps;
 use pumicebay::takeover::TakeoverSocket;
@@ -359,7 +359,7 @@
     let asked = Instant::now();
     sleep(KEPT).await;
     let list = Some(world.json["known"].clone());
-    let (mut new, _) = process(&world, &socket, &folder, "told-handed-over", list).await;
+    let (mut new, _) = start_process(&world, &socket, &folder, "told-handed-over", list).await;
     for (mut client, stream, read) in waiting {
         old.successor().expect("another process").pass(&stream, &read, true).await.unwrap();
         drop(stream);
