--- a/crates/proxy/tests/proxy/config.rs
+++ b/crates/proxy/tests/proxy/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: defaults, and messages that name the key.
+//! Parsing of the configuration: defaults, and error messages that name the key.
 
 use crate::configuration;
 use expect_test::expect;
@@ -7,9 +7,9 @@
 use serde_json::json;
 
 #[test]
-fn a_message_names_the_key_that_is_wrong() {
+fn each_error_names_the_invalid_key() {
     let mut trace = String::new();
-    for (place, value) in [
+    for (pointer, value) in [
         ("/listen", json!(null)),
         ("/listen", json!("localhost")),
         ("/discovery", json!(8500)),
@@ -42,7 +42,7 @@
         ("/settings/routes/0/keep-order", json!(1)),
         ("/settings/objective-mix", json!({"nines-wanted": "two"})),
     ] {
-        let error = config::parse(&configuration(&[(place, value)])).expect_err(place);
+        let error = config::parse(&configuration(&[(pointer, value)])).expect_err(pointer);
         trace += &format!("{error:#}\n");
     }
     expect![[r#"
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_is_not_said_has_defaults() {
+fn missing_keys_get_defaults() {
     let mut json = configuration(&[]);
     for key in ["name", "seed", "limits", "known"] {
         json.as_object_mut().unwrap().remove(key);
@@ -91,7 +91,7 @@
     json["settings"]["domain"] = json!({"origin-kind": -1});
     let config = config::parse(&json).unwrap();
     let trace = format!(
-        "{}\nseed {}, origin {:?}, idle {:?}, connect {:?}, longest {:?}, {} ahead\n",
+        "{}\nseed {}, origin kind {:?}, idle timeout {:?}, connect timeout {:?}, longest route timeout {:?}, {} pipelined commands\n",
         config.summary(),
         config.seed,
         config.origin_kind,
@@ -104,7 +104,7 @@
         pumicebay listens on 127.0.0.1:0, discovery at 127.0.0.1:9, 0 nodes known
         at most 595 client connections and 397 to nodes
         routes: read (retriable), put (non-retriable), quick (retriable)
-        seed 0, origin None, idle 15s, connect 200ms, longest 4s, 384 ahead
+        seed 0, origin kind None, idle timeout 15s, connect timeout 200ms, longest route timeout 4s, 384 pipelined commands
     "#]]
     .assert_eq(&trace);
 }
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -1,4 +1,4 @@
-//! Discovery, the identity of nodes, and the clock that its times are compared with.
+//! Following discovery's list of nodes, the identity of nodes, and the clock that the list's times are compared with.
 
 use crate::{World, configuration, target};
 use expect_test::expect;
@@ -13,17 +13,21 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
+/// After an answer that is no JSON and a connection that closes without an answer, the next call asks for changes since
+/// the last version that was received.
 #[tokio::test]
-async fn the_watch_goes_on_from_what_was_known_and_survives_failures() {
+async fn the_watch_continues_from_the_known_version_after_failures() {
     let world = World::start(&[]).await;
-    let say = |text: String| world.tell.send(text);
-    say(json!({"rev": 42, "all": false, "targets": []}).to_string()).await.unwrap();
-    say("{not json".into()).await.unwrap();
-    say("close".into()).await.unwrap();
+    let send_answer = |text: String| world.tell.send(text);
+    send_answer(json!({"rev": 42, "all": false, "targets": []}).to_string()).await.unwrap();
+    send_answer("{not json".into()).await.unwrap();
+    send_answer("close".into()).await.unwrap();
     let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
-    say(json!({"rev": 43, "all": false, "targets": [leaving, {"uid": 7}]}).to_string()).await.unwrap();
+    send_answer(json!({"rev": 43, "all": false, "targets": [leaving, {"uid": 7}]}).to_string())
+        .await
+        .unwrap();
     world.discovery.until("index=43").await;
-    // A node that leaves gets nothing new; the origin serves.
+    // A node that drains gets no new request, so the origin answers.
     let reply = world.client().await.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -36,14 +40,15 @@
     .assert_eq(&format!("{}{reply}{}", world.discovery.text(), world.cache.text()));
 }
 
+/// A call that discovery never answers is abandoned and repeated; meanwhile requests go to the nodes of the old list.
 #[tokio::test]
-async fn a_watch_that_falls_silent_is_begun_anew_while_the_old_list_serves() {
+async fn a_silent_watch_is_restarted_and_the_old_list_stays_in_use() {
     let world = World::start(&[]).await;
     world.discovery.until("index=41").await;
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
     world.until_counted("list_failures 1").await;
-    // The first answer goes to the call that was given up.
+    // The stand-in gives the first answer to the abandoned call.
     for version in [42, 43] {
         let answer = json!({"rev": version, "all": false, "targets": []}).to_string();
         world.tell.send(answer).await.unwrap();
@@ -60,16 +65,17 @@
     .assert_eq(&format!("{}{reply}", world.discovery.text()));
 }
 
-/// What has come of an answer counts for nothing before the rest; the next call is from the version before it.
+/// An answer of which only a part arrives must have no effect; the next call asks for changes since the version before
+/// it.
 #[tokio::test]
-async fn a_watch_that_falls_silent_amid_its_answer_is_begun_anew() {
+async fn a_watch_that_stalls_within_an_answer_is_restarted() {
     let world = World::start(&[]).await;
     let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
     let answer = json!({"rev": 42, "all": false, "targets": [leaving]}).to_string();
-    let began = Instant::now();
+    let start = Instant::now();
     world.tell.send(format!("half {answer}")).await.unwrap();
     world.until_counted("list_failures 1").await;
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(start.elapsed() < Duration::from_secs(5));
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
     world.tell.send(answer).await.unwrap();
@@ -85,23 +91,23 @@
     .assert_eq(&format!("{}{reply}", world.discovery.text()));
 }
 
-/// An old whole list, as from a cache, brings no node back that was told to drain: it is asked for anew, and what
-/// comes then holds, whatever its version.
+/// An outdated whole list, such as one from a cache, must not bring a draining node back into use. The proxy fetches the
+/// whole list again and accepts that answer whatever its version.
 #[tokio::test]
-async fn a_list_that_is_older_than_what_was_told_is_asked_for_anew() {
+async fn a_whole_list_older_than_the_known_version_is_fetched_again() {
     let world = World::start(&[]).await;
-    let say = |text: String| world.tell.send(text);
+    let send_answer = |text: String| world.tell.send(text);
     let list = |version: u64, state| {
         let cache = target("s-cache", &world.cache_address.to_string(), "node", state);
         json!({"rev": version, "all": true, "targets": [cache, world.json["known"]["targets"][1]]})
             .to_string()
     };
-    say(list(43, "leaving")).await.unwrap();
-    say(list(42, "active")).await.unwrap();
+    send_answer(list(43, "leaving")).await.unwrap();
+    send_answer(list(42, "active")).await.unwrap();
     world.until_counted("list_failures 1").await;
     let mut client = world.client().await;
     let mut reply = client.get("hit").await;
-    say(list(42, "active")).await.unwrap();
+    send_answer(list(42, "active")).await.unwrap();
     world.discovery.until("index=42").await;
     reply += &client.get("hit").await;
     expect![[r#"
@@ -115,12 +121,12 @@
     .assert_eq(&format!("{}{reply}", world.discovery.text()));
 }
 
-/// A new address is asked for the whole list while a call still waits at the old one; a configuration that
-/// can't be read changes nothing.
+/// After a reload, discovery at its new address is asked for the whole list at once, though a call still waits at the old
+/// address. An invalid configuration changes nothing.
 #[tokio::test]
-async fn discovery_is_followed_to_where_a_new_configuration_says_it_is() {
-    for asked in ["push", "ask"] {
-        let mut world = World::start(&[("/settings/discovery", json!(asked))]).await;
+async fn a_reload_moves_discovery_to_its_new_address() {
+    for mode in ["push", "ask"] {
+        let mut world = World::start(&[("/settings/discovery", json!(mode))]).await;
         world.discovery.until("index=41").await;
         world.configs.send(Err(anyhow::anyhow!("discovery: missing"))).await.unwrap();
         world.until_counted("reloads_failed 1").await;
@@ -129,7 +135,7 @@
         let origin = world.json["known"]["targets"][1].clone();
         tell.send(json!({"rev": 7, "all": true, "targets": [origin]}).to_string()).await.unwrap();
         moved.until("index=7").await;
-        // The cache node is in the new list no more.
+        // The new list no longer contains the cache node.
         let reply = world.client().await.get("hit").await;
         expect![[r#"
             GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -141,16 +147,17 @@
     }
 }
 
-/// What is gone is forgotten with its connections, and one with a new uid at its address begins anew.
+/// The connections of a removed node are closed. A node with a new uid at the same address is a new node and gets
+/// connections of its own.
 #[tokio::test]
-async fn a_node_that_is_gone_is_forgotten() {
+async fn a_removed_node_is_forgotten_with_its_connections() {
     let world = World::start(&[]).await;
     let mut client = world.client().await;
     let mut replies = client.get("hit-1").await;
     let (old, origin) =
         (world.json["known"]["targets"][0].clone(), world.json["known"]["targets"][1].clone());
-    let stranger = target("s-9", "127.0.0.1:9", "node", "left");
-    let whole = json!({"rev": 42, "all": true, "targets": [origin, stranger]});
+    let unknown_node = target("s-9", "127.0.0.1:9", "node", "left");
+    let whole = json!({"rev": 42, "all": true, "targets": [origin, unknown_node]});
     world.tell.send(whole.to_string()).await.unwrap();
     world.discovery.until("index=42").await;
     replies += &client.get("hit-2").await;
@@ -177,9 +184,9 @@
     );
 }
 
-/// Where the list must be asked for, the decisions say when it is asked for again.
+/// In pull mode the core decides when discovery is called again; this must happen after failed calls as well.
 #[tokio::test]
-async fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
+async fn discovery_in_pull_mode_is_called_again_after_a_failure() {
     let world = World::start(&[("/settings/discovery", json!("ask"))]).await;
     for answer in ["close", "{}", r#"{"rev": 50, "all": false, "targets": []}"#] {
         world.tell.send(answer.into()).await.unwrap();
@@ -189,45 +196,50 @@
     world.until_counted("list_answers 1").await;
 }
 
-/// When the operators' page counts a change as told, from when discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// The proxy must have a change within this time of the moment when discovery has it and can be reached: the limit that
+/// operators are promised.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
+/// An answer that brings the list to a new version.
 const CHANGE: &str = r#"{"rev": 42, "all": false, "targets": []}"#;
-const OLDER: &str = r#"{"rev": 40, "all": true, "targets": []}"#;
+/// A whole list older than the known version, which the proxy rejects as a failure.
+const OLDER_LIST: &str = r#"{"rev": 40, "all": true, "targets": []}"#;
 
-/// A port that refuses until it listens.
-fn refusing() -> TcpSocket {
+/// A bound socket that refuses connections until it listens.
+fn refusing_socket() -> TcpSocket {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     socket
 }
 
-/// Meets one call after the other as the script says; further ones wait. Tells when each came.
-fn scripted<const N: usize>(
+/// A discovery that handles each call as the next word of the script says: `close` closes the connection, `500` answers
+/// with that status, `half` sends only a part of an answer, `silence` sends nothing, anything else is the body of the
+/// answer. Later calls get no answer. Returns the times at which calls arrive.
+fn scripted_discovery<const N: usize>(
     socket: TcpSocket,
     script: [&'static str; N],
 ) -> mpsc::UnboundedReceiver<Instant> {
-    let (came, calls) = mpsc::unbounded_channel();
+    let (arrivals, calls) = mpsc::unbounded_channel();
     let (listener, mut script) = (socket.listen(16).unwrap(), script.into_iter());
     tokio::spawn(async move {
-        let mut open = Vec::new();
+        let mut stalled = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
             while let Ok(1..) = stream.read(&mut [0; 4096]).await {
-                let _ = came.send(Instant::now());
-                let (status, answer, more) = match script.next() {
+                let _ = arrivals.send(Instant::now());
+                let (status, answer, withheld) = match script.next() {
                     Some("close") => break,
                     Some("500") => (500, "", 0),
                     Some("half") => (200, "{", 9),
                     Some("silence") | None => (0, "", 0),
                     Some(answer) => (200, answer, 0),
                 };
-                let length = answer.len() + more;
-                let head = format!("HTTP/1.1 {status} Met\r\nContent-Length: {length}\r\n\r\n{answer}");
+                let length = answer.len() + withheld;
+                let head = format!("HTTP/1.1 {status} Scripted\r\nContent-Length: {length}\r\n\r\n{answer}");
                 if status > 0 && stream.write_all(head.as_bytes()).await.is_err() {
                     break;
                 }
-                if status == 0 || more > 0 {
-                    // Stays up, and nothing more is said on it.
-                    open.push(stream);
+                if status == 0 || withheld > 0 {
+                    // The connection stays open, but nothing more is sent on it.
+                    stalled.push(stream);
                     break;
                 }
             }
@@ -236,82 +248,84 @@
     calls
 }
 
-/// The change is there as soon as a call has begun that will hang, and the next one fails as well.
+/// The worst case: a change becomes available just after a call began that will hang, and the call after it fails as well.
 #[tokio::test]
-async fn a_change_is_told_in_time_whatever_the_calls_before_it_met() {
-    let mut tests = JoinSet::new();
-    for asked in ["ask", "push"] {
-        for hung in ["silence", "half"] {
-            for met in ["close", "500", "{not json", OLDER] {
-                tests.spawn(async move {
-                    let (socket, set) = (refusing(), [("/settings/discovery", json!(asked))]);
+async fn a_change_arrives_in_time_after_two_failed_calls() {
+    let mut cases = JoinSet::new();
+    for mode in ["ask", "push"] {
+        for hang in ["silence", "half"] {
+            for failure in ["close", "500", "{not json", OLDER_LIST] {
+                cases.spawn(async move {
+                    let (socket, settings) = (refusing_socket(), [("/settings/discovery", json!(mode))]);
                     let address = socket.local_addr().unwrap();
-                    let world = World::start_with(&set, |config| config.discovery = address).await;
+                    let world = World::start_with(&settings, |config| config.discovery = address).await;
                     world.until_counted("list_failures 1").await;
-                    let mut calls = scripted(socket, ["close", "500", "close", hung, met, CHANGE]);
+                    let mut calls =
+                        scripted_discovery(socket, ["close", "500", "close", hang, failure, CHANGE]);
                     for _ in 0..3 {
                         calls.recv().await.unwrap();
                     }
-                    let there = calls.recv().await.unwrap();
+                    let change_available = calls.recv().await.unwrap();
                     world.until_counted("list_answers 1").await;
-                    (there.elapsed(), format!("{asked}, {hung}, then {met}"))
+                    (change_available.elapsed(), format!("{mode}, {hang}, then {failure}"))
                 });
             }
         }
     }
-    let mut all = tests.join_all().await;
-    all.sort();
-    assert!(all.iter().all(|(took, _)| *took < TOLD), "{all:#?}");
+    let mut results = cases.join_all().await;
+    results.sort();
+    assert!(results.iter().all(|(took, _)| *took < MAX_CHANGE_DELAY), "{results:#?}");
 }
 
-/// Refused for so long that the pauses are long, as they must be for the sake of discovery; the first call that gets
-/// through fails as well.
+/// After a long outage the delays between calls are long, so that all proxies together do not overload discovery when it
+/// comes back. The first call that reaches it fails as well.
 #[tokio::test]
-async fn a_change_is_told_in_time_after_a_discovery_that_was_long_down() {
-    let (socket, set) = (refusing(), [("/settings/discovery", json!("ask"))]);
-    let (address, began) = (socket.local_addr().unwrap(), Instant::now());
-    let world = World::start_with(&set, |config| config.discovery = address).await;
+async fn a_change_arrives_in_time_after_a_long_discovery_outage() {
+    let (socket, settings) = (refusing_socket(), [("/settings/discovery", json!("ask"))]);
+    let (address, start) = (socket.local_addr().unwrap(), Instant::now());
+    let world = World::start_with(&settings, |config| config.discovery = address).await;
     world.until_counted("list_failures 6").await;
-    let there = Instant::now();
-    assert!(there - began > Duration::from_secs(1), "{:?}", there - began);
-    let _calls = scripted(socket, ["500", CHANGE]);
+    let change_available = Instant::now();
+    assert!(change_available - start > Duration::from_secs(1), "{:?}", change_available - start);
+    let _calls = scripted_discovery(socket, ["500", CHANGE]);
     world.until_counted("list_answers 1").await;
-    let took = there.elapsed();
-    assert!(took < TOLD, "{took:?}");
+    let took = change_available.elapsed();
+    assert!(took < MAX_CHANGE_DELAY, "{took:?}");
 }
 
-/// A call hangs; amid it a new configuration says where discovery is, and the first call there fails.
+/// While a call hangs, a reload changes the address of discovery, and the first call to the new address fails.
 #[tokio::test]
-async fn a_change_is_told_in_time_though_discovery_moves_amid_a_call() {
-    let (old, new, set) = (refusing(), refusing(), [("/settings/discovery", json!("ask"))]);
+async fn a_change_arrives_in_time_if_discovery_moves_during_a_call() {
+    let (old, new, settings) =
+        (refusing_socket(), refusing_socket(), [("/settings/discovery", json!("ask"))]);
     let address = old.local_addr().unwrap();
-    let mut calls = scripted(old, ["close", "close", "close", "close", "silence"]);
-    let mut world = World::start_with(&set, |config| config.discovery = address).await;
+    let mut calls = scripted_discovery(old, ["close", "close", "close", "close", "silence"]);
+    let mut world = World::start_with(&settings, |config| config.discovery = address).await;
     for _ in 0..4 {
         calls.recv().await.unwrap();
     }
-    let there = calls.recv().await.unwrap();
+    let change_available = calls.recv().await.unwrap();
     sleep(Duration::from_secs(3)).await;
     world.json["discovery"] = json!(new.local_addr().unwrap().to_string());
-    let _calls = scripted(new, ["500", CHANGE]);
+    let _calls = scripted_discovery(new, ["500", CHANGE]);
     world.configs.send(config::parse(&world.json)).await.unwrap();
     world.until_counted("list_answers 1").await;
-    let took = there.elapsed();
-    assert!(took < TOLD, "{took:?}");
+    let took = change_available.elapsed();
+    assert!(took < MAX_CHANGE_DELAY, "{took:?}");
 }
 
 #[test]
-fn a_node_is_known_by_its_uid_whatever_its_endpoint_at_this_proxy() {
+fn the_identity_of_a_node_depends_on_its_uid_not_its_endpoint() {
     let config = config::parse(&configuration(&[])).unwrap();
     let list = |endpoint| json!({"rev": 1, "all": true, "targets": [target("s-5be2a07c", endpoint, "node", "active")]});
-    let (here, there) = (list("127.8.1.1:6379"), list("127.9.1.1:6379"));
+    let (one, other) = (list("127.8.1.1:6379"), list("127.9.1.1:6379"));
     let identity =
         |list: &Json| parse_list(list.to_string().as_bytes(), &config).unwrap().2[0].listed.identity;
-    assert_eq!(identity(&here), identity(&there));
+    assert_eq!(identity(&one), identity(&other));
 }
 
 #[test]
-fn entries_that_cannot_be_read_are_left_out() {
+fn invalid_entries_of_a_list_are_skipped() {
     let config = config::parse(&configuration(&[])).unwrap();
     let mut booted = target("s-2", "127.0.0.1:2", "node", "left");
     booted["boot_ms"] = json!(1_700_000_000_123_u64);
@@ -320,18 +334,19 @@
         target("s-1", "127.0.0.1:1", "origin", "leaving"), booted,
         target("s-3", "nowhere", "node", "active"), target("s-4", "127.0.0.1:4", "node", "odd"), {}, 7
     ]});
-    let (version, whole, named) = parse_list(list.to_string().as_bytes(), &config).unwrap();
+    let (version, whole, entries) = parse_list(list.to_string().as_bytes(), &config).unwrap();
     let mut trace = format!("{version} {whole}\n");
-    for named in named {
-        let listed = named.listed;
+    for entry in entries {
+        let listed = entry.listed;
         trace += &format!(
             "{} {} {:?} zone {} cell {} started {} origin {}\n",
-            named.uid, named.address, listed.status, listed.zone, listed.cell, listed.started, listed.origin
+            entry.uid, entry.address, listed.status, listed.zone, listed.cell, listed.started, listed.origin
         );
     }
-    for broken in [json!({}), json!({"rev": "x", "all": true, "targets": []}), json!({"rev": 1, "all": true})]
+    for invalid in
+        [json!({}), json!({"rev": "x", "all": true, "targets": []}), json!({"rev": 1, "all": true})]
     {
-        trace += &format!("{:#}\n", parse_list(broken.to_string().as_bytes(), &config).unwrap_err());
+        trace += &format!("{:#}\n", parse_list(invalid.to_string().as_bytes(), &config).unwrap_err());
     }
     expect![[r#"
         9 true
@@ -345,7 +360,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_clock_compares_with_unix_time_and_never_steps_back() {
+async fn the_clock_follows_unix_time_and_never_goes_back() {
     let unix = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64;
     let before = unix();
     let clock = Clock::start();
@@ -357,7 +372,7 @@
     assert_eq!(
         clock.at(start - Duration::from_secs(1)),
         now,
-        "what was before its start counts as its start"
+        "a time before the start of the clock must count as its start"
     );
     assert_eq!(clock.instant(now + 7), start + Duration::from_nanos(7));
 }
--- a/crates/proxy/tests/proxy/migrate.rs
+++ b/crates/proxy/tests/proxy/migrate.rs
@@ -1,4 +1,4 @@
-//! The move of a configuration from a pool of proxies in several zones to one beside each client.
+//! Migration of a configuration from a pool of proxies in several zones to the layout with one proxy beside each client.
 
 use crate::cli::{File, program};
 use crate::{World, configuration};
@@ -7,8 +7,8 @@
 use pumicebay::migrate::{MigrationOptions, migrate};
 use serde_json::{Value as Json, json};
 
-/// A pool of three with peers in two zones, with notes and a key that nobody knows.
-fn pool() -> Json {
+/// The configuration of a proxy in a pool of three, with peers, nodes in two zones, notes and an unknown key.
+fn pool_configuration() -> Json {
     let mut json = configuration(&[
         ("/peers", json!(["127.0.0.1:7001", "127.0.0.1:7002"])),
         ("/# peers", json!("the other two")),
@@ -28,18 +28,23 @@
     json
 }
 
-fn answers() -> MigrationOptions {
+/// All options that the migration of the pool needs.
+fn options() -> MigrationOptions {
     let per_proxy = vec![("name", json!("c7")), ("seed", json!("1f")), ("me", json!(7))];
     MigrationOptions { proxies: Some(480), probes: Some(false), zone: Some("a".into()), per_proxy }
 }
 
 #[test]
-fn each_thing_that_changes_is_listed_and_nothing_is_lost() {
-    let done = migrate(&pool().to_string(), &answers()).unwrap().unwrap();
-    assert!(done.missing.is_empty());
-    assert_eq!((&done.json["# rack"], &done.json["colour"]), (&json!("a note"), &json!("grey")));
-    config::parse(&done.json).unwrap();
-    assert_eq!(migrate(&done.json.to_string(), &answers()).unwrap(), None, "the new shape stays as it is");
+fn every_change_is_reported_and_unknown_keys_are_kept() {
+    let migration = migrate(&pool_configuration().to_string(), &options()).unwrap().unwrap();
+    assert!(migration.missing.is_empty());
+    assert_eq!((&migration.json["# rack"], &migration.json["colour"]), (&json!("a note"), &json!("grey")));
+    config::parse(&migration.json).unwrap();
+    assert_eq!(
+        migrate(&migration.json.to_string(), &options()).unwrap(),
+        None,
+        "a migrated configuration must not be changed again"
+    );
     expect![[r#"
         not carried over: peers ["127.0.0.1:7001","127.0.0.1:7002"]: proxies beside their clients do not exchange news
         not carried over: # peers "the other two": proxies beside their clients do not exchange news
@@ -56,85 +61,92 @@
         changed: seed "8c1f30d27a5be964" -> "1f"
         changed: settings.me 0 -> 7
         look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
-    "#]].assert_eq(&(done.report.join("\n") + "\n"));
+    "#]].assert_eq(&(migration.report.join("\n") + "\n"));
 }
 
 #[test]
-fn what_the_old_file_cannot_know_is_asked_for() {
-    let done = migrate(&pool().to_string(), &MigrationOptions::default()).unwrap().unwrap();
+fn values_that_the_old_file_lacks_are_reported_as_missing_options() {
+    let migration =
+        migrate(&pool_configuration().to_string(), &MigrationOptions::default()).unwrap().unwrap();
     expect![[r#"
         missing: settings.failure-domains, currently a, b: one of them must become the one location, give --zone NAME
         missing: settings.fleet-size, currently 3: cannot be derived from the old file, give --proxies N
         missing: settings.permissions.may-probe, currently true: cannot be derived from the old file, give --probes yes|no
     "#]]
-    .assert_eq(&(done.missing.join("\n") + "\n"));
+    .assert_eq(&(migration.missing.join("\n") + "\n"));
 }
 
+/// Neither the old file nor an existing output may change when options are missing or invalid, the input is invalid, the
+/// output exists already, or there is nothing to migrate.
 #[test]
-fn the_command_refuses_before_it_writes() {
-    let (old, new) = (File::new("pool", &pool().to_string()), File::new("beside", "kept"));
-    let shaped =
-        File::new("shaped", &migrate(&pool().to_string(), &answers()).unwrap().unwrap().json.to_string());
+fn a_refused_migration_writes_nothing() {
+    let (old, new) = (File::new("pool", &pool_configuration().to_string()), File::new("beside", "kept"));
+    let migrated = File::new(
+        "shaped",
+        &migrate(&pool_configuration().to_string(), &options()).unwrap().unwrap().json.to_string(),
+    );
     let broken = File::new("broken-pool", &configuration(&[("/peers", json!("x"))]).to_string());
-    let full = ["--proxies", "480", "--probes", "no", "--zone", "a"];
+    let all_options = ["--proxies", "480", "--probes", "no", "--zone", "a"];
     let mut trace = String::new();
-    for (what, from, to, more) in [
-        ("answers missing", &old, &new, &["--zone", "a"][..]),
+    for (case, from, to, more) in [
+        ("options missing", &old, &new, &["--zone", "a"][..]),
         ("no such zone", &old, &new, &["--proxies", "480", "--probes", "no", "--zone", "c"]),
-        ("broken", &broken, &new, &full),
-        ("there already", &old, &new, &full),
-        ("itself", &old, &old, &full),
-        ("of the new shape", &shaped, &new, &full),
+        ("broken", &broken, &new, &all_options),
+        ("output exists", &old, &new, &all_options),
+        ("output is the input", &old, &old, &all_options),
+        ("already migrated", &migrated, &new, &all_options),
     ] {
         let run = program(&["migrate", "--config", from.path(), "--output", to.path()])
             .args(more)
             .output()
             .unwrap();
         let (out, err) = (String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr));
-        let last = format!("{}{err}", out.lines().last().map(|line| format!("{line}\n")).unwrap_or_default());
-        let last = last.replace(from.path(), "OLD").replace(to.path(), "NEW");
-        trace += &format!("{what}: {:?}\n{last}", run.status.code());
+        let last_line =
+            format!("{}{err}", out.lines().last().map(|line| format!("{line}\n")).unwrap_or_default());
+        let last_line = last_line.replace(from.path(), "OLD").replace(to.path(), "NEW");
+        trace += &format!("{case}: {:?}\n{last_line}", run.status.code());
         assert_eq!(std::fs::read_to_string(new.path()).unwrap(), "kept");
-        assert_eq!(std::fs::read_to_string(old.path()).unwrap(), pool().to_string());
+        assert_eq!(std::fs::read_to_string(old.path()).unwrap(), pool_configuration().to_string());
     }
     expect![[r#"
-        answers missing: Some(1)
+        options missing: Some(1)
         missing: settings.permissions.may-probe, currently true: cannot be derived from the old file, give --probes yes|no
         pumicebay: 2 options are missing: nothing written
         no such zone: Some(1)
         pumicebay: configuration OLD: settings.failure-domains: no zone "c" among a, b
         broken: Some(1)
         pumicebay: configuration OLD: peers: expected a list, found "x"
-        there already: Some(1)
+        output exists: Some(1)
         look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
         pumicebay: NEW: exists; --force replaces it
-        itself: Some(1)
+        output is the input: Some(1)
         look at: settings.telemetry stays {"columns":[],"via":"silent"}; it must match what the new nodes report
         pumicebay: OLD: is the file of the old configuration
-        of the new shape: Some(0)
+        already migrated: Some(0)
         OLD already has the new layout: nothing changed, nothing written
     "#]]
     .assert_eq(&trace);
 }
 
+/// The real run then writes a complete and valid file, and `--force` replaces an existing one.
 #[test]
-fn a_dry_run_prints_the_same_list_and_the_file_comes_whole() {
-    let (old, new) = (File::new("pool-2", &pool().to_string()), File::new("new-2", ""));
+fn a_dry_run_prints_the_same_report_and_writes_nothing() {
+    let (old, new) = (File::new("pool-2", &pool_configuration().to_string()), File::new("new-2", ""));
     std::fs::remove_file(new.path()).unwrap();
     let run = |more: &[&str]| {
-        let full = ["--proxies", "480", "--probes", "no", "--zone", "a", "--listen", "127.0.0.1:0"];
+        let all_options = ["--proxies", "480", "--probes", "no", "--zone", "a", "--listen", "127.0.0.1:0"];
         let mut command = program(&["migrate", "--config", old.path(), "--output", new.path()]);
-        let done = command.args(full).args(more).output().unwrap();
-        assert_eq!(done.status.code(), Some(0), "{}", String::from_utf8_lossy(&done.stderr));
-        let text = String::from_utf8_lossy(&done.stdout).into_owned();
-        let (list, last) = text.trim_end().rsplit_once('\n').unwrap();
-        (list.to_string(), last.to_string())
+        let output = command.args(all_options).args(more).output().unwrap();
+        assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
+        let text = String::from_utf8_lossy(&output.stdout).into_owned();
+        let (report, last_line) = text.trim_end().rsplit_once('\n').unwrap();
+        (report.to_string(), last_line.to_string())
     };
-    let (dry, _) = run(&["--dry-run"]);
+    let (dry_run_report, _) = run(&["--dry-run"]);
     assert!(!std::path::Path::new(new.path()).exists());
-    let (list, last) = run(&[]);
-    assert_eq!(dry, list);
-    assert!(last.ends_with("written"));
+    let (report, last_line) = run(&[]);
+    assert_eq!(dry_run_report, report);
+    assert!(last_line.ends_with("written"));
     let checked = program(&["check", "--config", new.path()]).output().unwrap();
     assert_eq!(checked.status.code(), Some(0));
     std::fs::write(new.path(), "older").unwrap();
@@ -145,11 +157,11 @@
 #[tokio::test]
 async fn a_migrated_configuration_serves_a_hit_and_a_miss() {
     let world = World::start_with(&[], |config| {
-        let mut json = pool();
+        let mut json = pool_configuration();
         json["known"] = serde_json::from_str(&config.known.take().unwrap()).unwrap();
         json["discovery"] = json!(config.discovery.to_string());
-        let done = migrate(&json.to_string(), &answers()).unwrap().unwrap();
-        *config = config::parse(&done.json).unwrap();
+        let migration = migrate(&json.to_string(), &options()).unwrap().unwrap();
+        *config = config::parse(&migration.json).unwrap();
     })
     .await;
     let mut client = world.client().await;
