--- a/crates/proxy/tests/cost.rs
+++ b/crates/proxy/tests/cost.rs
@@ -1,9 +1,10 @@
-//! The guard of the ordinary path: heap allocations of the proxy for one exchange, on loopback sockets, against
-//! `cost/baseline.json`. Counts only, never time. `UPDATE_BASELINE=1` writes what is measured; a number that grows
-//! has to be explained where it is committed.
+//! Compares the proxy's heap allocations per request, on loopback sockets, with `cost/baseline.json`, to
+//! prevent regressions of the usual request path. Only allocations are counted; time is not measured.
+//! `UPDATE_BASELINE=1` writes the measured numbers to the file; a commit that raises a number must explain
+//! it.
 //!
-//! The proxy has a thread of its own and only that thread's allocations count. What starting and ending take is
-//! left out by the difference of two runs, one longer than the other.
+//! The proxy runs on a thread of its own, and only that thread's allocations are counted. Allocations of
+//! startup and shutdown cancel out, because the result is the difference between a long and a short run.
 
 use pumicebay::config::parse;
 use pumicebay::counters::Counters;
@@ -15,14 +16,16 @@
 use std::sync::mpsc::channel;
 use std::thread;
 
-const FEW: usize = 300;
-const MANY: usize = 1500;
-/// Counts are averages: buffers that grow now and then make parts of one.
-const SLACK: f64 = 0.4;
+/// The number of requests in the short and the long run.
+const SHORT_RUN: usize = 300;
+const LONG_RUN: usize = 1500;
+/// How much more than the baseline passes, in allocations per request. The numbers are averages, to which
+/// buffers that grow only now and then add fractions.
+const TOLERANCE: f64 = 0.4;
 const BASELINE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/cost/baseline.json");
 
-/// What an exchange is: its name, key and the bytes of its value.
-const KINDS: &[(&str, &str, usize)] = &[
+/// The kinds of requests: the name in the baseline, the key, and the size of the value in bytes.
+const REQUEST_KINDS: &[(&str, &str, usize)] = &[
     ("hit, 200 B", "hit", 200),
     ("hit, 4 KiB", "hit", 4096),
     ("hit, 63 KiB", "hit", 63 * 1024),
@@ -30,26 +33,26 @@
     ("shed", "busy", 200),
 ];
 
-/// One RESP command, or none at the end.
-fn words(from: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
+/// Reads the arguments of one RESP command; `None` at the end of the stream.
+fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<Vec<u8>>> {
     let mut line = String::new();
-    let mut number = |from: &mut BufReader<TcpStream>| {
+    let mut number = |reader: &mut BufReader<TcpStream>| {
         line.clear();
-        from.read_line(&mut line).ok().filter(|&read| read > 0)?;
+        reader.read_line(&mut line).ok().filter(|&read| read > 0)?;
         line.get(1..)?.trim().parse::<usize>().ok()
     };
-    let count = number(from)?;
-    let word = |_| {
-        let mut word = vec![0; number(from)? + 2];
-        from.read_exact(&mut word).ok()?;
-        word.truncate(word.len() - 2);
-        Some(word)
+    let count = number(reader)?;
+    let argument = |_| {
+        let mut argument = vec![0; number(reader)? + 2];
+        reader.read_exact(&mut argument).ok()?;
+        argument.truncate(argument.len() - 2);
+        Some(argument)
     };
-    (0..count).map(word).collect()
+    (0..count).map(argument).collect()
 }
 
-/// Accepts for ever, with a thread for each connection.
-fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Serves each connection to a free port on a thread of its own, until the test ends.
+fn start_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (address, serve) = (listener.local_addr().expect("an address"), Arc::new(serve));
     thread::spawn(move || {
@@ -62,50 +65,54 @@
     address
 }
 
-/// Answers as the key says: `hit`, `miss` or `busy`.
+/// A cache node that answers as the key says: `hit`, `miss` or `busy`.
 fn cache_node(stream: TcpStream, size: usize) {
-    let (mut from, mut to) = (BufReader::new(stream.try_clone().expect("a handle")), stream);
+    let (mut reader, mut writer) = (BufReader::new(stream.try_clone().expect("a handle")), stream);
     let value = [format!("*3\r\n${size}\r\n").as_bytes(), &vec![b'v'; size], b"\r\n$-1\r\n$-1\r\n"].concat();
-    while let Some(words) = words(&mut from) {
-        let answer: &[u8] = match words.get(1).map(|key| &key[..]) {
+    while let Some(command) = read_command(&mut reader) {
+        let answer: &[u8] = match command.get(1).map(|key| &key[..]) {
             Some(b"hit") => &value,
             Some(b"busy") => b"-BUSY\r\n",
             Some(_) => b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
             None => b"+PONG\r\n",
         };
-        if to.write_all(answer).is_err() {
+        if writer.write_all(answer).is_err() {
             return;
         }
     }
 }
 
-fn origin(stream: TcpStream, size: usize) {
-    let (mut from, mut to) = (BufReader::new(stream.try_clone().expect("a handle")), stream);
+/// An origin that answers each request with a value of this size.
+fn origin_server(stream: TcpStream, size: usize) {
+    let (mut reader, mut writer) = (BufReader::new(stream.try_clone().expect("a handle")), stream);
     let mut value = format!("HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n").into_bytes();
     value.resize(value.len() + size, b'v');
     let mut line = String::new();
-    while from.read_line(&mut line).is_ok_and(|read| read > 0) {
-        if line == "\r\n" && to.write_all(&value).is_err() {
+    while reader.read_line(&mut line).is_ok_and(|read| read > 0) {
+        if line == "\r\n" && writer.write_all(&value).is_err() {
             return;
         }
         line.clear();
     }
 }
 
-fn silent(_stream: TcpStream) {
+/// Keeps the connection open and sends nothing.
+fn silent_server(_stream: TcpStream) {
     thread::park();
 }
 
+/// The configuration of a proxy in front of a cache node and an origin. If requests are to be shed, there is no
+/// origin.
 fn configuration(size: usize, shed: bool) -> Json {
-    let cache = listen(move |stream| cache_node(stream, size));
-    let origin = listen(move |stream| origin(stream, size));
+    let cache = start_server(move |stream| cache_node(stream, size));
+    let origin = start_server(move |stream| origin_server(stream, size));
     let target = |uid: &str, at: SocketAddr, model: &str| json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": model, "state": "active"});
     let mut targets = vec![target("n1", cache, "node")];
     if !shed {
         targets.push(target("origin", origin, "origin"));
     }
     json!({
-        "listen": "127.0.0.1:0", "discovery": listen(silent).to_string(),
+        "listen": "127.0.0.1:0", "discovery": start_server(silent_server).to_string(),
         "known": {"rev": 1, "all": true, "targets": targets},
         "settings": {
             "discovery": "push", "domain": {"mode": "aside", "origin-kind": 1}, "fleet-size": 1,
@@ -118,33 +125,35 @@
     })
 }
 
-/// All allocations of a proxy's life, in which it serves so many exchanges one after another.
-fn allocations(key: &str, size: usize, exchanges: usize) -> u64 {
-    allocations_of(&configuration(size, key == "busy"), key, size, exchanges)
+/// All allocations of a proxy from its start to its end, in which it serves this many requests one after
+/// another.
+fn allocations(key: &str, size: usize, requests: usize) -> u64 {
+    allocations_with(&configuration(size, key == "busy"), key, size, requests)
 }
 
-fn allocations_of(configuration: &Json, key: &str, size: usize, exchanges: usize) -> u64 {
-    let config = parse(configuration).expect("a sound configuration");
-    let (tell, told) = channel();
+/// As [`allocations`], for a proxy with this configuration.
+fn allocations_with(configuration: &Json, key: &str, size: usize, requests: usize) -> u64 {
+    let config = parse(configuration).expect("a valid configuration");
+    let (address_sender, addresses) = channel();
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
     let proxy = thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let counted = allocation_counter::measure(|| {
             runtime.block_on(async {
                 let proxy = Proxy::start(config, Arc::new(Counters::default())).await.expect("a proxy");
-                tell.send(proxy.address).expect("a listener");
-                let (_keep, fresh) = tokio::sync::mpsc::channel(1);
+                address_sender.send(proxy.address).expect("a listener");
+                let (_keep, reloads) = tokio::sync::mpsc::channel(1);
                 let stop = async { stopped.await.unwrap_or(()) };
-                proxy.run(stop, fresh).await.expect("an end");
+                proxy.run(stop, reloads).await.expect("an orderly stop");
             });
         });
         counted.count_total
     });
-    let mut to = TcpStream::connect(told.recv().expect("an address")).expect("a connection");
-    to.set_nodelay(true).expect("a socket");
-    let mut from = BufReader::new(to.try_clone().expect("a handle"));
+    let mut writer = TcpStream::connect(addresses.recv().expect("an address")).expect("a connection");
+    writer.set_nodelay(true).expect("a socket");
+    let mut reader = BufReader::new(writer.try_clone().expect("a handle"));
     let mut line = String::new();
-    for id in 0..exchanges {
+    for id in 0..requests {
         let id = format!("{id:016x}");
         let labels = "c=read,d=1500";
         let command = format!(
@@ -152,94 +161,101 @@
             key.len(),
             labels.len()
         );
-        to.write_all(command.as_bytes()).expect("a command sent");
+        writer.write_all(command.as_bytes()).expect("a command sent");
         line.clear();
-        from.read_line(&mut line).expect("an answer");
+        reader.read_line(&mut line).expect("an answer");
         assert_eq!(line.starts_with("-BUSY"), key == "busy", "{line}");
         if key != "busy" {
             let mut value = vec![0; size + 2];
-            from.read_exact(&mut value).expect("a value");
+            reader.read_exact(&mut value).expect("a value");
         }
     }
-    drop((to, from));
+    drop((writer, reader));
     stop.send(()).expect("a running proxy");
-    proxy.join().expect("a proxy that ends")
+    proxy.join().expect("the proxy failed")
 }
 
-/// For one exchange, beyond what starting and ending take.
-fn cost(key: &str, size: usize) -> f64 {
-    let (few, many) = (allocations(key, size, FEW), allocations(key, size, MANY));
-    many.saturating_sub(few) as f64 / (MANY - FEW) as f64
+/// Allocations per request, without those of startup and shutdown.
+fn allocations_per_request(key: &str, size: usize) -> f64 {
+    let (short_run, long_run) = (allocations(key, size, SHORT_RUN), allocations(key, size, LONG_RUN));
+    long_run.saturating_sub(short_run) as f64 / (LONG_RUN - SHORT_RUN) as f64
 }
 
-/// Of a hit at a proxy that has links to two others for orders of maintenance, of which there are none.
-fn cost_beside_replication(size: usize) -> f64 {
-    // The voters are down; the group's links are up.
+/// Allocations per hit at a proxy with links to two others for the replication of maintenance orders, while
+/// there are no orders.
+fn allocations_per_request_with_replication(size: usize) -> f64 {
+    // The voters are down, but the links between the proxies of the group are up.
     let group = |names: [&str; 3]| {
-        Json::Object(names.map(|name| (name.to_string(), json!(free()))).into_iter().collect())
+        Json::Object(names.map(|name| (name.to_string(), json!(unused_address()))).into_iter().collect())
     };
     let peers = group(["p1", "p2", "p3"]);
     let section = json!({"name": "f", "voters": group(["v1", "v2", "v3"]), "replication": {"peers": peers}});
-    let of_name = |name: &str| {
+    let configuration_of = |name: &str| {
         let mut configuration = configuration(size, false);
         configuration["name"] = json!(name);
         configuration["fleet"] = section.clone();
         configuration
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let (others, (stop, stopped)) = (["p2", "p3"].map(of_name), std::sync::mpsc::channel::<()>());
+    let (others, (stop, stopped)) = (["p2", "p3"].map(configuration_of), std::sync::mpsc::channel::<()>());
     let serving = thread::spawn(move || {
         runtime.block_on(async {
             for other in others {
-                let config = parse(&other).expect("a sound configuration");
+                let config = parse(&other).expect("a valid configuration");
                 let proxy = Proxy::start(config, Arc::new(Counters::default())).await.expect("a proxy");
-                let (_keep, fresh) = tokio::sync::mpsc::channel(1);
-                tokio::spawn(async move { proxy.run(std::future::pending(), fresh).await });
+                let (_keep, reloads) = tokio::sync::mpsc::channel(1);
+                tokio::spawn(async move { proxy.run(std::future::pending(), reloads).await });
             }
             while stopped.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
         });
     });
-    let own = of_name("p1");
-    let (few, many) = (allocations_of(&own, "hit", size, FEW), allocations_of(&own, "hit", size, MANY));
+    let measured = configuration_of("p1");
+    let (short_run, long_run) = (
+        allocations_with(&measured, "hit", size, SHORT_RUN),
+        allocations_with(&measured, "hit", size, LONG_RUN),
+    );
     drop(stop);
-    serving.join().expect("others that end");
-    many.saturating_sub(few) as f64 / (MANY - FEW) as f64
+    serving.join().expect("the other proxies failed");
+    long_run.saturating_sub(short_run) as f64 / (LONG_RUN - SHORT_RUN) as f64
 }
 
-/// An address that nobody listens at.
-fn free() -> String {
+/// An address at which nothing listens.
+fn unused_address() -> String {
     TcpListener::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port").to_string()
 }
 
+/// The replication of maintenance orders must not slow down requests while no order is given.
 #[test]
-fn links_between_proxies_cost_an_exchange_nothing() {
+fn links_between_proxies_add_no_allocations_to_a_request() {
     let baseline = std::fs::read_to_string(BASELINE).expect("a baseline");
     let baseline: Json = serde_json::from_str(&baseline).expect("a baseline that can be read");
-    let (name, _, size) = KINDS[0];
-    let measured = [(name.to_string(), cost_beside_replication(size))];
+    let (name, _, size) = REQUEST_KINDS[0];
+    let measured = [(name.to_string(), allocations_per_request_with_replication(size))];
     println!("{measured:?}");
-    let grown = grown(&baseline, &measured);
-    assert!(grown.is_empty(), "{}", grown.join("\n"));
+    let found = regressions(&baseline, &measured);
+    assert!(found.is_empty(), "{}", found.join("\n"));
 }
 
-/// What has grown past the baseline.
-fn grown(baseline: &Json, measured: &[(String, f64)]) -> Vec<String> {
+/// A line for each measured number that exceeds the baseline or is not in it.
+fn regressions(baseline: &Json, measured: &[(String, f64)]) -> Vec<String> {
     let line = |(name, now): &(String, f64)| {
         let before = baseline.get(name).and_then(Json::as_f64);
-        let grown = before.is_none_or(|before| *now > before + SLACK);
-        grown.then(|| format!("{name}: {now:.2} allocations an exchange, {before:?} before"))
+        let exceeded = before.is_none_or(|before| *now > before + TOLERANCE);
+        exceeded.then(|| format!("{name}: {now:.2} allocations per request, {before:?} in the baseline"))
     };
     measured.iter().filter_map(line).collect()
 }
 
 #[test]
-fn allocations_of_an_exchange_do_not_grow() {
-    let kinds =
-        KINDS.iter().map(|(name, key, size)| thread::spawn(move || ((*name).to_string(), cost(key, *size))));
+fn allocations_per_request_do_not_exceed_the_baseline() {
+    let kinds = REQUEST_KINDS.iter().map(|(name, key, size)| {
+        thread::spawn(move || ((*name).to_string(), allocations_per_request(key, *size)))
+    });
     let kinds: Vec<_> = kinds.collect();
-    let measured: Vec<(String, f64)> = kinds.into_iter().map(|kind| kind.join().expect("a cost")).collect();
+    let measured: Vec<(String, f64)> =
+        kinds.into_iter().map(|kind| kind.join().expect("a measurement failed")).collect();
     if std::env::var_os("UPDATE_BASELINE").is_some() {
         let round = |(name, count): &(String, f64)| (name.clone(), json!((count * 10.0).round() / 10.0));
         let baseline: serde_json::Map<String, Json> = measured.iter().map(round).collect();
@@ -248,9 +264,10 @@
     }
     let baseline = std::fs::read_to_string(BASELINE).expect("a baseline");
     let baseline: Json = serde_json::from_str(&baseline).expect("a baseline that can be read");
-    let grown = grown(&baseline, &measured);
-    assert!(grown.is_empty(), "{}", grown.join("\n"));
-    // One more, on purpose, is noticed for every kind.
-    let more: Vec<(String, f64)> = measured.into_iter().map(|(name, count)| (name, count + 1.0)).collect();
-    assert_eq!(self::grown(&baseline, &more).len(), KINDS.len());
+    let found = regressions(&baseline, &measured);
+    assert!(found.is_empty(), "{}", found.join("\n"));
+    // The check itself works: one more allocation per request is found for every kind.
+    let increased: Vec<(String, f64)> =
+        measured.into_iter().map(|(name, count)| (name, count + 1.0)).collect();
+    assert_eq!(self::regressions(&baseline, &increased).len(), REQUEST_KINDS.len());
 }
