--- a/crates/proxy/tests/many_nodes/audit.rs
+++ b/crates/proxy/tests/many_nodes/audit.rs
@@ -97,7 +97,7 @@
             .extend(answerless.map(|(id, _)| format!("{id}: closed without an answer after an attempt")));
         for attempt in &attempts {
             let Some(request) = requests.get(&attempt.id) else {
-                violations.push(format!("{}: no client sent it", attempt.id));
+                violations.push(format!("{}: attempt for a request that no client sent", attempt.id));
                 continue;
             };
             let late = request.left_at.and_then(|left_at| {
@@ -147,7 +147,8 @@
         Load { stop, clients }
     }
 
-    /// Lets the clients open no new connections, and waits until the proxy has closed those that are open.
+    /// After a further 300 ms, lets the clients open no new connections and waits until the proxy has closed
+    /// all of theirs.
     pub async fn finish_open_connections(mut self) {
         sleep(Duration::from_millis(300)).await;
         self.stop.store(true, Ordering::SeqCst);
--- a/crates/proxy/tests/many_nodes/main.rs
+++ b/crates/proxy/tests/many_nodes/main.rs
@@ -19,11 +19,12 @@
 const USUAL_NODES: usize = 200;
 /// Sixteen times as many.
 const MANY_NODES: usize = 3_200;
-/// The peak memory allowed with many nodes: this many times the peak of a usual day,
+/// The peak memory allowed with many nodes, as a multiple of the peak on a usual day. The next two constants
+/// are added to it.
 const PEAK_FACTOR: f64 = 1.5;
-/// and this much more,
+/// A fixed addition to the allowed peak.
 const PEAK_ALLOWANCE_MB: f64 = 8.0;
-/// and this much for each further thousand nodes.
+/// The addition to the allowed peak for each thousand nodes more than on a usual day.
 const PEAK_MB_PER_THOUSAND_NODES: f64 = 4.0;
 /// The most memory that each listed node without requests may add to the peak.
 const MAX_LISTED_NODE_KB: f64 = 2.0;
@@ -51,6 +52,7 @@
     process.peak_mb()
 }
 
+/// The platform kills a process that exceeds its memory limit, so memory must grow only slowly with the list.
 #[tokio::test]
 async fn peak_memory_with_many_listed_nodes_stays_within_its_limit() {
     let usual = peak_mb(USUAL_NODES, 512).await;
--- a/crates/proxy/tests/proxy/cli.rs
+++ b/crates/proxy/tests/proxy/cli.rs
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn serves_reports_its_counters_and_stops_on_sigterm() {
+fn a_process_reports_its_counters_and_stops_on_sigterm() {
     let file = File::new("serve", &configuration(&[]).to_string());
     let mut running = RunningProxy::start(program(&["serve", "--config", file.path()]));
     let counters = running.counters();
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// After an answer that is no JSON and a connection that closes without an answer, the next call asks for
+/// After an answer that is not JSON and a connection that closes without an answer, the next call asks for
 /// changes since the last version that was received.
 #[tokio::test]
 async fn the_watch_continues_from_the_known_version_after_failures() {
@@ -132,11 +132,11 @@
         world.discovery.until("index=41").await;
         world.configs.send(Err(anyhow::anyhow!("discovery: missing"))).await.unwrap();
         world.until_counted("reloads_failed 1").await;
-        let (moved, tell) = world.move_discovery().await;
-        moved.until("instances HTTP").await;
+        let (new_discovery, tell) = world.move_discovery().await;
+        new_discovery.until("instances HTTP").await;
         let origin = world.json["known"]["targets"][1].clone();
         tell.send(json!({"rev": 7, "all": true, "targets": [origin]}).to_string()).await.unwrap();
-        moved.until("index=7").await;
+        new_discovery.until("index=7").await;
         // The new list no longer contains the cache node.
         let reply = world.client().await.get("hit").await;
         expect![[r#"
@@ -145,7 +145,7 @@
             GET /registry/instances?index=7&wait=2000 HTTP/1.1
             hit: origin's id-hit
         "#]]
-        .assert_eq(&format!("{}{}{reply}", world.discovery.text(), moved.text()));
+        .assert_eq(&format!("{}{}{reply}", world.discovery.text(), new_discovery.text()));
     }
 }
 
@@ -198,8 +198,8 @@
     world.until_counted("list_answers 1").await;
 }
 
-/// The proxy must have a change within this time of the moment when discovery has it and can be reached: the
-/// limit that operators are promised.
+/// The proxy must have a change within this time of the moment when discovery has it and can be reached.
+/// Operators are told to expect changes within it.
 const MAX_CHANGE_DELAY: Duration = Duration::from_secs(6);
 /// An answer that brings the list to a new version.
 const CHANGE: &str = r#"{"rev": 42, "all": false, "targets": []}"#;
@@ -318,6 +318,7 @@
     assert!(took < MAX_CHANGE_DELAY, "{took:?}");
 }
 
+/// A node may have a different endpoint at each proxy, but must have the same identity at all of them.
 #[test]
 fn the_identity_of_a_node_depends_on_its_uid_not_its_endpoint() {
     let config = config::parse(&configuration(&[])).unwrap();
@@ -328,14 +329,16 @@
     assert_eq!(identity(&one), identity(&other));
 }
 
+/// An entry with an invalid address or an unknown state, or that is no entry at all, must not prevent the
+/// others from being used. A list without a version or without entries is an error.
 #[test]
 fn invalid_entries_of_a_list_are_skipped() {
     let config = config::parse(&configuration(&[])).unwrap();
-    let mut booted = target("s-2", "127.0.0.1:2", "node", "left");
-    booted["boot_ms"] = json!(1_700_000_000_123_u64);
-    booted["az"] = json!("elsewhere");
+    let mut with_boot_time = target("s-2", "127.0.0.1:2", "node", "left");
+    with_boot_time["boot_ms"] = json!(1_700_000_000_123_u64);
+    with_boot_time["az"] = json!("elsewhere");
     let list = json!({"rev": 9, "all": true, "targets": [
-        target("s-1", "127.0.0.1:1", "origin", "leaving"), booted,
+        target("s-1", "127.0.0.1:1", "origin", "leaving"), with_boot_time,
         target("s-3", "nowhere", "node", "active"), target("s-4", "127.0.0.1:4", "node", "odd"), {}, 7
     ]});
     let (version, whole, entries) = parse_list(list.to_string().as_bytes(), &config).unwrap();
@@ -363,6 +366,8 @@
     .assert_eq(&trace);
 }
 
+/// The clock starts at the system's Unix time and then advances with monotonic time, so a change of the
+/// system's time cannot turn it back.
 #[tokio::test(start_paused = true)]
 async fn the_clock_follows_unix_time_and_never_goes_back() {
     let unix = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as u64;
--- a/crates/proxy/tests/proxy/nodes.rs
+++ b/crates/proxy/tests/proxy/nodes.rs
@@ -172,6 +172,8 @@
     );
 }
 
+/// A node closes connections that were idle for its timeout. The proxy must close them earlier, or a request
+/// could be sent on a connection that the node is just closing.
 #[tokio::test]
 async fn idle_connections_are_reused_and_closed_before_the_nodes_idle_timeout() {
     let world = World::start(&[("/settings/permissions/conn-idle-us", json!(3_000_000))]).await;
@@ -232,6 +234,8 @@
     check_origin_answers_without_the_cache_at(&late.address.to_string()).await;
 }
 
+/// If all connections that the limit allows are in use, an attempt is not sent and the client is asked to
+/// retry later.
 #[tokio::test]
 async fn an_attempt_is_not_sent_at_the_connection_limit() {
     let world = World::start_with(&[], |config| config.max_node_connections = 1).await;
@@ -283,6 +287,7 @@
     );
 }
 
+/// The answer to an attempt whose client has left is read all the same, so that the connection can be reused.
 #[tokio::test]
 async fn a_client_that_leaves_does_not_close_the_node_connection() {
     let world = World::start(&[]).await;
--- a/crates/proxy/tests/proxy/restart.rs
+++ b/crates/proxy/tests/proxy/restart.rs
@@ -135,8 +135,8 @@
         }),
         ("many-bans", &|folder| {
             write_list_file(folder, "{");
-            for ban in 0..7200 {
-                let uid: String = format!("s-{ban:06}").bytes().map(|byte| format!("{byte:02x}")).collect();
+            for node in 0..7200 {
+                let uid: String = format!("s-{node:06}").bytes().map(|byte| format!("{byte:02x}")).collect();
                 std::fs::write(folder.join(format!("pumicebay-ban-1-{uid}")), "").unwrap();
             }
         }),
