--- a/crates/proxy/tests/proxy/advertised_timeouts.rs
+++ b/crates/proxy/tests/proxy/advertised_timeouts.rs
@@ -4,7 +4,7 @@
 
 use crate::cancellation::{DelayedNode, move_node};
 use crate::cli::{File, program};
-use crate::operations::{Folder, process};
+use crate::operations::{Folder, start_process};
 use crate::{ReceivedAttempt, StubState, TestEnvironment, configuration, target};
 use pumicebay::client_stream::enable_timestamps;
 use pumicebay::takeover::TakeoverSocket;
@@ -381,7 +381,7 @@
     let sent_at = Instant::now();
     sleep(HOLD_TIME).await;
     let list = Some(env.config_json["known"].clone());
-    let (mut new, _) = process(&env, &socket, &folder, "passed-request", list).await;
+    let (mut new, _) = start_process(&env, &socket, &folder, "passed-request", list).await;
     for (mut client, stream, read) in passed_connections {
         old.successor().expect("no successor").pass(&stream, &read, true).await.unwrap();
         drop(stream);
--- a/crates/proxy/tests/proxy/descriptors.rs
+++ b/crates/proxy/tests/proxy/descriptors.rs
@@ -1,7 +1,7 @@
 //! Idle clients may take all file descriptors while discovery is unreachable. Guards against a proxy that
 //! then cannot connect to discovery again, or cannot carry out an operator's call or reload.
 
-use crate::cli::{File, Running};
+use crate::cli::{File, RunningProxy};
 use crate::operations::call;
 use crate::{StubState, configuration, serve_cache_node, serve_origin, start_server, target};
 use anyhow::Context as _;
@@ -95,7 +95,7 @@
 
 /// A proxy process with few descriptors, which connections of clients, operators and nodes use up.
 struct SaturatedProcess {
-    running: Running,
+    running: RunningProxy,
     file: File,
     json: Json,
     address: SocketAddr,
@@ -154,7 +154,7 @@
         let serve = format!("ulimit -n {descriptors}; exec {program} serve --config {}", file.path());
         let mut command = Command::new("sh");
         command.args(["-c", &serve]);
-        let running = tokio::task::spawn_blocking(|| Running::start(command)).await.unwrap();
+        let running = tokio::task::spawn_blocking(|| RunningProxy::start(command)).await.unwrap();
         let address = running.address().parse().unwrap();
         discovery.wait_for("index=41", 1).await;
         let (holding_clients, idle) = (Vec::new(), Vec::new());
