--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -2,9 +2,9 @@
 //! the fleet's clock.
 
 use crate::fleet::asker::Asker;
-use crate::fleet::carrier::apply::{self, Layer};
-use crate::fleet::carrier::config::{CarrierConfig, Part};
-use crate::fleet::carrier::door::{Door, Event};
+use crate::fleet::carrier::apply::{self, Applier};
+use crate::fleet::carrier::config::{CarrierConfig, TreeRole};
+use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::carrier::links::{Parent, dial};
 use crate::fleet::carrier::publish;
 use crate::fleet::drive::{self, drive};
@@ -26,68 +26,68 @@
 /// Between control machines.
 const CONTROL_PART_BYTES: usize = 48 * 1024;
 const CONTROL_BYTES_PER_SECOND: u64 = 1_000_000;
-const NAMED: usize = 16;
+const MAX_EXCEPTIONS: usize = 16;
 /// How often what is told of its age is renewed, at the least.
-const LOOK: Nanos = 500_000_000;
+const MAX_TICK_INTERVAL: Nanos = 500_000_000;
 /// From this age on a process says that what it has may be old.
-const OLD: Nanos = 10_000_000_000;
+const STALE_AFTER: Nanos = 10_000_000_000;
 
 /// What the process is told of the carrier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
-    pub holds: Version,
+pub struct ConfigFreshness {
+    pub version: Version,
     /// When the publisher is known to have held just this; `None` where it never was.
-    pub known: Option<Instant>,
+    pub confirmed_at: Option<Instant>,
 }
 
-impl Display for Told {
+impl Display for ConfigFreshness {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        match self.known {
-            Some(known) => {
-                write!(f, "version {} as of {:.1} s ago", self.holds, known.elapsed().as_secs_f64())
+        match self.confirmed_at {
+            Some(confirmed_at) => {
+                write!(f, "version {} as of {:.1} s ago", self.version, confirmed_at.elapsed().as_secs_f64())
             }
-            None => write!(f, "version {}, nothing heard since the start", self.holds),
+            None => write!(f, "version {}, nothing heard publisher_since the start", self.version),
         }
     }
 }
 
-enum Act {
-    Dial(String),
-    HangUp,
-    Up(ChildMessage),
-    Down(ChildId, ParentMessage),
-    Drop(ChildId),
-    PutInForce(Version, Vec<Resource>),
-    Keep(Snapshot),
+enum Action {
+    ConnectParent(String),
+    DisconnectParent,
+    SendToParent(ChildMessage),
+    SendToChild(ChildId, ParentMessage),
+    DisconnectChild(ChildId),
+    Apply(Version, Vec<Resource>),
+    Persist(Snapshot),
 }
 
 /// What the node asks for, in its order.
-struct Acts {
-    acts: VecDeque<Act>,
+struct ActionQueue {
+    actions: VecDeque<Action>,
     random: oorandom::Rand64,
 }
 
-impl Host for Acts {
+impl Host for ActionQueue {
     fn connect_parent(&mut self, parent: &str) {
-        self.acts.push_back(Act::Dial(parent.into()));
+        self.actions.push_back(Action::ConnectParent(parent.into()));
     }
     fn disconnect_parent(&mut self) {
-        self.acts.push_back(Act::HangUp);
+        self.actions.push_back(Action::DisconnectParent);
     }
     fn send_to_parent(&mut self, message: ChildMessage) {
-        self.acts.push_back(Act::Up(message));
+        self.actions.push_back(Action::SendToParent(message));
     }
     fn send_to_child(&mut self, child: ChildId, message: ParentMessage) {
-        self.acts.push_back(Act::Down(child, message));
+        self.actions.push_back(Action::SendToChild(child, message));
     }
     fn disconnect_child(&mut self, child: ChildId) {
-        self.acts.push_back(Act::Drop(child));
+        self.actions.push_back(Action::DisconnectChild(child));
     }
     fn apply(&mut self, version: Version, resources: Vec<Resource>) {
-        self.acts.push_back(Act::PutInForce(version, resources));
+        self.actions.push_back(Action::Apply(version, resources));
     }
-    fn persist(&mut self, kept: &Snapshot) {
-        self.acts.push_back(Act::Keep(kept.clone()));
+    fn persist(&mut self, snapshot: &Snapshot) {
+        self.actions.push_back(Action::Persist(snapshot.clone()));
     }
     fn random(&mut self) -> f64 {
         self.random.rand_float()
@@ -95,66 +95,66 @@
 }
 
 /// What the actor needs of the rest of the process.
-pub struct Ways {
-    pub door: Door,
-    pub layer: Layer,
+pub struct ActorContext {
+    pub handle: Handle,
+    pub applier: Applier,
     /// Of a control machine.
     pub asker: Option<Asker>,
     /// To the disk, where there is one.
-    pub keep: Option<watch::Sender<Option<Snapshot>>>,
+    pub snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
     /// Gives the lease back.
-    pub give_back: mpsc::Sender<()>,
-    pub tell: watch::Sender<Told>,
+    pub release_lease: mpsc::Sender<()>,
+    pub freshness_sender: watch::Sender<ConfigFreshness>,
 }
 
 struct Actor {
     me: Me,
     config: Arc<CarrierConfig>,
-    ways: Ways,
+    context: ActorContext,
     node: TreeNode,
-    acts: Acts,
+    actions: ActionQueue,
     parent: Option<Parent>,
-    dials: u64,
-    /// How many of them came to nothing since a link was up.
-    vain: u32,
+    dial_count: u64,
+    /// How many of them came to nothing publisher_since a link was up.
+    failed_dials: u32,
     children: HashMap<ChildId, mpsc::Sender<ParentMessage>>,
-    publisher: Option<(Publisher, publish::Host)>,
-    publishers: u64,
-    since: Nanos,
+    publisher: Option<(Publisher, publish::RecordHost)>,
+    publisher_count: u64,
+    publisher_since: Nanos,
     /// Who publishes, as far as is known.
     root: Option<String>,
     /// Whether it has said that what it has may be old.
-    old: bool,
+    reported_stale: bool,
     started: Nanos,
 }
 
-fn terms(me: &Me, config: &CarrierConfig) -> TreeNodeConfig {
-    let names = |of: &std::collections::BTreeMap<String, _>| -> Vec<String> {
-        of.keys().filter(|name| **name != me.who.name).cloned().collect()
+fn node_config(me: &Me, config: &CarrierConfig) -> TreeNodeConfig {
+    let names = |members: &std::collections::BTreeMap<String, _>| -> Vec<String> {
+        members.keys().filter(|name| **name != me.who.name).cloned().collect()
     };
-    let part = config.part(&me.who.name);
-    let tiers = match part {
-        Part::Control => Vec::new(),
-        Part::Relay => vec![names(&config.control)],
-        Part::Leaf => vec![names(&config.relays), names(&config.control)],
+    let role = config.role(&me.who.name);
+    let tiers = match role {
+        TreeRole::Control => Vec::new(),
+        TreeRole::Relay => vec![names(&config.control)],
+        TreeRole::Leaf => vec![names(&config.relays), names(&config.control)],
     };
     TreeNodeConfig {
         member: Member { name: me.who.name.clone(), incarnation: me.who.incarnation },
-        location: place(me, config),
-        is_control: part == Part::Control,
-        is_relay: part == Part::Relay,
+        location: location(me, config),
+        is_control: role == TreeRole::Control,
+        is_relay: role == TreeRole::Relay,
         parent_tiers: tiers,
-        max_children: config.children,
+        max_children: config.max_children,
         child_bytes_per_second: config.bytes_per_second,
         control_bytes_per_second: CONTROL_BYTES_PER_SECOND,
         control_part_bytes: CONTROL_PART_BYTES,
         control_machines: names(&config.control),
         part_bytes: PART_BYTES,
-        max_exceptions: NAMED,
+        max_exceptions: MAX_EXCEPTIONS,
     }
 }
 
-pub fn place(me: &Me, config: &CarrierConfig) -> Location {
+pub fn location(me: &Me, config: &CarrierConfig) -> Location {
     Location { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
 }
 
@@ -162,32 +162,32 @@
 pub async fn run(
     me: Me,
     config: Arc<CarrierConfig>,
-    kept: Option<Snapshot>,
-    ways: Ways,
+    snapshot: Option<Snapshot>,
+    context: ActorContext,
     events: mpsc::Receiver<Event>,
 ) {
     let random = oorandom::Rand64::new(u128::from(draw()));
-    let mut acts = Acts { acts: VecDeque::new(), random };
+    let mut actions = ActionQueue { actions: VecDeque::new(), random };
     let started = me.clock.now();
-    let node = TreeNode::start(started, terms(&me, &config), kept, &mut acts);
+    let node = TreeNode::start(started, node_config(&me, &config), snapshot, &mut actions);
     let mut actor = Actor {
         me,
         config,
-        ways,
+        context,
         node,
-        acts,
+        actions,
         parent: None,
-        dials: 0,
-        vain: 0,
+        dial_count: 0,
+        failed_dials: 0,
         children: HashMap::new(),
         publisher: None,
-        publishers: 0,
-        since: 0,
+        publisher_count: 0,
+        publisher_since: 0,
         root: None,
-        old: false,
+        reported_stale: false,
         started,
     };
-    actor.carry_out();
+    actor.execute_actions();
     drive(actor, events).await;
 }
 
@@ -196,74 +196,74 @@
 
     fn due(&self) -> Instant {
         let publisher = self.publisher.as_ref().map_or(Nanos::MAX, |(publisher, _)| publisher.due());
-        let due = self.node.due().min(publisher).min(self.now() + LOOK);
+        let due = self.node.due().min(publisher).min(self.now() + MAX_TICK_INTERVAL);
         Instant::now() + self.me.clock.until(due)
     }
 
     fn take(&mut self, event: Event) {
         let now = self.now();
         // What comes of a dial that was given up counts no more.
-        let dialled = self.parent.as_ref().map(|parent| parent.number);
-        let (node, acts) = (&mut self.node, &mut self.acts);
+        let dial_number = self.parent.as_ref().map(|parent| parent.number);
+        let (node, actions) = (&mut self.node, &mut self.actions);
         match event {
-            Event::ChildUp(child, mailbox) => {
+            Event::ChildConnected(child, mailbox) => {
                 self.children.insert(child, mailbox);
-                node.child_connected(now, child, acts);
+                node.child_connected(now, child, actions);
             }
-            Event::ChildSaid(child, up) if self.children.contains_key(&child) => {
-                node.child_message(now, child, up, acts);
+            Event::ChildMessage(child, up) if self.children.contains_key(&child) => {
+                node.child_message(now, child, up, actions);
             }
-            Event::ChildLost(child) if self.children.remove(&child).is_some() => {
-                node.child_disconnected(now, child, acts);
+            Event::ChildDisconnected(child) if self.children.remove(&child).is_some() => {
+                node.child_disconnected(now, child, actions);
             }
-            Event::ParentUp(number) if dialled == Some(number) => {
-                self.vain = 0;
-                node.parent_connected(now, acts);
+            Event::ParentConnected(number) if dial_number == Some(number) => {
+                self.failed_dials = 0;
+                node.parent_connected(now, actions);
             }
-            Event::ParentSaid(number, down) if dialled == Some(number) => {
-                node.parent_message(now, down, acts)
+            Event::ParentMessage(number, down) if dial_number == Some(number) => {
+                node.parent_message(now, down, actions)
             }
-            Event::ParentLost(number) if dialled == Some(number) => {
+            Event::ParentDisconnected(number) if dial_number == Some(number) => {
                 self.parent = None;
-                node.parent_disconnected(now, acts);
+                node.parent_disconnected(now, actions);
             }
             // Of a link that was given up.
-            Event::ChildSaid(..) | Event::ChildLost(_) => {}
-            Event::ParentUp(_) | Event::ParentSaid(..) | Event::ParentLost(_) => {}
-            Event::InForce(version, refused) => node.applied(now, version, refused, acts),
-            Event::Reread => node.reapply(now, acts),
-            Event::Kept(version) => node.persisted(now, version, acts),
-            Event::Lease(held, holder) => self.lease(now, held, holder),
-            Event::Read(number, reply) => self.publisher_read(now, number, &reply),
-            Event::Written(number, reply) => {
+            Event::ChildMessage(..) | Event::ChildDisconnected(_) => {}
+            Event::ParentConnected(_) | Event::ParentMessage(..) | Event::ParentDisconnected(_) => {}
+            Event::Applied(version, refused) => node.applied(now, version, refused, actions),
+            Event::FileReloaded => node.reapply(now, actions),
+            Event::Persisted(version) => node.persisted(now, version, actions),
+            Event::LeaseChanged(held, holder) => self.lease_changed(now, held, holder),
+            Event::RecordRead(number, reply) => self.record_read(now, number, &reply),
+            Event::RecordWritten(number, reply) => {
                 if let Some((publisher, host)) =
                     self.publisher.as_mut().filter(|(_, host)| host.number == number)
                 {
-                    publisher.record_written(now, publish::written(reply), host);
+                    publisher.record_written(now, publish::write_outcome(reply), host);
                 }
             }
-            Event::Offer(number, changes, link) => self.offered(number, changes, link),
-            Event::Checked(number, changes, link, checked) => match (checked, &mut self.publisher) {
+            Event::Offer(number, changes, link) => self.check_offer(number, changes, link),
+            Event::OfferChecked(number, changes, link, checked) => match (checked, &mut self.publisher) {
                 (Err(why), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(why))),
                 (Ok(()), Some((publisher, host))) => {
-                    let number = host.waits(number, link);
+                    let number = host.add_pending_offer(number, link);
                     publisher.propose(now, number, changes, host);
                 }
                 (Ok(()), None) => _ = link.try_send(self.status()),
             },
             Event::Status(link) => _ = link.try_send(self.status()),
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
     fn tick(&mut self) {
         let now = self.now();
-        self.node.tick(now, &mut self.acts);
+        self.node.tick(now, &mut self.actions);
         if let Some((publisher, host)) = &mut self.publisher {
             publisher.tick(now, host);
         }
-        self.carry_out();
-        self.tell(now);
+        self.execute_actions();
+        self.report_freshness(now);
     }
 }
 
@@ -273,86 +273,92 @@
     }
 
     /// What was asked for, until nothing more is.
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         loop {
-            self.publisher_acts();
-            let Some(act) = self.acts.acts.pop_front() else { return };
-            match act {
-                Act::Dial(name) => {
-                    self.dials += 1;
-                    let at = self.config.called(&name);
-                    self.parent =
-                        Some(dial(&self.me, &self.ways.door, self.dials, &name, at, self.vain == 0));
-                    self.vain = self.vain.saturating_add(1);
+            self.execute_publisher_actions();
+            let Some(action) = self.actions.actions.pop_front() else { return };
+            match action {
+                Action::ConnectParent(name) => {
+                    self.dial_count += 1;
+                    let address = self.config.address_of(&name);
+                    self.parent = Some(dial(
+                        &self.me,
+                        &self.context.handle,
+                        self.dial_count,
+                        &name,
+                        address,
+                        self.failed_dials == 0,
+                    ));
+                    self.failed_dials = self.failed_dials.saturating_add(1);
                 }
-                Act::HangUp => self.parent = None,
-                Act::Up(up) => {
-                    let full = |parent: &Parent| parent.ups.try_send(up).is_err();
+                Action::DisconnectParent => self.parent = None,
+                Action::SendToParent(up) => {
+                    let full = |parent: &Parent| parent.sender.try_send(up).is_err();
                     if self.parent.as_ref().is_some_and(full) {
                         // It does not read: as good as gone.
                         self.parent = None;
-                        self.node.parent_disconnected(self.me.clock.now(), &mut self.acts);
+                        self.node.parent_disconnected(self.me.clock.now(), &mut self.actions);
                     }
                 }
-                Act::Down(child, down) => {
+                Action::SendToChild(child, down) => {
                     let full = |mailbox: &mpsc::Sender<ParentMessage>| mailbox.try_send(down).is_err();
                     if self.children.get(&child).is_some_and(full) {
                         tracing::info!("carrier: a child that does not read is dropped");
                         self.children.remove(&child);
-                        self.node.child_disconnected(self.me.clock.now(), child, &mut self.acts);
+                        self.node.child_disconnected(self.me.clock.now(), child, &mut self.actions);
                     }
                 }
-                Act::Drop(child) => _ = self.children.remove(&child),
-                Act::PutInForce(version, resources) => {
-                    let (layer, door) = (self.ways.layer.clone(), self.ways.door.clone());
+                Action::DisconnectChild(child) => _ = self.children.remove(&child),
+                Action::Apply(version, resources) => {
+                    let (applier, handle) = (self.context.applier.clone(), self.context.handle.clone());
                     tokio::spawn(async move {
-                        if let Some(refused) = layer.lay(resources).await {
-                            door.say(Event::InForce(version, refused)).await;
+                        if let Some(refused) = applier.apply(resources).await {
+                            handle.send(Event::Applied(version, refused)).await;
                         }
                     });
                 }
-                Act::Keep(kept) => {
+                Action::Persist(snapshot) => {
                     // Where there is no disk nothing comes back, and nothing more is to be kept.
-                    if let Some(keep) = &self.ways.keep {
-                        keep.send_replace(Some(kept));
+                    if let Some(snapshot_sender) = &self.context.snapshot_sender {
+                        snapshot_sender.send_replace(Some(snapshot));
                     }
                 }
             }
         }
     }
 
-    fn publisher_acts(&mut self) {
+    fn execute_publisher_actions(&mut self) {
         let now = self.now();
         let Some((publisher, host)) = &mut self.publisher else { return };
         publisher.majority_persisted(now, self.node.majority_version(self.config.control.len()), host);
-        for act in std::mem::take(&mut host.acts) {
-            match act {
-                publish::Act::Publish(version, resources) => {
-                    self.node.publish(now, version, resources, &mut self.acts);
+        for action in std::mem::take(&mut host.actions) {
+            match action {
+                publish::Action::Publish(version, resources) => {
+                    self.node.publish(now, version, resources, &mut self.actions);
                 }
-                publish::Act::GiveBack => {
-                    host.end();
+                publish::Action::ReleaseLease => {
+                    host.fail_pending_offers();
                     self.publisher = None;
-                    let _ = self.ways.give_back.try_send(());
+                    let _ = self.context.release_lease.try_send(());
                     self.root = None;
-                    return self.node.set_root(now, None, &mut self.acts);
+                    return self.node.set_root(now, None, &mut self.actions);
                 }
             }
         }
     }
 
-    fn lease(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
+    fn lease_changed(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
         let root = if held.is_some() { Some(self.me.who.name.clone()) } else { holder };
         if root != self.root {
             tracing::info!("carrier: {} publishes", root.as_deref().unwrap_or("nobody that is known"));
             self.root = root;
         }
-        self.node.set_root(now, self.root.as_deref(), &mut self.acts);
+        self.node.set_root(now, self.root.as_deref(), &mut self.actions);
         self.end_publisher();
-        if let (Some(held), Some(asker)) = (held, &self.ways.asker) {
-            (self.publishers, self.since) = (self.publishers + 1, now);
-            let door = self.ways.door.clone();
-            let mut host = publish::Host::new(asker.clone(), door, self.publishers, held.token);
+        if let (Some(held), Some(asker)) = (held, &self.context.asker) {
+            (self.publisher_count, self.publisher_since) = (self.publisher_count + 1, now);
+            let handle = self.context.handle.clone();
+            let mut host = publish::RecordHost::new(asker.clone(), handle, self.publisher_count, held.token);
             let publisher = Publisher::start(now, &mut host);
             self.publisher = Some((publisher, host));
         }
@@ -360,42 +366,42 @@
 
     fn end_publisher(&mut self) {
         if let Some((_, mut host)) = self.publisher.take() {
-            host.end();
+            host.fail_pending_offers();
         }
     }
 
-    fn publisher_read(&mut self, now: Nanos, number: u64, reply: &Reply) {
-        let holds = self.node.version();
+    fn record_read(&mut self, now: Nanos, number: u64, reply: &Reply) {
+        let held_version = self.node.version();
         let Some((publisher, host)) = self.publisher.as_mut().filter(|(_, host)| host.number == number)
         else {
             return;
         };
         match reply {
             Reply::Record(record) => {
-                let (epoch, entry) = publish::entry(record);
-                publisher.record_read(now, epoch, entry, holds, host);
+                let (epoch, entry) = publish::founding_and_value(record);
+                publisher.record_read(now, epoch, entry, held_version, host);
             }
             _ => publisher.record_read_failed(now, host),
         }
     }
 
-    /// What is offered is tried on this process's own file first: its words name the key that is wrong.
-    fn offered(&mut self, number: u64, changes: Vec<Change>, link: mpsc::Sender<Frame>) {
+    /// What is check_offer is tried on this process's own file first: its words name the key that is wrong.
+    fn check_offer(&mut self, number: u64, changes: Vec<Change>, link: mpsc::Sender<Frame>) {
         if self.publisher.is_none() {
             let _ = link.try_send(self.status());
             return;
         }
-        let (layer, door) = (self.ways.layer.clone(), self.ways.door.clone());
-        let new = changes.iter().map(|Change { scope, name, patch }| Resource {
+        let (applier, handle) = (self.context.applier.clone(), self.context.handle.clone());
+        let resources = changes.iter().map(|Change { scope, name, patch }| Resource {
             scope: scope.clone(),
             name: name.clone(),
             version: Version::default(),
             patch: patch.as_deref().map(Into::into),
         });
-        let new: Vec<Resource> = new.collect();
+        let resources: Vec<Resource> = resources.collect();
         tokio::spawn(async move {
-            let checked = layer.check(new).await;
-            door.say(Event::Checked(number, changes, link, checked)).await;
+            let checked = applier.check(resources).await;
+            handle.send(Event::OfferChecked(number, changes, link, checked)).await;
         });
     }
 
@@ -404,40 +410,42 @@
         Frame::CarrierIs(Box::new(CarrierStatus {
             name: self.me.who.name.clone(),
             publisher: self.root.clone(),
-            publishes: self.publisher.as_ref().map(|_| now.saturating_sub(self.since)),
+            publishes: self.publisher.as_ref().map(|_| now.saturating_sub(self.publisher_since)),
             holds: self.node.version(),
             age: self.node.age(now),
             sum: self.node.summary(now),
-            queue: self.publisher.as_ref().map_or(0, |(_, host)| host.waiting.len() as u64),
+            queue: self.publisher.as_ref().map_or(0, |(_, host)| host.pending_offers.len() as u64),
             children: self.node.child_count() as u64,
         }))
     }
 
     /// What the process knows of its age, and a line when that becomes old, or is well again.
-    fn tell(&mut self, now: Nanos) {
+    fn report_freshness(&mut self, now: Nanos) {
         let age = self.node.age(now);
-        let known = age.and_then(|age| Instant::now().checked_sub(Duration::from_nanos(age)));
-        let holds = self.node.version();
-        self.ways.tell.send_replace(Told { holds, known });
-        let old = age.unwrap_or(now.saturating_sub(self.started)) > OLD;
-        if old != self.old {
-            self.old = old;
+        let confirmed_at = age.and_then(|age| Instant::now().checked_sub(Duration::from_nanos(age)));
+        let version = self.node.version();
+        self.context.freshness_sender.send_replace(ConfigFreshness { version, confirmed_at });
+        let stale = age.unwrap_or(now.saturating_sub(self.started)) > STALE_AFTER;
+        if stale != self.reported_stale {
+            self.reported_stale = stale;
             let seconds = age.unwrap_or(0) as f64 / 1e9;
-            match (old, age) {
+            match (stale, age) {
                 (true, Some(_)) => tracing::warn!(
-                    "carrier: version {holds} is known to be the newest as of {seconds:.1} s ago; serving goes on"
+                    "carrier: version {version} is known to be the newest as of {seconds:.1} s ago; serving goes on"
                 ),
                 (true, None) => tracing::warn!(
-                    "carrier: nothing heard yet, version {holds} is from before the start; serving goes on"
+                    "carrier: nothing heard yet, version {version} is from before the start; serving goes on"
                 ),
-                (false, _) => tracing::info!("carrier: well again, version {holds} as of {seconds:.1} s ago"),
+                (false, _) => {
+                    tracing::info!("carrier: well again, version {version} as of {seconds:.1} s ago")
+                }
             }
         }
     }
 }
 
 /// A scope as commands write it.
-pub fn scope(text: &str) -> Option<Scope> {
+pub fn parse_scope(text: &str) -> Option<Scope> {
     let mut words = text.split('/');
     let mut word = || words.next().filter(|word| !word.is_empty()).map(String::from);
     let scope = match word()?.as_str() {
@@ -452,10 +460,10 @@
 }
 
 /// What of the kept set concerns this process, in the order in which it is laid.
-pub fn concerning(me: &str, place: Location, resources: &[Resource]) -> Vec<Resource> {
-    let interest = pumicebay_carrier::Interest::Proxy(place, me.into());
+pub fn relevant_resources(me: &str, location: Location, resources: &[Resource]) -> Vec<Resource> {
+    let interest = pumicebay_carrier::Interest::Proxy(location, me.into());
     let mut all: Vec<Resource> =
         resources.iter().filter(|resource| interest.includes(&resource.scope)).cloned().collect();
-    apply::in_order(&mut all);
+    apply::sort_by_precedence(&mut all);
     all
 }
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -2,7 +2,7 @@
 //! publishes.
 
 use crate::fleet::call::{ANSWERS, Called};
-use crate::fleet::carrier::actor::scope;
+use crate::fleet::carrier::actor::parse_scope;
 use crate::fleet::carrier::config::CarrierConfig;
 use crate::fleet::config::FleetConfig;
 use crate::fleet::wire::{CARRIER, CarrierStatus, Frame};
@@ -15,17 +15,17 @@
 use tokio::time::{Instant, sleep};
 
 /// How long a publisher is looked for, and how long one may take to settle an offer.
-const PATIENCE: Duration = Duration::from_secs(8);
-const SETTLES: Duration = Duration::from_secs(15);
-const AGAIN: Duration = Duration::from_millis(250);
+const PUBLISHER_TIMEOUT: Duration = Duration::from_secs(8);
+const OFFER_TIMEOUT: Duration = Duration::from_secs(15);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Whoever lost its way to a publisher that is gone is linked to the next by then: before it, who is not counted is not
 /// known either.
-const GATHERED: Duration = Duration::from_secs(8);
+const RECONNECT_TIME: Duration = Duration::from_secs(8);
 /// Not known, or not in force everywhere.
-const NOT_YET: u8 = 3;
+const EXIT_INCOMPLETE: u8 = 3;
 
-async fn call(fleet: &FleetConfig, at: SocketAddr) -> Result<Called> {
-    Called::call_speaking(fleet, at, CARRIER).await
+async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<Called> {
+    Called::call_speaking(fleet, address, CARRIER).await
 }
 
 async fn ask_status(called: &mut Called) -> Result<CarrierStatus> {
@@ -36,33 +36,34 @@
     called.ask(Frame::Carrier, ANSWERS, wanted).await
 }
 
-fn carrier(fleet: &FleetConfig) -> Result<&CarrierConfig> {
+fn carrier_config(fleet: &FleetConfig) -> Result<&CarrierConfig> {
     fleet.carrier.as_deref().context("fleet.carrier: missing; nothing is carried in this fleet")
 }
 
 /// The link to whoever publishes, and what it says; else the newest that any control machine says.
-async fn publisher(
+async fn find_publisher(
     fleet: &FleetConfig,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(Called, CarrierStatus), (Option<CarrierStatus>, String)> {
-    let carrier = carrier(fleet).map_err(|error| (None, error.to_string()))?;
-    let until = Instant::now() + patience;
+    let carrier = carrier_config(fleet).map_err(|error| (None, error.to_string()))?;
+    let deadline = Instant::now() + timeout;
     let (mut newest, mut why): (Option<CarrierStatus>, String) = (None, "no control machine answers".into());
     loop {
-        for (name, at) in &carrier.control {
-            let asked = async {
-                let mut called = call(fleet, *at).await?;
+        for (name, address) in &carrier.control {
+            let found = async {
+                let mut called = connect(fleet, *address).await?;
                 let status = ask_status(&mut called).await?;
-                let publishes = status.publisher.clone();
-                let Some(other) = publishes.filter(|other| *other != status.name) else {
+                let publisher = status.publisher.clone();
+                let Some(other) = publisher.filter(|other| *other != status.name) else {
                     return Ok((called, status));
                 };
-                let at = carrier.called(&other).with_context(|| format!("{other} is no control machine"))?;
-                let mut called = call(fleet, at).await.with_context(|| other.clone())?;
+                let address =
+                    carrier.address_of(&other).with_context(|| format!("{other} is no control machine"))?;
+                let mut called = connect(fleet, address).await.with_context(|| other.clone())?;
                 let status = ask_status(&mut called).await.with_context(|| other.clone())?;
                 anyhow::Ok((called, status))
             };
-            match asked.await {
+            match found.await {
                 Ok((called, status)) if status.publisher.as_ref() == Some(&status.name) => {
                     return Ok((called, status));
                 }
@@ -76,10 +77,10 @@
                 Err(_) => {}
             }
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err((newest, why));
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -91,8 +92,8 @@
     file: Option<&str>,
     wait: Option<Duration>,
 ) -> Result<ExitCode> {
-    carrier(fleet)?;
-    let scope = scope(scope_text).with_context(|| {
+    carrier_config(fleet)?;
+    let scope = parse_scope(scope_text).with_context(|| {
         format!("{scope_text:?}: expected fleet, region/R, zone/Z, site/S or proxy/SITE/NAME")
     })?;
     let patch = match file {
@@ -109,25 +110,26 @@
         ChangeOutcome::Refused(why) => bail!("refused: {why}"),
         ChangeOutcome::Unknown => {
             eprintln!("pumicebay: whether it was written is not known; see pumicebay fleet changes");
-            return Ok(ExitCode::from(NOT_YET));
+            return Ok(ExitCode::from(EXIT_INCOMPLETE));
         }
     };
     println!("{version}");
     match wait {
-        Some(wait) => wait_for(fleet, version, wait).await,
+        Some(wait) => wait_until_in_force(fleet, version, wait).await,
         None => Ok(ExitCode::SUCCESS),
     }
 }
 
 async fn offer(fleet: &FleetConfig, change: Change) -> Result<ChangeOutcome> {
-    let (until, mut offered) = (Instant::now() + PATIENCE, false);
+    let (deadline, mut offered) = (Instant::now() + PUBLISHER_TIMEOUT, false);
     loop {
-        let (mut called, _) = match publisher(fleet, until.saturating_duration_since(Instant::now())).await {
-            Ok(found) => found,
-            Err(_) if offered => return Ok(ChangeOutcome::Unknown),
-            Err((_, why)) => bail!("nothing was written: {why}"),
-        };
-        let answer = called.ask(Frame::Offer(1, vec![change.clone()]), SETTLES, |frame| match frame {
+        let (mut called, _) =
+            match find_publisher(fleet, deadline.saturating_duration_since(Instant::now())).await {
+                Ok(found) => found,
+                Err(_) if offered => return Ok(ChangeOutcome::Unknown),
+                Err((_, why)) => bail!("nothing was written: {why}"),
+            };
+        let answer = called.ask(Frame::Offer(1, vec![change.clone()]), OFFER_TIMEOUT, |frame| match frame {
             Frame::Offered(1, outcome) => Some(Some(outcome)),
             Frame::CarrierIs(_) => Some(None),
             _ => None,
@@ -144,31 +146,31 @@
                 offered = true;
             }
         }
-        if offered && Instant::now() >= until {
+        if offered && Instant::now() >= deadline {
             return Ok(ChangeOutcome::Unknown);
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Until it is in force everywhere, or all that is missing won't come by waiting.
-async fn wait_for(fleet: &FleetConfig, version: Version, wait: Duration) -> Result<ExitCode> {
-    let until = Instant::now() + wait;
+async fn wait_until_in_force(fleet: &FleetConfig, version: Version, wait: Duration) -> Result<ExitCode> {
+    let deadline = Instant::now() + wait;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        match publisher(fleet, left).await {
+        let left = deadline.saturating_duration_since(Instant::now());
+        match find_publisher(fleet, left).await {
             Ok((mut called, mut status)) => loop {
                 let sum = &status.sum;
                 let refused = |exception: &Exception| matches!(exception.kind, ExceptionKind::Refused { .. });
-                let all = gathered(&status) && sum.in_force >= version && sum.unnamed == 0;
+                let all = counts_are_complete(&status) && sum.in_force >= version && sum.unnamed == 0;
                 if all && sum.exceptions.is_empty() {
                     return Ok(ExitCode::SUCCESS);
                 }
-                if all && sum.exceptions.iter().all(refused) || Instant::now() >= until {
-                    eprint!("{}", words(&shown(&status)));
-                    return Ok(ExitCode::from(NOT_YET));
+                if all && sum.exceptions.iter().all(refused) || Instant::now() >= deadline {
+                    eprint!("{}", status_text(&status_json(&status)));
+                    return Ok(ExitCode::from(EXIT_INCOMPLETE));
                 }
-                sleep(AGAIN).await;
+                sleep(RETRY_DELAY).await;
                 match ask_status(&mut called).await {
                     Ok(newer) if newer.publisher.as_ref() == Some(&newer.name) => status = newer,
                     _ => break,
@@ -176,7 +178,7 @@
             },
             Err((_, why)) => {
                 eprintln!("pumicebay: whether {version} is in force is not known: {why}");
-                return Ok(ExitCode::from(NOT_YET));
+                return Ok(ExitCode::from(EXIT_INCOMPLETE));
             }
         }
     }
@@ -184,29 +186,33 @@
 
 /// `pumicebay fleet changes`.
 pub async fn changes(fleet: &FleetConfig, as_json: bool) -> Result<ExitCode> {
-    carrier(fleet)?;
-    let (status, published) = match publisher(fleet, ANSWERS).await {
+    carrier_config(fleet)?;
+    let (status, published) = match find_publisher(fleet, ANSWERS).await {
         Ok((_, status)) => (status, true),
         Err((Some(status), _)) => (status, false),
         Err((None, why)) => bail!("{why}"),
     };
-    let mut shown = shown(&status);
+    let mut shown = status_json(&status);
     if !published {
         shown["publisher"] = Json::Null;
     }
     if as_json {
         println!("{shown:#}");
     } else {
-        print!("{}", words(&shown));
+        print!("{}", status_text(&shown));
     }
-    Ok(if shown["everywhere"] == true && published { ExitCode::SUCCESS } else { ExitCode::from(NOT_YET) })
+    Ok(if shown["everywhere"] == true && published {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(EXIT_INCOMPLETE)
+    })
 }
 
-fn gathered(status: &CarrierStatus) -> bool {
-    status.publishes.is_some_and(|time| Duration::from_nanos(time) >= GATHERED)
+fn counts_are_complete(status: &CarrierStatus) -> bool {
+    status.publishes.is_some_and(|time| Duration::from_nanos(time) >= RECONNECT_TIME)
 }
 
-fn shown(status: &CarrierStatus) -> Json {
+fn status_json(status: &CarrierStatus) -> Json {
     let CarrierStatus { name, publisher, publishes, holds, age, sum, queue, children } = status;
     let exception = |exception: &Exception| {
         let why = match &exception.kind {
@@ -220,15 +226,15 @@
     };
     json!({
         "version": holds.to_string(), "publisher": publisher, "said_by": name,
-        "everywhere": gathered(status) && sum.in_force >= *holds && sum.exceptions.is_empty() && sum.unnamed == 0,
-        "gathered": gathered(status), "publishes_s": publishes.map(|time| time as f64 / 1e9),
+        "everywhere": counts_are_complete(status) && sum.in_force >= *holds && sum.exceptions.is_empty() && sum.unnamed == 0,
+        "gathered": counts_are_complete(status), "publishes_s": publishes.map(|time| time as f64 / 1e9),
         "in_force": sum.in_force.to_string(), "members": sum.members,
         "exceptions": sum.exceptions.iter().map(exception).collect::<Vec<_>>(), "unnamed": sum.unnamed,
         "queue": queue, "children": children, "age_s": age.map(|age| age as f64 / 1e9),
     })
 }
 
-fn words(shown: &Json) -> String {
+fn status_text(shown: &Json) -> String {
     let text = |json: &Json| json.as_str().map_or_else(|| json.to_string(), String::from);
     let [version, in_force, members, queue, by] =
         ["version", "in_force", "members", "queue", "said_by"].map(|key| text(&shown[key]));
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -10,14 +10,14 @@
 
 const KEYS: &[&str] =
     &["control", "region", "site", "relays", "listen", "folder", "children", "bytes-per-second"];
-const MOST_CONTROL: usize = 64;
-const CHILDREN: u64 = 2048;
-const BYTES_PER_SECOND: u64 = 6000;
+const MAX_CONTROL_MACHINES: usize = 64;
+const DEFAULT_MAX_CHILDREN: u64 = 2048;
+const DEFAULT_BYTES_PER_SECOND: u64 = 6000;
 /// A part of a difference has to fit into some seconds of it.
-const FEWEST_BYTES_PER_SECOND: u64 = 1000;
+const MIN_BYTES_PER_SECOND: u64 = 1000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum TreeRole {
     /// Keeps all on disk, may publish, takes any process as a child.
     Control,
     /// Takes the proxies of its site as children.
@@ -38,7 +38,7 @@
     /// Where the last good set is kept.
     pub folder: Option<PathBuf>,
     /// How many children this process takes at the most, and what it sends to each in a second.
-    pub children: usize,
+    pub max_children: usize,
     pub bytes_per_second: u64,
 }
 
@@ -59,21 +59,21 @@
             check_value(json, &format!("/fleet/carrier/{key}"), "a text", Json::is_string)?;
         }
         let text = |key: &str| carrier.get(key).and_then(Json::as_str);
-        let number = |key: &str, default: u64, least: u64, most: u64| -> Result<usize> {
-            let fits = |value: &Json| value.as_u64().is_some_and(|value| (least..=most).contains(&value));
-            let wanted = format!("a number from {least} to {most}");
-            check_value(json, &format!("/fleet/carrier/{key}"), &wanted, fits)?;
+        let number = |key: &str, default: u64, min: u64, max: u64| -> Result<usize> {
+            let fits = |value: &Json| value.as_u64().is_some_and(|value| (min..=max).contains(&value));
+            let expected = format!("a number from {min} to {max}");
+            check_value(json, &format!("/fleet/carrier/{key}"), &expected, fits)?;
             Ok(carrier.get(key).and_then(Json::as_u64).unwrap_or(default) as usize)
         };
         let control = addresses(carrier, "fleet.carrier", "control")?;
         ensure!(
-            (1..=MOST_CONTROL).contains(&control.len()),
-            "fleet.carrier.control: expected 1 to {MOST_CONTROL}, found {}",
+            (1..=MAX_CONTROL_MACHINES).contains(&control.len()),
+            "fleet.carrier.control: expected 1 to {MAX_CONTROL_MACHINES}, found {}",
             control.len()
         );
         let relays = addresses(carrier, "fleet.carrier", "relays")?;
-        if let Some(twice) = relays.keys().find(|relay| control.contains_key(*relay)) {
-            bail!("fleet.carrier.relays: {twice} is among the control machines");
+        if let Some(duplicate) = relays.keys().find(|relay| control.contains_key(*relay)) {
+            bail!("fleet.carrier.relays: {duplicate} is among the control machines");
         }
         let folder = text("folder").map(PathBuf::from);
         ensure!(
@@ -90,39 +90,43 @@
             site: text("site").unwrap_or_default().into(),
             listen: listen.transpose()?,
             folder,
-            children: number("children", CHILDREN, 1, 1 << 16)?,
-            bytes_per_second: number("bytes-per-second", BYTES_PER_SECOND, FEWEST_BYTES_PER_SECOND, 1 << 30)?
-                as u64,
+            max_children: number("children", DEFAULT_MAX_CHILDREN, 1, 1 << 16)?,
+            bytes_per_second: number(
+                "bytes-per-second",
+                DEFAULT_BYTES_PER_SECOND,
+                MIN_BYTES_PER_SECOND,
+                1 << 30,
+            )? as u64,
         }))
     }
 
     /// What a process of this name does.
-    pub fn part(&self, name: &str) -> Part {
+    pub fn role(&self, name: &str) -> TreeRole {
         match name {
-            _ if self.control.contains_key(name) => Part::Control,
-            _ if self.relays.contains_key(name) => Part::Relay,
-            _ => Part::Leaf,
+            _ if self.control.contains_key(name) => TreeRole::Control,
+            _ if self.relays.contains_key(name) => TreeRole::Relay,
+            _ => TreeRole::Leaf,
         }
     }
 
     /// Where a process of this name takes children; a leaf takes none.
-    pub fn listens(&self, name: &str) -> Option<SocketAddr> {
-        let called = self.called(name)?;
-        Some(self.listen.unwrap_or(called))
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
+        let address = self.address_of(name)?;
+        Some(self.listen.unwrap_or(address))
     }
 
     /// Where this one is called by its children.
-    pub fn called(&self, name: &str) -> Option<SocketAddr> {
+    pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.control.get(name).or_else(|| self.relays.get(name)).copied()
     }
 
     pub fn summary(&self, name: &str) -> String {
-        let part = match self.part(name) {
-            Part::Control => "control machine",
-            Part::Relay => "relay",
-            Part::Leaf => "leaf",
+        let role = match self.role(name) {
+            TreeRole::Control => "control machine",
+            TreeRole::Relay => "relay",
+            TreeRole::Leaf => "leaf",
         };
         let (control, relays) = (self.control.len(), self.relays.len());
-        format!("carrier: {part} of site {:?}, {control} control machines, {relays} relays here", self.site)
+        format!("carrier: {role} of site {:?}, {control} control machines, {relays} relays here", self.site)
     }
 }
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -1,6 +1,6 @@
 //! The last good set on disk, where the process has a folder for it. None of it keeps a process from serving.
 
-use crate::fleet::carrier::door::{Door, Event};
+use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::sealed::Sealed;
 use anyhow::{Context, Result};
 use pumicebay_carrier::Snapshot;
@@ -22,16 +22,16 @@
 }
 
 /// Writes what comes, the newest only, as long as the process lives.
-pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, door: Door) {
-    let written = |kept: Snapshot| {
-        let door = door.clone();
-        async move { _ = door.say(Event::Kept(kept.version)).await }
+pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, handle: Handle) {
+    let written = |snapshot: Snapshot| {
+        let handle = handle.clone();
+        async move { _ = handle.send(Event::Persisted(snapshot.version)).await }
     };
     FILE.keep_newest("carrier", folder, newest, written).await;
 }
 
-pub fn encode(kept: &Snapshot) -> Result<Vec<u8>> {
-    FILE.encode(kept)
+pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>> {
+    FILE.encode(snapshot)
 }
 
 /// What a file says, or why it can't be trusted.
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -2,7 +2,7 @@
 //! that does not read, or says nothing, ends, and nobody waits for it.
 
 use crate::fleet::accept::Acceptor;
-use crate::fleet::carrier::door::{Door, Event};
+use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::me::Me;
 use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
 use anyhow::{Context, Result, ensure};
@@ -13,21 +13,27 @@
 use tokio::task::AbortHandle;
 
 /// What waits for a child: one part of a difference and some pulses. One whose mailbox is full does not read.
-const DOWNS: usize = 8;
-const UPS: usize = 16;
+const CHILD_QUEUE_CAPACITY: usize = 8;
+const PARENT_QUEUE_CAPACITY: usize = 16;
 /// Answers that wait for a command.
-const ANSWERS: usize = 16;
+const COMMAND_QUEUE_CAPACITY: usize = 16;
 /// Links beyond those of proxies: other control machines, relays, those that are told that there is no room, commands.
-const SPARE: usize = 256;
+const EXTRA_LINKS: usize = 256;
 
 /// Accepts as long as the process lives.
-pub async fn accept(me: Me, door: Door, at: SocketAddr, children: usize) {
-    let most = children.saturating_add(SPARE);
-    let acceptor = Acceptor { part: "carrier", key: "fleet.carrier.listen", callers: "children", at, most };
+pub async fn accept(me: Me, handle: Handle, address: SocketAddr, max_children: usize) {
+    let max_links = max_children.saturating_add(EXTRA_LINKS);
+    let acceptor = Acceptor {
+        part: "carrier",
+        key: "fleet.carrier.listen",
+        callers: "children",
+        at: address,
+        most: max_links,
+    };
     let serve = |stream, number| {
-        let (me, door) = (me.clone(), door.clone());
+        let (me, handle) = (me.clone(), handle.clone());
         async move {
-            if let Err(error) = serve(&me, &door, stream, number).await {
+            if let Err(error) = serve(&me, &handle, stream, number).await {
                 tracing::info!("carrier: a link ends: {error:#}");
             }
         }
@@ -39,52 +45,52 @@
     Hello::new(&me.config.name, &me.who, Role::Proxy, None)
 }
 
-async fn serve(me: &Me, door: &Door, stream: TcpStream, number: ChildId) -> Result<()> {
+async fn serve(me: &Me, handle: &Handle, stream: TcpStream, number: ChildId) -> Result<()> {
     let (mut link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.to_string();
     ensure!(link.speaks() >= CARRIER, "{name} speaks links up to {}, not {CARRIER}", link.speaks());
     if other.role == Role::Command {
         // Commands come and go.
-        if let Err(error) = command(door, &mut link).await {
+        if let Err(error) = run_command_link(handle, &mut link).await {
             tracing::debug!("carrier: {name}: {error:#}");
         }
         return Ok(());
     }
-    let (downs, mailbox) = mpsc::channel(DOWNS);
-    door.say(Event::ChildUp(number, downs)).await;
-    let ended = child(door, &mut link, &other, number, mailbox).await;
-    door.say(Event::ChildLost(number)).await;
+    let (sender, mailbox) = mpsc::channel(CHILD_QUEUE_CAPACITY);
+    handle.send(Event::ChildConnected(number, sender)).await;
+    let ended = run_child_link(handle, &mut link, &other, number, mailbox).await;
+    handle.send(Event::ChildDisconnected(number)).await;
     ended.with_context(|| format!("child {name}"))
 }
 
-async fn child(
-    door: &Door,
+async fn run_child_link(
+    handle: &Handle,
     link: &mut Link,
     other: &Hello,
     number: ChildId,
     mut mailbox: mpsc::Receiver<ParentMessage>,
 ) -> Result<()> {
-    let said = |down| Frame::Down(Box::new(down));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        let Frame::Up(up) = frame else { continue };
-        if let ChildMessage::Subscribe { attachment, .. } = &*up {
-            let who = &attachment.member;
-            let same = who.name == other.who.name && who.incarnation == other.who.incarnation;
-            ensure!(same, "subscribes as {}, and said hello as {}", who.name, other.who);
+    let to_frame = |message| Frame::Down(Box::new(message));
+    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
+        let Frame::Up(message) = frame else { continue };
+        if let ChildMessage::Subscribe { attachment, .. } = &*message {
+            let member = &attachment.member;
+            let same_process = member.name == other.who.name && member.incarnation == other.who.incarnation;
+            ensure!(same_process, "subscribes as {}, and to_frame hello as {}", member.name, other.who);
         }
-        door.say(Event::ChildSaid(number, *up)).await;
+        handle.send(Event::ChildMessage(number, *message)).await;
     }
     Ok(())
 }
 
-async fn command(door: &Door, link: &mut Link) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(ANSWERS);
+async fn run_command_link(handle: &Handle, link: &mut Link) -> Result<()> {
+    let (answers, mut answered) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
         match frame {
             Frame::Offer(number, changes) => {
-                door.say(Event::Offer(number, changes, answers.clone())).await;
+                handle.send(Event::Offer(number, changes, answers.clone())).await;
             }
-            Frame::Carrier => _ = door.say(Event::Status(answers.clone())).await,
+            Frame::Carrier => _ = handle.send(Event::Status(answers.clone())).await,
             _ => {}
         }
     }
@@ -96,7 +102,7 @@
     /// Of the dial: what comes of an earlier one counts no more.
     pub number: u64,
     pub name: String,
-    pub ups: mpsc::Sender<ChildMessage>,
+    pub sender: mpsc::Sender<ChildMessage>,
     task: AbortHandle,
 }
 
@@ -106,44 +112,51 @@
     }
 }
 
-/// Dials; what comes of it, and that it ended, is said under this number. `first` is the dial after a link that was up.
-pub fn dial(me: &Me, door: &Door, number: u64, name: &str, at: Option<SocketAddr>, first: bool) -> Parent {
-    let (ups, mailbox) = mpsc::channel(UPS);
-    let (me, door, parent) = (me.clone(), door.clone(), name.to_string());
+/// Dials; what comes of it, and that it ended, is to_frame under this number. `first` is the dial after a link that was up.
+pub fn dial(
+    me: &Me,
+    handle: &Handle,
+    number: u64,
+    name: &str,
+    address: Option<SocketAddr>,
+    first_dial: bool,
+) -> Parent {
+    let (sender, mailbox) = mpsc::channel(PARENT_QUEUE_CAPACITY);
+    let (me, handle, parent) = (me.clone(), handle.clone(), name.to_string());
     let task = tokio::spawn(async move {
-        let mut up = false;
-        match parent_link(&me, &door, number, &parent, at, mailbox, &mut up).await {
+        let mut connected = false;
+        match run_parent_link(&me, &handle, number, &parent, address, mailbox, &mut connected).await {
             Ok(()) => tracing::info!("carrier: parent {parent} ended the link"),
-            Err(error) if up => tracing::info!("carrier: link to parent {parent} lost: {error:#}"),
+            Err(error) if connected => tracing::info!("carrier: link to parent {parent} lost: {error:#}"),
             // Said once, until one is up again.
-            Err(error) if first => tracing::info!("carrier: no link to parent {parent}: {error:#}"),
+            Err(error) if first_dial => tracing::info!("carrier: no link to parent {parent}: {error:#}"),
             Err(error) => tracing::debug!("carrier: no link to parent {parent}: {error:#}"),
         }
-        door.say(Event::ParentLost(number)).await;
+        handle.send(Event::ParentDisconnected(number)).await;
     });
-    Parent { number, name: name.into(), ups, task: task.abort_handle() }
+    Parent { number, name: name.into(), sender, task: task.abort_handle() }
 }
 
-async fn parent_link(
+async fn run_parent_link(
     me: &Me,
-    door: &Door,
+    handle: &Handle,
     number: u64,
     name: &str,
-    at: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     mut mailbox: mpsc::Receiver<ChildMessage>,
-    up: &mut bool,
+    connected: &mut bool,
 ) -> Result<()> {
-    let at = at.context("fleet.carrier has no such control machine or relay")?;
-    let (mut link, other) = Link::connect(at, &hello(me)).await?;
-    ensure!(other.who.name == name, "at {at} is {}", other.who);
+    let address = address.context("fleet.carrier has no such control machine or relay")?;
+    let (mut link, other) = Link::connect(address, &hello(me)).await?;
+    ensure!(other.who.name == name, "at {address} is {}", other.who);
     link.ensure_speaks(CARRIER)?;
-    door.say(Event::ParentUp(number)).await;
-    *up = true;
+    handle.send(Event::ParentConnected(number)).await;
+    *connected = true;
     tracing::info!("carrier: parent is {}", other.who);
-    let said = |up| Frame::Up(Box::new(up));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        if let Frame::Down(down) = frame {
-            door.say(Event::ParentSaid(number, *down)).await;
+    let to_frame = |message| Frame::Up(Box::new(message));
+    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
+        if let Frame::Down(message) = frame {
+            handle.send(Event::ParentMessage(number, *message)).await;
         }
     }
     Ok(())
--- a/crates/proxy/src/fleet/config.rs
+++ b/crates/proxy/src/fleet/config.rs
@@ -1,6 +1,6 @@
 //! The section `fleet` of the configuration. Every message names the key.
 
-use crate::fleet::carrier::config::{CarrierConfig, Part};
+use crate::fleet::carrier::config::{CarrierConfig, TreeRole};
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::validation::check_value;
 use anyhow::{Context, Result, bail, ensure};
@@ -131,7 +131,7 @@
 
     /// Whether a process of this name keeps links to the voters: with a carrier, those at its edges do not.
     pub fn asks_voters(&self, name: &str) -> bool {
-        let edge = |carrier: &Arc<CarrierConfig>| carrier.part(name) != Part::Control;
+        let edge = |carrier: &Arc<CarrierConfig>| carrier.role(name) != TreeRole::Control;
         self.called(name).is_ok() || !self.carrier.as_ref().is_some_and(edge)
     }
 
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::bans::{MAX_LEASE_BYTES, Maintenance, MaintenanceResult};
 use crate::connection_limit::{ConnectionLimit, EvictionClass};
 use crate::counters::Counters;
-use crate::fleet::carrier::actor::Told;
+use crate::fleet::carrier::actor::ConfigFreshness;
 use crate::fleet::replication::handle::Handle;
 use crate::http::{Call, CallCodec, CallResponse};
 use crate::phases::{Phase, PhaseWatch};
@@ -47,7 +47,7 @@
     /// The replica of maintenance orders, if there is one.
     pub replication: Option<Handle>,
     /// How old the configuration from the carrier is, if there is a carrier.
-    pub carrier: Option<tokio::sync::watch::Receiver<Told>>,
+    pub carrier: Option<tokio::sync::watch::Receiver<ConfigFreshness>>,
 }
 
 /// Accepts connections until the task is dropped.
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -61,7 +61,7 @@
     /// Sends commands to the fleet's voters, if the proxy is part of a fleet.
     pub fleet: Option<Asker>,
     /// Handle of the carrier actor, if there is one.
-    carrier: Option<carrier::door::Door>,
+    carrier: Option<carrier::handle::Handle>,
     phases: Phases,
     config: Arc<Config>,
     counters: Arc<Counters>,
@@ -81,7 +81,7 @@
     carrier_resources: Vec<Resource>,
     accepted_resources: Vec<Resource>,
     /// Commands from the carrier.
-    carrier_orders: mpsc::Receiver<apply::Order>,
+    carrier_orders: mpsc::Receiver<apply::Command>,
     /// Actors that the proxy can't run without.
     actors: JoinSet<()>,
 }
@@ -93,9 +93,9 @@
     /// If a socket can't be opened.
     pub async fn start(config: Config, counters: Arc<Counters>) -> Result<Proxy> {
         let file_config = config;
-        let (kept, applied) = carrier::kept(&file_config).await;
+        let (kept, applied) = carrier::load_snapshot(&file_config).await;
         let (mut config, accepted_resources) = match applied {
-            Some(applied) => (applied.config, applied.good),
+            Some(applied) => (applied.config, applied.accepted),
             None => (file_config.clone(), Vec::new()),
         };
         // The list is used once, below, and its memory is freed after that.
@@ -174,7 +174,7 @@
         let operator_address = operator.as_ref().map(TcpListener::local_addr).transpose()?;
         let has_carrier = config.fleet.as_ref().is_some_and(|fleet| fleet.carrier.is_some());
         let (carrier_status_sender, carrier_status) =
-            has_carrier.then(|| watch::channel(carrier::actor::Told::default())).unzip();
+            has_carrier.then(|| watch::channel(carrier::actor::ConfigFreshness::default())).unzip();
         let me = config.fleet.as_ref().map(|section| fleet::me::Me::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
@@ -227,7 +227,7 @@
             actors.spawn(parts);
             asker
         });
-        let (layer, carrier_orders) = apply::door();
+        let (layer, carrier_orders) = apply::channel();
         let carrier = me.as_ref().zip(carrier_status_sender).and_then(|(me, carrier_status_sender)| {
             let section = me.config.carrier.clone()?;
             let (carrier_handle, parts) =
@@ -320,7 +320,7 @@
                     tracing::warn!("configuration: needs a restart: {}", restart.join(", "));
                 }
                 if let Some(carrier) = &self.carrier {
-                    carrier.say(carrier::door::Event::Reread).await;
+                    carrier.send(carrier::handle::Event::FileReloaded).await;
                 }
             }
             Err(error) => {
@@ -331,23 +331,32 @@
     }
 
     /// Puts the file's configuration in force, with the carrier's resources applied on top of it.
-    async fn apply_config(&mut self) -> apply::Laid {
+    async fn apply_config(&mut self) -> apply::AppliedConfig {
         let applied = if self.carrier_resources.is_empty() {
-            apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
+            apply::AppliedConfig {
+                config: self.file_config.clone(),
+                accepted: Vec::new(),
+                refused: Vec::new(),
+            }
         } else {
             let (file_config, carrier_resources, accepted_resources) =
                 (self.file_config.clone(), self.carrier_resources.clone(), self.accepted_resources.clone());
             // If many resources fail they are checked one by one, so this runs on a blocking thread and
             // requests don't wait.
-            let applied =
-                spawn_blocking(move || apply::lay(&file_config, &carrier_resources, &accepted_resources))
-                    .await;
+            let applied = spawn_blocking(move || {
+                apply::apply_resources(&file_config, &carrier_resources, &accepted_resources)
+            })
+            .await;
             applied.unwrap_or_else(|error| {
                 tracing::error!("carrier: applying its resources failed, none is in force: {error}");
-                apply::Laid { config: self.file_config.clone(), good: Vec::new(), refused: Vec::new() }
+                apply::AppliedConfig {
+                    config: self.file_config.clone(),
+                    accepted: Vec::new(),
+                    refused: Vec::new(),
+                }
             })
         };
-        self.accepted_resources.clone_from(&applied.good);
+        self.accepted_resources.clone_from(&applied.accepted);
         let (settings, routes) = self.route_registry.apply(&applied.config.json["settings"]);
         self.control.apply_settings(settings).await;
         self.routes.send_replace(Arc::new(routes));
@@ -360,14 +369,14 @@
     }
 
     /// Executes a command of the carrier.
-    async fn handle_carrier_order(&mut self, order: apply::Order) {
+    async fn handle_carrier_order(&mut self, order: apply::Command) {
         match order {
-            apply::Order::Lay(resources, answer) => {
+            apply::Command::Apply(resources, answer) => {
                 self.carrier_resources = resources;
                 let applied = self.apply_config().await;
                 let _ = answer.send(applied.refused);
             }
-            apply::Order::Check(new, answer) => {
+            apply::Command::Check(new, answer) => {
                 let (file_config, accepted_resources) =
                     (self.file_config.clone(), self.accepted_resources.clone());
                 spawn_blocking(move || answer.send(apply::check(&file_config, &accepted_resources, &new)));
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -379,18 +379,19 @@
         resource(site.clone(), "tries", 1, &tries(json!(3))),
         resource(Scope::Fleet, "tries", 2, &tries(json!(2))),
     ];
-    apply::in_order(&mut all);
-    let first = apply::lay(&file, &all, &[]);
-    let said =
-        |laid: &apply::Laid| laid.config.json["settings"]["permissions"]["most-upstream-tries"].clone();
-    assert_eq!((said(&first), first.refused.len(), first.good.len()), (json!(3), 0, 2));
+    apply::sort_by_precedence(&mut all);
+    let first = apply::apply_resources(&file, &all, &[]);
+    let said = |laid: &apply::AppliedConfig| {
+        laid.config.json["settings"]["permissions"]["most-upstream-tries"].clone()
+    };
+    assert_eq!((said(&first), first.refused.len(), first.accepted.len()), (json!(3), 0, 2));
     let next = [
         resource(Scope::Fleet, "bad", 4, "[]"),
         all[0].clone(),
         resource(site, "tries", 3, &tries(json!("many"))),
     ];
-    let second = apply::lay(&file, &next, &first.good);
-    assert_eq!((said(&second), second.good.len()), (json!(3), 2), "the site's last good one");
+    let second = apply::apply_resources(&file, &next, &first.accepted);
+    assert_eq!((said(&second), second.accepted.len()), (json!(3), 2), "the site's last good one");
     expect![[r#"
         fleet bad: expected an object, found []
         site/s1 tries: settings.permissions.most-upstream-tries: expected a whole number, found "many""#]]
