--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -3,7 +3,7 @@
 //! the file, and every process reads the folder.
 
 use crate::control::{ControlHandle, NodeKind};
-use crate::fleet::replication::handle::{Handle, NotGiven, Order, Ordered};
+use crate::fleet::replication::handle::{Handle, IssueError, NewOrder, ServiceStates};
 use pumicebay_accord::{FenceCheck, FencingTokens, Token};
 use pumicebay_replication::{Lease, Refusal, ServiceState, Stamp};
 use std::collections::BTreeSet;
@@ -123,7 +123,7 @@
     /// The handle to the replica.
     pub handle: Handle,
     /// The service state of each node by all orders known.
-    pub ordered: watch::Receiver<Ordered>,
+    pub ordered: watch::Receiver<ServiceStates>,
 }
 
 impl MaintenanceActor {
@@ -188,8 +188,8 @@
     }
 
     /// Applies the group's orders to the nodes whose state differs from them.
-    async fn apply_orders(&mut self, ordered: Ordered) {
-        for (uid, service) in ordered.services {
+    async fn apply_orders(&mut self, ordered: ServiceStates) {
+        for (uid, service) in ordered.by_node {
             let out_of_service = service == ServiceState::Out;
             if self.out.contains(&uid) == out_of_service {
                 continue;
@@ -202,7 +202,7 @@
             self.update_module(uid, out_of_service).await;
         }
         if let Some(replication) = &self.replication {
-            replication.handle.applied(ordered.revision);
+            replication.handle.set_applied_revision(ordered.revision);
         }
     }
 
@@ -278,20 +278,20 @@
     ) -> Result<Stamp, MaintenanceResult> {
         let service = if out_of_service { ServiceState::Out } else { ServiceState::In };
         let name = lease.as_ref().map(|lease| lease.name.clone()).unwrap_or_default();
-        let order = Order { node: uid.into(), service, lease };
-        self.handle.give(order).await.map_err(|not_given| match not_given {
-            NotGiven::Refused(Refusal::StaleToken { token }) => MaintenanceResult::StaleToken(name, token),
-            NotGiven::Refused(refusal) => MaintenanceResult::Refused(refusal.to_string()),
-            NotGiven::NotOnDisk => {
+        let order = NewOrder { node: uid.into(), service, lease };
+        self.handle.issue(order).await.map_err(|not_given| match not_given {
+            IssueError::Refused(Refusal::StaleToken { token }) => MaintenanceResult::StaleToken(name, token),
+            IssueError::Refused(refusal) => MaintenanceResult::Refused(refusal.to_string()),
+            IssueError::NotPersisted => {
                 MaintenanceResult::Failed("the order holds and is replicated, but is not on this disk".into())
             }
-            NotGiven::Ended => MaintenanceResult::Failed("the proxy is stopping".into()),
+            IssueError::ReplicaStopped => MaintenanceResult::Failed("the proxy is stopping".into()),
         })
     }
 }
 
 /// Waits for the next state by all orders; forever if there is no replication.
-async fn next_ordered(replication: &mut Option<Replication>) -> Ordered {
+async fn next_ordered(replication: &mut Option<Replication>) -> ServiceStates {
     if let Some(replication) = replication
         && replication.ordered.changed().await.is_ok()
     {
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -3,8 +3,8 @@
 use crate::fleet::drive::{self, drive};
 use crate::fleet::me::{Me, draw, unix};
 use crate::fleet::replication::config::ReplicationConfig;
-use crate::fleet::replication::handle::{Event, Handle, Order, Ordered};
-use crate::fleet::replication::{Parts, disk, links};
+use crate::fleet::replication::handle::{Event, Handle, NewOrder, ServiceStates};
+use crate::fleet::replication::{ActorContext, disk, links};
 use crate::fleet::wire::Frame;
 use pumicebay_replication::{
     Action, ActionQueue, Entry, LinkId, Message, Nanos, Now, Refusal, Replica, ReplicaConfig, ReplicaId,
@@ -17,16 +17,16 @@
 use tokio::time::Instant;
 
 /// A stamp may be so far ahead of this machine's clock.
-const MOST_AHEAD: Nanos = 60 * SECOND;
+const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
 /// In one part of a transfer.
-const PART_BYTES: usize = 1024;
+const CHUNK_BYTES: usize = 1024;
 /// The replica is looked at this often at the least.
-const LOOK: Nanos = SECOND;
+const MAX_TICK_INTERVAL: Nanos = SECOND;
 
 /// An order whose giver waits until it is on disk.
-struct Waiting {
+struct PendingOrder {
     stamp: Stamp,
-    on_disk: oneshot::Sender<()>,
+    persisted: oneshot::Sender<()>,
 }
 
 struct Actor {
@@ -34,16 +34,16 @@
     config: Arc<ReplicationConfig>,
     handle: Handle,
     replica: Replica,
-    acts: ActionQueue,
+    actions: ActionQueue,
     links: HashMap<LinkId, mpsc::Sender<Message>>,
-    ordered: Ordered,
-    tell: watch::Sender<Ordered>,
-    keep: Option<watch::Sender<Option<Snapshot>>>,
-    waiting: Vec<Waiting>,
+    states: ServiceStates,
+    states_sender: watch::Sender<ServiceStates>,
+    snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
+    pending_orders: Vec<PendingOrder>,
 }
 
 /// By both clocks.
-fn now(me: &Me) -> Now {
+fn read_clocks(me: &Me) -> Now {
     Now { monotonic: me.clock.now(), unix: unix().as_nanos() as u64 }
 }
 
@@ -51,46 +51,46 @@
 pub async fn run(
     me: Me,
     config: Arc<ReplicationConfig>,
-    parts: Parts,
-    keep: Option<watch::Sender<Option<Snapshot>>>,
+    context: ActorContext,
+    snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
 ) {
-    let kept = match config.folder.clone() {
+    let snapshot = match config.folder.clone() {
         Some(folder) => {
             let name = me.who.name.clone();
             spawn_blocking(move || disk::read(&folder, &name)).await.ok().flatten()
         }
         None => None,
     };
-    let now = now(&me);
-    if let Some(kept) = &kept {
-        let age = now.unix.saturating_sub(kept.as_of) as f64 / 1e9;
-        tracing::info!("replication: starts with {} orders as of {age:.1} s ago", kept.entries.len());
+    let now = read_clocks(&me);
+    if let Some(snapshot) = &snapshot {
+        let age = now.unix.saturating_sub(snapshot.as_of) as f64 / 1e9;
+        tracing::info!("replication: starts with {} orders as of {age:.1} s ago", snapshot.entries.len());
     }
-    let mut acts = ActionQueue::new(draw());
-    let terms = ReplicaConfig {
+    let mut actions = ActionQueue::new(draw());
+    let replica_config = ReplicaConfig {
         id: ReplicaId { name: me.who.name.clone(), incarnation: draw() },
         peers: config.peers.keys().filter(|name| **name != me.who.name).cloned().collect(),
-        target_links: config.links,
+        target_links: config.target_links,
         retention: config.retention.as_nanos() as u64,
-        max_clock_skew: MOST_AHEAD,
+        max_clock_skew: MAX_CLOCK_SKEW,
         bytes_per_second: config.bytes_per_second,
-        chunk_bytes: PART_BYTES,
+        chunk_bytes: CHUNK_BYTES,
     };
-    let replica = Replica::start(now, terms, kept, &mut acts);
-    let Parts { handle, events, tell, .. } = parts;
+    let replica = Replica::start(now, replica_config, snapshot, &mut actions);
+    let ActorContext { handle, events, states_sender, .. } = context;
     let mut actor = Actor {
         me,
         config,
         handle,
         replica,
-        acts,
+        actions,
         links: HashMap::new(),
-        ordered: Ordered::default(),
-        tell,
-        keep,
-        waiting: Vec::new(),
+        states: ServiceStates::default(),
+        states_sender,
+        snapshot_sender,
+        pending_orders: Vec::new(),
     };
-    actor.carry_out();
+    actor.execute_actions();
     drive(actor, events).await;
 }
 
@@ -98,106 +98,108 @@
     type Event = Event;
 
     fn due(&self) -> Instant {
-        let due = self.replica.next_deadline().min(self.me.clock.now() + LOOK);
+        let due = self.replica.next_deadline().min(self.me.clock.now() + MAX_TICK_INTERVAL);
         Instant::now() + self.me.clock.until(due)
     }
 
     fn take(&mut self, event: Event) {
-        let now = now(&self.me);
+        let now = read_clocks(&self.me);
         match event {
             Event::LinkUp { link, peer, dialled, mailbox } => {
                 self.links.insert(link, mailbox);
-                self.replica.link_up(now, link, &peer, dialled, &mut self.acts);
+                self.replica.link_up(now, link, &peer, dialled, &mut self.actions);
             }
-            Event::Heard { link, message } if self.links.contains_key(&link) => {
-                self.replica.receive(now, link, message, &mut self.acts);
+            Event::MessageReceived { link, message } if self.links.contains_key(&link) => {
+                self.replica.receive(now, link, message, &mut self.actions);
             }
             Event::LinkDown { link } if self.links.remove(&link).is_some() => {
-                self.replica.link_down(now, link, &mut self.acts);
+                self.replica.link_down(now, link, &mut self.actions);
             }
             // Of a link that was closed here.
-            Event::Heard { .. } | Event::LinkDown { .. } => {}
-            Event::DialFailed => self.replica.dial_failed(now, &mut self.acts),
-            Event::Kept(kept) => self.kept(now, &kept),
-            Event::Give { order, answer, on_disk } => self.give(now, order, answer, on_disk),
-            Event::Status { answer } => {
+            Event::MessageReceived { .. } | Event::LinkDown { .. } => {}
+            Event::DialFailed => self.replica.dial_failed(now, &mut self.actions),
+            Event::Persisted(snapshot) => self.snapshot_persisted(now, &snapshot),
+            Event::Issue { order, answer, persisted } => self.issue(now, order, answer, persisted),
+            Event::StatusFrame { answer } => {
                 let status = Frame::ReplicationIs(Box::new(self.status(now)));
                 let _ = answer.try_send(status);
             }
-            Event::Show { answer } => _ = answer.send(self.status(now)),
+            Event::Status { answer } => _ = answer.send(self.status(now)),
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
     fn tick(&mut self) {
-        let now = now(&self.me);
-        self.replica.tick(now, &mut self.acts);
-        self.carry_out();
+        let now = read_clocks(&self.me);
+        self.replica.tick(now, &mut self.actions);
+        self.execute_actions();
     }
 }
 
 impl Actor {
-    fn give(
+    fn issue(
         &mut self,
         now: Now,
-        order: Order,
+        order: NewOrder,
         answer: oneshot::Sender<Result<Stamp, Refusal>>,
-        on_disk: oneshot::Sender<()>,
+        persisted: oneshot::Sender<()>,
     ) {
-        let Order { node, service, lease } = order;
-        let given = self.replica.issue(now, &node, service, lease, &mut self.acts);
-        let stamp = given.map(|Entry { order, .. }| order.stamp);
-        match (&stamp, &self.keep) {
-            (Ok(stamp), Some(_)) => self.waiting.push(Waiting { stamp: stamp.clone(), on_disk }),
+        let NewOrder { node, service, lease } = order;
+        let issued = self.replica.issue(now, &node, service, lease, &mut self.actions);
+        let stamp = issued.map(|Entry { order, .. }| order.stamp);
+        match (&stamp, &self.snapshot_sender) {
+            (Ok(stamp), Some(_)) => {
+                self.pending_orders.push(PendingOrder { stamp: stamp.clone(), persisted })
+            }
             // Without a disk memory has to do.
-            _ => _ = on_disk.send(()),
+            _ => _ = persisted.send(()),
         }
         let _ = answer.send(stamp);
     }
 
-    fn kept(&mut self, now: Now, kept: &Snapshot) {
-        let written = |waiting: &mut Waiting| kept.vector.covers(&waiting.stamp);
-        for Waiting { on_disk, .. } in self.waiting.extract_if(.., written) {
-            let _ = on_disk.send(());
+    fn snapshot_persisted(&mut self, now: Now, snapshot: &Snapshot) {
+        let is_persisted = |pending: &mut PendingOrder| snapshot.vector.covers(&pending.stamp);
+        for PendingOrder { persisted, .. } in self.pending_orders.extract_if(.., is_persisted) {
+            let _ = persisted.send(());
         }
-        self.waiting.retain(|waiting| !waiting.on_disk.is_closed());
-        self.replica.persisted(now, &mut self.acts);
+        self.pending_orders.retain(|pending| !pending.persisted.is_closed());
+        self.replica.persisted(now, &mut self.actions);
     }
 
     /// What it shows of itself: what holds counts once it is carried out.
     fn status(&self, now: Now) -> Status {
         let mut status = self.replica.status(now);
-        if self.handle.last_applied() < self.ordered.revision {
+        if self.handle.applied_revision() < self.states.revision {
             status.vector = Default::default();
         }
         status
     }
 
     /// What was asked for, until nothing more is.
-    fn carry_out(&mut self) {
+    fn execute_actions(&mut self) {
         let mut changed = false;
-        while let Some(act) = self.acts.actions.pop_front() {
-            match act {
+        while let Some(action) = self.actions.actions.pop_front() {
+            match action {
                 Action::Dial(peer) => links::dial(&self.me, &self.config, &self.handle, &peer),
                 Action::Send(link, message) => self.send(link, message),
                 Action::Close(link) => _ = self.links.remove(&link),
                 Action::Apply(node, service) => {
                     tracing::info!("replication: {node} is {service:?} of service");
-                    self.ordered.services.insert(node, service);
+                    self.states.by_node.insert(node, service);
                     changed = true;
                 }
                 // Where there is no disk nothing comes back, and nothing more is to be kept.
-                Action::Persist(kept) => {
-                    if let Some(keep) = &self.keep {
-                        keep.send_replace(Some(kept));
+                Action::Persist(snapshot) => {
+                    if let Some(snapshot_sender) = &self.snapshot_sender {
+                        snapshot_sender.send_replace(Some(snapshot));
                     }
                 }
-                Action::Report(report) => log(&report),
+                Action::Report(report) => log_report(&report),
             }
         }
         if changed {
-            self.ordered.revision += 1;
-            self.tell.send_replace(self.ordered.clone());
+            self.states.revision += 1;
+            self.states_sender.send_replace(self.states.clone());
         }
     }
 
@@ -206,13 +208,13 @@
         if self.links.get(&link).is_some_and(full) {
             // It does not read: as good as gone.
             self.links.remove(&link);
-            let now = now(&self.me);
-            self.replica.link_down(now, link, &mut self.acts);
+            let now = read_clocks(&self.me);
+            self.replica.link_down(now, link, &mut self.actions);
         }
     }
 }
 
-fn log(report: &Report) {
+fn log_report(report: &Report) {
     match report {
         Report::FutureStamp { entry, ahead } => tracing::error!(
             "replication: an order of {} for {} is {:.1} s ahead of this clock, refused",
@@ -225,8 +227,10 @@
             entry.order.stamp.issuer.name,
             entry.slot.node
         ),
-        Report::StaleCopy { peer, superseded: ended } => {
-            tracing::warn!("replication: this copy was away; {ended} orders had ended according to {peer}");
+        Report::StaleCopy { peer, superseded } => {
+            tracing::warn!(
+                "replication: this copy was away; {superseded} orders had ended according to {peer}"
+            );
         }
         Report::PossiblySuperseded { entry } => tracing::warn!(
             "replication: {} of service for {} by {} is older than ended orders are remembered; it holds, look at it",
@@ -237,8 +241,8 @@
             entry.slot.node,
             entry.order.stamp.issuer.name
         ),
-        Report::SnapshotIgnored { reason: why } => {
-            tracing::error!("replication: the copy on disk is not used: {why}")
+        Report::SnapshotIgnored { reason } => {
+            tracing::error!("replication: the copy on disk is not used: {reason}")
         }
     }
 }
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -18,15 +18,15 @@
 use tokio::time::{Instant, sleep};
 
 /// Proxies that are asked at a time.
-const TOGETHER: usize = 64;
-const AGAIN: Duration = Duration::from_millis(100);
+const MAX_CONCURRENT_CALLS: usize = 64;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Not at all proxies, or not known.
-const NOT_YET: u8 = 3;
+const EXIT_INCOMPLETE: u8 = 3;
 
 /// Why a proxy is not known to hold an order.
-type Missing = BTreeMap<String, String>;
+type MissingProxies = BTreeMap<String, String>;
 
-fn section(fleet: &FleetConfig) -> Result<&ReplicationConfig> {
+fn replication_config(fleet: &FleetConfig) -> Result<&ReplicationConfig> {
     fleet.replication.as_deref().context("fleet.replication: missing; nothing is replicated in this fleet")
 }
 
@@ -37,31 +37,31 @@
     out: bool,
     wait: Option<Duration>,
 ) -> Result<ExitCode> {
-    let call = OrderCall { node: node.into(), out, under: held()? };
-    let stamp = give(&fleet, &call).await?;
-    println!("{} {}", if out { "out" } else { "back" }, named(&stamp));
+    let call = OrderCall { node: node.into(), out, under: lease_from_environment()? };
+    let stamp = issue(&fleet, &call).await?;
+    println!("{} {}", if out { "out" } else { "back" }, stamp_text(&stamp));
     let Some(wait) = wait else { return Ok(ExitCode::SUCCESS) };
-    let until = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
-        let (statuses, mut missing) = everybody(&fleet).await?;
-        let lacking = statuses.iter().filter(|(_, status)| !status.vector.covers(&stamp));
-        missing.extend(lacking.map(|(name, _)| (name.clone(), "does not have it yet".to_string())));
+        let (statuses, mut missing) = collect_statuses(&fleet).await?;
+        let behind = statuses.iter().filter(|(_, status)| !status.vector.covers(&stamp));
+        missing.extend(behind.map(|(name, _)| (name.clone(), "does not have it yet".to_string())));
         if missing.is_empty() {
             println!("holds at all {} proxies", statuses.len());
             return Ok(ExitCode::SUCCESS);
         }
-        if Instant::now() >= until {
-            let all = section(&fleet)?.peers.len();
+        if Instant::now() >= deadline {
+            let all = replication_config(&fleet)?.peers.len();
             println!("holds at {} of {all} proxies, but not at these:", all - missing.len());
-            missing.iter().for_each(|(name, why)| println!("  {name}  {why}"));
-            return Ok(ExitCode::from(NOT_YET));
+            missing.iter().for_each(|(name, reason)| println!("  {name}  {reason}"));
+            return Ok(ExitCode::from(EXIT_INCOMPLETE));
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// The lease and token that `pumicebay fleet run` gives its command.
-fn held() -> Result<Option<(String, Token)>> {
+fn lease_from_environment() -> Result<Option<(String, Token)>> {
     let (Ok(lease), Ok(token)) = (std::env::var("PUMICEBAY_LEASE"), std::env::var("PUMICEBAY_TOKEN")) else {
         return Ok(None);
     };
@@ -70,18 +70,18 @@
     Ok(Some((lease, token)))
 }
 
-fn named(stamp: &Stamp) -> String {
+fn stamp_text(stamp: &Stamp) -> String {
     format!("{}.{:016x}.{}", stamp.issuer.name, stamp.issuer.incarnation, stamp.version)
 }
 
 /// The first proxy that can be reached takes the order.
-async fn give(fleet: &FleetConfig, call: &OrderCall) -> Result<Stamp> {
-    let mut why = "no proxy of the group answers".to_string();
-    for (name, at) in &section(fleet)?.peers {
-        let mut called = match Called::call_speaking(fleet, *at, REPLICATION).await {
+async fn issue(fleet: &FleetConfig, call: &OrderCall) -> Result<Stamp> {
+    let mut last_failure = "no proxy of the group answers".to_string();
+    for (name, address) in &replication_config(fleet)?.peers {
+        let mut called = match Called::call_speaking(fleet, *address, REPLICATION).await {
             Ok(called) => called,
             Err(error) => {
-                why = format!("{name}: {error:#}");
+                last_failure = format!("{name}: {error:#}");
                 continue;
             }
         };
@@ -91,35 +91,35 @@
         });
         return match answer.await {
             Ok(OrderAnswer::Given(stamp)) => Ok(stamp),
-            Ok(OrderAnswer::Refused(why)) => bail!("refused: {why}"),
+            Ok(OrderAnswer::Refused(reason)) => bail!("refused: {reason}"),
             Err(error) => bail!("{name} did not answer, whether it was given is not known: {error:#}"),
         };
     }
-    bail!("nothing was ordered: {why}")
+    bail!("nothing was ordered: {last_failure}")
 }
 
 /// What each proxy says of itself, and why others do not.
-async fn everybody(fleet: &Arc<FleetConfig>) -> Result<(BTreeMap<String, Status>, Missing)> {
-    let room = Arc::new(Semaphore::new(TOGETHER));
-    let mut asked = JoinSet::new();
-    for (name, at) in section(fleet)?.peers.clone() {
-        let (fleet, room) = (fleet.clone(), room.clone());
-        asked.spawn(async move {
-            let _place = room.acquire().await;
+async fn collect_statuses(fleet: &Arc<FleetConfig>) -> Result<(BTreeMap<String, Status>, MissingProxies)> {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
+    let mut queries = JoinSet::new();
+    for (name, address) in replication_config(fleet)?.peers.clone() {
+        let (fleet, permits) = (fleet.clone(), permits.clone());
+        queries.spawn(async move {
+            let _permit = permits.acquire().await;
             let status = async {
                 let wanted = |frame| match frame {
                     Frame::ReplicationIs(status) => Some(*status),
                     _ => None,
                 };
-                let mut called = Called::call_speaking(&fleet, at, REPLICATION).await?;
+                let mut called = Called::call_speaking(&fleet, address, REPLICATION).await?;
                 called.ask(Frame::Replication, ANSWERS, wanted).await
             };
             (name, status.await)
         });
     }
-    let (mut statuses, mut missing) = (BTreeMap::new(), Missing::new());
-    while let Some(answered) = asked.join_next().await {
-        match answered.context("asking")? {
+    let (mut statuses, mut missing) = (BTreeMap::new(), MissingProxies::new());
+    while let Some(result) = queries.join_next().await {
+        match result.context("asking")? {
             (name, Ok(status)) => _ = statuses.insert(name, status),
             (name, Err(error)) => _ = missing.insert(name, format!("{error:#}")),
         }
@@ -129,11 +129,14 @@
 
 /// `pumicebay fleet orders`: what each proxy knows.
 pub async fn orders(fleet: Arc<FleetConfig>, as_json: bool) -> Result<ExitCode> {
-    let (statuses, missing) = everybody(&fleet).await?;
+    let (statuses, missing) = collect_statuses(&fleet).await?;
     let digests: BTreeSet<u64> = statuses.values().map(|status| status.digest).collect();
     let equal = digests.len() <= 1 && missing.is_empty();
     if as_json {
-        println!("{:#}", json!({"equal": equal, "proxies": shown(&statuses), "unreachable": missing}));
+        println!(
+            "{:#}",
+            json!({"equal": equal, "proxies": statuses_json(&statuses), "unreachable": missing})
+        );
     } else {
         for (name, status) in &statuses {
             let age = status
@@ -146,34 +149,34 @@
                 status.out_of_service.join(" ")
             );
             for entry in &status.possibly_superseded {
-                println!("  doubtful: {} by {}", entry.slot.node, named(&entry.order.stamp));
+                println!("  doubtful: {} by {}", entry.slot.node, stamp_text(&entry.order.stamp));
             }
         }
-        missing.iter().for_each(|(name, why)| println!("{name}  {why}"));
+        missing.iter().for_each(|(name, reason)| println!("{name}  {reason}"));
     }
-    Ok(if equal { ExitCode::SUCCESS } else { ExitCode::from(NOT_YET) })
+    Ok(if equal { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INCOMPLETE) })
 }
 
-fn shown(statuses: &BTreeMap<String, Status>) -> Json {
+fn statuses_json(statuses: &BTreeMap<String, Status>) -> Json {
     let one = |(name, status): (&String, &Status)| {
         let Status {
-            out_of_service: out,
-            order_count: orders,
+            out_of_service,
+            order_count,
             digest,
-            last_heard_age: age,
-            linked_peers: linked,
-            differing_peers: differing,
+            last_heard_age,
+            linked_peers,
+            differing_peers,
             bytes_sent,
-            future_stamps: future,
+            future_stamps,
             conflicts,
             ..
         } = status;
-        let doubtful: Vec<&String> =
+        let possibly_superseded: Vec<&String> =
             status.possibly_superseded.iter().map(|entry| &entry.slot.node).collect();
         json!({
-            "name": name, "out": out, "orders": orders, "digest": format!("{digest:016x}"),
-            "age_s": age.map(|age| age as f64 / 1e9), "linked": linked, "differing": differing,
-            "bytes_sent": bytes_sent, "future": future, "conflicts": conflicts, "doubtful": doubtful,
+            "name": name, "out": out_of_service, "orders": order_count, "digest": format!("{digest:016x}"),
+            "age_s": last_heard_age.map(|age| age as f64 / 1e9), "linked": linked_peers, "differing": differing_peers,
+            "bytes_sent": bytes_sent, "future": future_stamps, "conflicts": conflicts, "doubtful": possibly_superseded,
         })
     };
     statuses.iter().map(one).collect()
--- a/crates/proxy/src/fleet/replication/config.rs
+++ b/crates/proxy/src/fleet/replication/config.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 const KEYS: &[&str] = &["peers", "listen", "folder", "links", "bytes-per-second", "retention-s"];
-const MOST_PEERS: usize = 4096;
-const LINKS: u64 = 4;
-const MOST_LINKS: u64 = 32;
+const MAX_PEERS: usize = 4096;
+const DEFAULT_LINKS: u64 = 4;
+const MAX_LINKS: u64 = 32;
 /// What the carrier leaves of the bytes that control may take.
-const BYTES_PER_SECOND: u64 = 2000;
-const FEWEST_BYTES_PER_SECOND: u64 = 1024;
-const RETENTION_SECONDS: u64 = 7 * 86_400;
-const LEAST_RETENTION_SECONDS: u64 = 10;
-const MOST_RETENTION_SECONDS: u64 = 365 * 86_400;
+const DEFAULT_BYTES_PER_SECOND: u64 = 2000;
+const MIN_BYTES_PER_SECOND: u64 = 1024;
+const DEFAULT_RETENTION_SECONDS: u64 = 7 * 86_400;
+const MIN_RETENTION_SECONDS: u64 = 10;
+const MAX_RETENTION_SECONDS: u64 = 365 * 86_400;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
@@ -29,7 +29,7 @@
     /// Where its copy is kept.
     pub folder: Option<PathBuf>,
     /// Links to peers of its choice.
-    pub links: usize,
+    pub target_links: usize,
     /// To all peers together.
     pub bytes_per_second: usize,
     /// For how long an order that puts a node back is kept.
@@ -53,16 +53,16 @@
             check_value(json, &format!("/fleet/replication/{key}"), "a text", Json::is_string)?;
         }
         let text = |key: &str| section.get(key).and_then(Json::as_str);
-        let number = |key: &str, default: u64, least: u64, most: u64| -> Result<u64> {
-            let fits = |value: &Json| value.as_u64().is_some_and(|value| (least..=most).contains(&value));
-            let wanted = format!("a number from {least} to {most}");
-            check_value(json, &format!("/fleet/replication/{key}"), &wanted, fits)?;
+        let number = |key: &str, default: u64, min: u64, max: u64| -> Result<u64> {
+            let fits = |value: &Json| value.as_u64().is_some_and(|value| (min..=max).contains(&value));
+            let expected = format!("a number from {min} to {max}");
+            check_value(json, &format!("/fleet/replication/{key}"), &expected, fits)?;
             Ok(section.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
         let peers = addresses(section, "fleet.replication", "peers")?;
         ensure!(
-            (2..=MOST_PEERS).contains(&peers.len()),
-            "fleet.replication.peers: expected 2 to {MOST_PEERS}, found {}",
+            (2..=MAX_PEERS).contains(&peers.len()),
+            "fleet.replication.peers: expected 2 to {MAX_PEERS}, found {}",
             peers.len()
         );
         // A command reads the section under no name.
@@ -75,22 +75,26 @@
                 .with_context(|| format!("fleet.replication.listen: expected ADDRESS:PORT, found {at:?}"))
         });
         let retention =
-            number("retention-s", RETENTION_SECONDS, LEAST_RETENTION_SECONDS, MOST_RETENTION_SECONDS)?;
+            number("retention-s", DEFAULT_RETENTION_SECONDS, MIN_RETENTION_SECONDS, MAX_RETENTION_SECONDS)?;
         Ok(Some(ReplicationConfig {
             peers,
             listen: listen.transpose()?,
             folder: text("folder").map(PathBuf::from),
-            links: number("links", LINKS, 1, MOST_LINKS)? as usize,
-            bytes_per_second: number("bytes-per-second", BYTES_PER_SECOND, FEWEST_BYTES_PER_SECOND, 1 << 30)?
-                as usize,
+            target_links: number("links", DEFAULT_LINKS, 1, MAX_LINKS)? as usize,
+            bytes_per_second: number(
+                "bytes-per-second",
+                DEFAULT_BYTES_PER_SECOND,
+                MIN_BYTES_PER_SECOND,
+                1 << 30,
+            )? as usize,
             retention: Duration::from_secs(retention),
         }))
     }
 
     /// Where a process of this name takes links.
-    pub fn listens(&self, name: &str) -> Option<SocketAddr> {
-        let called = self.peers.get(name)?;
-        Some(self.listen.unwrap_or(*called))
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
+        let peer_address = self.peers.get(name)?;
+        Some(self.listen.unwrap_or(*peer_address))
     }
 
     pub fn summary(&self) -> String {
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -18,9 +18,10 @@
 /// The copy that was kept there. One that can't be read, or that is another process's, is set aside with a line in the
 /// log.
 pub fn read(folder: &Path, name: &str) -> Option<Snapshot> {
-    let found = FILE.read(folder).and_then(|bytes| bytes.map(|bytes| whose(&bytes, name)).transpose());
-    match found {
-        Ok(kept) => kept,
+    let snapshot =
+        FILE.read(folder).and_then(|bytes| bytes.map(|bytes| decode_own(&bytes, name)).transpose());
+    match snapshot {
+        Ok(snapshot) => snapshot,
         Err(error) => {
             tracing::error!("replication: the copy on disk is not used: {error:#}");
             if let Err(error) = FILE.set_aside(folder) {
@@ -31,17 +32,17 @@
     }
 }
 
-fn whose(bytes: &[u8], name: &str) -> Result<Snapshot> {
-    let kept: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
-    anyhow::ensure!(kept.name == name, "it is {}'s", kept.name);
-    Ok(kept)
+fn decode_own(bytes: &[u8], name: &str) -> Result<Snapshot> {
+    let snapshot: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
+    anyhow::ensure!(snapshot.name == name, "it is {}'s", snapshot.name);
+    Ok(snapshot)
 }
 
 /// Writes what comes, the newest only, as long as the process lives.
 pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, handle: Handle) {
-    let written = |kept: Snapshot| {
+    let written = |snapshot: Snapshot| {
         let handle = handle.clone();
-        async move { _ = handle.say(Event::Kept(Box::new(kept))).await }
+        async move { _ = handle.send(Event::Persisted(Box::new(snapshot))).await }
     };
     FILE.keep_newest("replication", folder, newest, written).await;
 }
--- a/crates/proxy/src/fleet/replication/handle.rs
+++ b/crates/proxy/src/fleet/replication/handle.rs
@@ -9,13 +9,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-const MAILBOX: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 /// How long an order may take until it is on disk: operators' calls are answered within a second.
-const ON_DISK: Duration = Duration::from_millis(600);
+const PERSIST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// An order as it is given at this process.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct NewOrder {
     pub node: String,
     pub service: ServiceState,
     pub lease: Option<Lease>,
@@ -30,7 +30,7 @@
         dialled: bool,
         mailbox: mpsc::Sender<Message>,
     },
-    Heard {
+    MessageReceived {
         link: LinkId,
         message: Message,
     },
@@ -38,84 +38,84 @@
         link: LinkId,
     },
     DialFailed,
-    Kept(Box<Snapshot>),
-    Give {
-        order: Order,
+    Persisted(Box<Snapshot>),
+    Issue {
+        order: NewOrder,
         answer: oneshot::Sender<Result<Stamp, Refusal>>,
-        on_disk: oneshot::Sender<()>,
+        persisted: oneshot::Sender<()>,
     },
-    Status {
+    StatusFrame {
         answer: mpsc::Sender<Frame>,
     },
-    Show {
+    Status {
         answer: oneshot::Sender<Status>,
     },
 }
 
 /// What holds by all orders that are known: by node, as of a revision that grows.
 #[derive(Clone, Debug, Default)]
-pub struct Ordered {
+pub struct ServiceStates {
     pub revision: u64,
-    pub services: BTreeMap<String, ServiceState>,
+    pub by_node: BTreeMap<String, ServiceState>,
 }
 
 /// Why an order was not given.
 #[derive(Debug)]
-pub enum NotGiven {
+pub enum IssueError {
     Refused(Refusal),
     /// It is given and spreads, but this process's disk does not have it.
-    NotOnDisk,
+    NotPersisted,
     /// The replica has ended.
-    Ended,
+    ReplicaStopped,
 }
 
 /// The way to the actor.
 #[derive(Clone)]
 pub struct Handle {
     events: mpsc::Sender<Event>,
-    links: Arc<AtomicU64>,
+    last_link: Arc<AtomicU64>,
     /// The revision of what holds that has been carried out.
-    applied: Arc<AtomicU64>,
+    applied_revision: Arc<AtomicU64>,
 }
 
 impl Handle {
     /// Waits for room: each that says something is a task of its own, and only it waits. False when the actor has ended.
-    pub async fn say(&self, event: Event) -> bool {
+    pub async fn send(&self, event: Event) -> bool {
         self.events.send(event).await.is_ok()
     }
 
     /// A number for a new link, never used before in this process.
-    pub fn new_link(&self) -> LinkId {
-        self.links.fetch_add(1, Ordering::Relaxed) + 1
+    pub fn next_link_id(&self) -> LinkId {
+        self.last_link.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// Gives an order; returns once it holds in the replica and is on disk, where there is one.
-    pub async fn give(&self, order: Order) -> Result<Stamp, NotGiven> {
-        let ((answer, answered), (on_disk, written)) = (oneshot::channel(), oneshot::channel());
-        if !self.say(Event::Give { order, answer, on_disk }).await {
-            return Err(NotGiven::Ended);
+    pub async fn issue(&self, order: NewOrder) -> Result<Stamp, IssueError> {
+        let ((answer, answered), (persisted, on_disk)) = (oneshot::channel(), oneshot::channel());
+        if !self.send(Event::Issue { order, answer, persisted }).await {
+            return Err(IssueError::ReplicaStopped);
         }
-        let stamp = answered.await.map_err(|_| NotGiven::Ended)?.map_err(NotGiven::Refused)?;
-        match timeout(ON_DISK, written).await {
+        let stamp = answered.await.map_err(|_| IssueError::ReplicaStopped)?.map_err(IssueError::Refused)?;
+        match timeout(PERSIST_TIMEOUT, on_disk).await {
             Ok(Ok(())) => Ok(stamp),
-            Ok(Err(_)) | Err(_) => Err(NotGiven::NotOnDisk),
+            Ok(Err(_)) | Err(_) => Err(IssueError::NotPersisted),
         }
     }
 
     /// What the replica shows of itself.
-    pub async fn show(&self) -> Option<Status> {
+    pub async fn status(&self) -> Option<Status> {
         let (answer, answered) = oneshot::channel();
-        self.say(Event::Show { answer }).await;
+        self.send(Event::Status { answer }).await;
         answered.await.ok()
     }
 
     /// What holds as of this revision has been carried out.
-    pub fn applied(&self, revision: u64) {
-        self.applied.store(revision, Ordering::Release);
+    pub fn set_applied_revision(&self, revision: u64) {
+        self.applied_revision.store(revision, Ordering::Release);
     }
 
-    pub fn last_applied(&self) -> u64 {
-        self.applied.load(Ordering::Acquire)
+    pub fn applied_revision(&self) -> u64 {
+        self.applied_revision.load(Ordering::Acquire)
     }
 }
 
@@ -123,13 +123,13 @@
 pub struct Channels {
     pub handle: Handle,
     pub events: mpsc::Receiver<Event>,
-    pub tell: watch::Sender<Ordered>,
-    pub ordered: watch::Receiver<Ordered>,
+    pub states_sender: watch::Sender<ServiceStates>,
+    pub states: watch::Receiver<ServiceStates>,
 }
 
 pub fn channels() -> Channels {
-    let (events, mailbox) = mpsc::channel(MAILBOX);
-    let (tell, ordered) = watch::channel(Ordered::default());
-    let handle = Handle { events, links: Arc::default(), applied: Arc::default() };
-    Channels { handle, events: mailbox, tell, ordered }
+    let (events, mailbox) = mpsc::channel(QUEUE_CAPACITY);
+    let (states_sender, states) = watch::channel(ServiceStates::default());
+    let handle = Handle { events, last_link: Arc::default(), applied_revision: Arc::default() };
+    Channels { handle, events: mailbox, states_sender, states }
 }
--- a/crates/proxy/src/fleet/replication/mod.rs
+++ b/crates/proxy/src/fleet/replication/mod.rs
@@ -21,34 +21,38 @@
 use crate::bans::Maintenance;
 use crate::fleet::me::Me;
 use crate::fleet::replication::config::ReplicationConfig;
-use crate::fleet::replication::handle::{Event, Handle, Ordered};
+use crate::fleet::replication::handle::{Event, Handle, ServiceStates};
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
 /// What the actor is started with.
-pub struct Parts {
+pub struct ActorContext {
     pub handle: Handle,
     pub events: mpsc::Receiver<Event>,
     /// What holds by the orders, for whoever carries it out.
-    pub tell: watch::Sender<Ordered>,
+    pub states_sender: watch::Sender<ServiceStates>,
     /// Where commands' orders go, so that they take the way of all others.
     pub maintenance: Maintenance,
 }
 
 /// Takes its part: keeps links to peers, takes theirs, and keeps its copy on disk. Gives what has to run as long as it
 /// does.
-pub fn start(me: &Me, config: Arc<ReplicationConfig>, parts: Parts) -> impl Future<Output = ()> + use<> {
+pub fn start(
+    me: &Me,
+    config: Arc<ReplicationConfig>,
+    context: ActorContext,
+) -> impl Future<Output = ()> + use<> {
     let mut actors = JoinSet::new();
-    let keep = config.folder.clone().map(|folder| {
-        let (keep, newest) = watch::channel(None);
-        actors.spawn(disk::run(folder, newest, parts.handle.clone()));
-        keep
+    let snapshot_sender = config.folder.clone().map(|folder| {
+        let (sender, newest) = watch::channel(None);
+        actors.spawn(disk::run(folder, newest, context.handle.clone()));
+        sender
     });
-    if let Some(at) = config.listens(&me.who.name) {
-        let maintenance = parts.maintenance.clone();
-        actors.spawn(links::accept(me.clone(), config.clone(), parts.handle.clone(), maintenance, at));
+    if let Some(address) = config.listen_address(&me.who.name) {
+        let maintenance = context.maintenance.clone();
+        actors.spawn(links::accept(me.clone(), config.clone(), context.handle.clone(), maintenance, address));
     }
-    actors.spawn(actor::run(me.clone(), config, parts, keep));
+    actors.spawn(actor::run(me.clone(), config, context, snapshot_sender));
     super::watched(actors)
 }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -114,7 +114,7 @@
             line += &format!(", carrier: {}", *carrier.borrow());
         }
         let status = match &self.replication {
-            Some(handle) => timeout(REPLICA_STATUS_TIMEOUT, handle.show()).await.ok().flatten(),
+            Some(handle) => timeout(REPLICA_STATUS_TIMEOUT, handle.status()).await.ok().flatten(),
             None => None,
         };
         if let Some(status) = status {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -181,11 +181,16 @@
             let (maintenance, calls) = bans::channel();
             let (handle, replication) = match (&me, replicated) {
                 (Some(me), Some(section)) => {
-                    let Channels { handle, events, tell, ordered } = replication::handle::channels();
+                    let Channels { handle, events, states_sender, states } = replication::handle::channels();
                     let maintenance = maintenance.clone();
-                    let parts = replication::Parts { handle: handle.clone(), events, tell, maintenance };
-                    actors.spawn(replication::start(me, section, parts));
-                    (Some(handle.clone()), Some(Replication { handle, ordered }))
+                    let context = replication::ActorContext {
+                        handle: handle.clone(),
+                        events,
+                        states_sender,
+                        maintenance,
+                    };
+                    actors.spawn(replication::start(me, section, context));
+                    (Some(handle.clone()), Some(Replication { handle, ordered: states }))
                 }
                 _ => (None, None),
             };
