--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -1,5 +1,5 @@
-//! The carrier's actor: it owns the node, and on a control machine that holds the lease the publisher, and drives both with
-//! the fleet's clock.
+//! The carrier actor. It owns the node of the distribution tree and, on the control machine that holds the
+//! lease, the publisher. It drives both with the fleet's clock.
 
 use crate::fleet::asker::Asker;
 use crate::fleet::carrier::apply::{self, Applier};
@@ -22,21 +22,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
+/// The size of the parts into which a difference to a child is split, in bytes.
 const PART_BYTES: usize = 4096;
-/// Between control machines.
+/// The part size between control machines, in bytes.
 const CONTROL_PART_BYTES: usize = 48 * 1024;
+/// The maximum send rate to another control machine.
 const CONTROL_BYTES_PER_SECOND: u64 = 1_000_000;
+/// The maximum number of exceptions that a summary lists by name.
 const MAX_EXCEPTIONS: usize = 16;
-/// How often what is told of its age is renewed, at the least.
+/// The actor ticks at least this often, to refresh the reported age of the configuration. Nanoseconds.
 const MAX_TICK_INTERVAL: Nanos = 500_000_000;
-/// From this age on a process says that what it has may be old.
+/// A configuration that was confirmed longer ago than this is reported as possibly stale. Nanoseconds.
 const STALE_AFTER: Nanos = 10_000_000_000;
 
-/// What the process is told of the carrier.
+/// The version of the configuration that this process holds, and when it was last known to be current.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConfigFreshness {
+    /// The version that this process holds.
     pub version: Version,
-    /// When the publisher is known to have held just this; `None` where it never was.
+    /// The latest time at which the publisher is known to have held the same version; `None` if there has been
+    /// no confirmation since the start.
     pub confirmed_at: Option<Instant>,
 }
 
@@ -46,11 +51,12 @@
             Some(confirmed_at) => {
                 write!(f, "version {} as of {:.1} s ago", self.version, confirmed_at.elapsed().as_secs_f64())
             }
-            None => write!(f, "version {}, nothing heard publisher_since the start", self.version),
+            None => write!(f, "version {}, nothing heard from the publisher since the start", self.version),
         }
     }
 }
 
+/// An action that the node requested through its `Host`.
 enum Action {
     ConnectParent(String),
     DisconnectParent,
@@ -61,7 +67,7 @@
     Persist(Snapshot),
 }
 
-/// What the node asks for, in its order.
+/// The host of the node: queues the actions that the node requests, in order.
 struct ActionQueue {
     actions: VecDeque<Action>,
     random: oorandom::Rand64,
@@ -94,16 +100,19 @@
     }
 }
 
-/// What the actor needs of the rest of the process.
+/// The actor's connections to the rest of the process.
 pub struct ActorContext {
+    /// Passed to tasks that report back to the actor.
     pub handle: Handle,
+    /// Applies and checks resources in the serving process.
     pub applier: Applier,
-    /// Of a control machine.
+    /// Sends operations to the voters; only on a control machine.
     pub asker: Option<Asker>,
-    /// To the disk, where there is one.
+    /// Passes the newest snapshot to the disk task; `None` if there is no folder.
     pub snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
-    /// Gives the lease back.
+    /// Requests that the lease be given back.
     pub release_lease: mpsc::Sender<()>,
+    /// Publishes the version and the age of the configuration.
     pub freshness_sender: watch::Sender<ConfigFreshness>,
 }
 
@@ -114,16 +123,19 @@
     node: TreeNode,
     actions: ActionQueue,
     parent: Option<Parent>,
+    /// The number of connection attempts to parents; the latest value identifies the current attempt.
     dial_count: u64,
-    /// How many of them came to nothing publisher_since a link was up.
+    /// The number of failed connection attempts since a link to a parent was up.
     failed_dials: u32,
     children: HashMap<ChildId, mpsc::Sender<ParentMessage>>,
     publisher: Option<(Publisher, publish::RecordHost)>,
+    /// The number of publishers started; the latest value identifies the current publisher.
     publisher_count: u64,
+    /// When the current publisher was started.
     publisher_since: Nanos,
-    /// Who publishes, as far as is known.
+    /// The name of the control machine that publishes, if known.
     root: Option<String>,
-    /// Whether it has said that what it has may be old.
+    /// Whether a warning that the configuration may be stale was logged and is still valid.
     reported_stale: bool,
     started: Nanos,
 }
@@ -154,11 +166,12 @@
     }
 }
 
+/// The location of this process in the fleet.
 pub fn location(me: &Me, config: &CarrierConfig) -> Location {
     Location { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
 }
 
-/// Runs as long as the process lives.
+/// Runs the actor until the process ends. `snapshot` is what was loaded from the disk, if anything.
 pub async fn run(
     me: Me,
     config: Arc<CarrierConfig>,
@@ -202,7 +215,7 @@
 
     fn take(&mut self, event: Event) {
         let now = self.now();
-        // What comes of a dial that was given up counts no more.
+        // Events of an abandoned connection attempt are ignored.
         let dial_number = self.parent.as_ref().map(|parent| parent.number);
         let (node, actions) = (&mut self.node, &mut self.actions);
         match event {
@@ -227,7 +240,7 @@
                 self.parent = None;
                 node.parent_disconnected(now, actions);
             }
-            // Of a link that was given up.
+            // Events of a link that was already closed here.
             Event::ChildMessage(..) | Event::ChildDisconnected(_) => {}
             Event::ParentConnected(_) | Event::ParentMessage(..) | Event::ParentDisconnected(_) => {}
             Event::Applied(version, refused) => node.applied(now, version, refused, actions),
@@ -272,7 +285,7 @@
         self.me.clock.now()
     }
 
-    /// What was asked for, until nothing more is.
+    /// Executes the queued actions until the queue is empty.
     fn execute_actions(&mut self) {
         loop {
             self.execute_publisher_actions();
@@ -295,7 +308,7 @@
                 Action::SendToParent(up) => {
                     let full = |parent: &Parent| parent.sender.try_send(up).is_err();
                     if self.parent.as_ref().is_some_and(full) {
-                        // It does not read: as good as gone.
+                        // The parent does not read its messages; treat it as disconnected.
                         self.parent = None;
                         self.node.parent_disconnected(self.me.clock.now(), &mut self.actions);
                     }
@@ -303,7 +316,7 @@
                 Action::SendToChild(child, down) => {
                     let full = |mailbox: &mpsc::Sender<ParentMessage>| mailbox.try_send(down).is_err();
                     if self.children.get(&child).is_some_and(full) {
-                        tracing::info!("carrier: a child that does not read is dropped");
+                        tracing::info!("carrier: a child is disconnected, it does not read its messages");
                         self.children.remove(&child);
                         self.node.child_disconnected(self.me.clock.now(), child, &mut self.actions);
                     }
@@ -318,7 +331,7 @@
                     });
                 }
                 Action::Persist(snapshot) => {
-                    // Where there is no disk nothing comes back, and nothing more is to be kept.
+                    // Without a disk, `persisted` is never reported, so the node requests no further writes.
                     if let Some(snapshot_sender) = &self.context.snapshot_sender {
                         snapshot_sender.send_replace(Some(snapshot));
                     }
@@ -350,7 +363,7 @@
     fn lease_changed(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
         let root = if held.is_some() { Some(self.me.who.name.clone()) } else { holder };
         if root != self.root {
-            tracing::info!("carrier: {} publishes", root.as_deref().unwrap_or("nobody that is known"));
+            tracing::info!("carrier: the publisher is now {}", root.as_deref().unwrap_or("unknown"));
             self.root = root;
         }
         self.node.set_root(now, self.root.as_deref(), &mut self.actions);
@@ -385,7 +398,8 @@
         }
     }
 
-    /// What is check_offer is tried on this process's own file first: its words name the key that is wrong.
+    /// Checks offered changes against this process's own configuration file first, so that a refusal names the
+    /// key that is wrong.
     fn check_offer(&mut self, number: u64, changes: Vec<Change>, link: mpsc::Sender<Frame>) {
         if self.publisher.is_none() {
             let _ = link.try_send(self.status());
@@ -419,7 +433,7 @@
         }))
     }
 
-    /// What the process knows of its age, and a line when that becomes old, or is well again.
+    /// Publishes the age of the configuration, and logs when it becomes stale or current again.
     fn report_freshness(&mut self, now: Nanos) {
         let age = self.node.age(now);
         let confirmed_at = age.and_then(|age| Instant::now().checked_sub(Duration::from_nanos(age)));
@@ -431,20 +445,20 @@
             let seconds = age.unwrap_or(0) as f64 / 1e9;
             match (stale, age) {
                 (true, Some(_)) => tracing::warn!(
-                    "carrier: version {version} is known to be the newest as of {seconds:.1} s ago; serving goes on"
+                    "carrier: version {version} was last confirmed as the newest {seconds:.1} s ago; serving continues"
                 ),
                 (true, None) => tracing::warn!(
-                    "carrier: nothing heard yet, version {version} is from before the start; serving goes on"
+                    "carrier: nothing heard from the publisher yet, version {version} is from before the start; serving continues"
                 ),
                 (false, _) => {
-                    tracing::info!("carrier: well again, version {version} as of {seconds:.1} s ago")
+                    tracing::info!("carrier: current again, version {version} confirmed {seconds:.1} s ago")
                 }
             }
         }
     }
 }
 
-/// A scope as commands write it.
+/// Parses a scope as it is written in commands, such as `site/S`. `None` if the text is not a scope.
 pub fn parse_scope(text: &str) -> Option<Scope> {
     let mut words = text.split('/');
     let mut word = || words.next().filter(|word| !word.is_empty()).map(String::from);
@@ -459,7 +473,7 @@
     words.next().is_none().then_some(scope)
 }
 
-/// What of the kept set concerns this process, in the order in which it is laid.
+/// The resources that apply to this process, in the order in which they are merged.
 pub fn relevant_resources(me: &str, location: Location, resources: &[Resource]) -> Vec<Resource> {
     let interest = pumicebay_carrier::Interest::Proxy(location, me.into());
     let mut all: Vec<Resource> =
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -1,5 +1,5 @@
-//! `pumicebay fleet set`, `unset` and `changes`: what operators ask of the carrier, by way of the control machine that
-//! publishes.
+//! `pumicebay fleet set`, `unset` and `changes`: the operators' commands for configuration changes. They are sent
+//! to the control machine that publishes.
 
 use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::carrier::actor::parse_scope;
@@ -14,14 +14,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a publisher is looked for, and how long one may take to settle an offer.
+/// How long the publisher is searched for.
 const PUBLISHER_TIMEOUT: Duration = Duration::from_secs(8);
+/// How long the publisher may take to answer an offer.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(15);
+/// The pause before the control machines, or the publisher, are asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Whoever lost its way to a publisher that is gone is linked to the next by then: before it, who is not counted is not
-/// known either.
+/// The time within which all processes that were connected to a failed publisher reconnect to the next one. Until a
+/// publisher has published for this long, processes that are missing from its counts are not yet known to be missing.
 const RECONNECT_TIME: Duration = Duration::from_secs(8);
-/// Not known, or not in force everywhere.
+/// The exit code when a change is not in force everywhere, or when its state is unknown.
 const EXIT_INCOMPLETE: u8 = 3;
 
 async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<Called> {
@@ -37,10 +39,11 @@
 }
 
 fn carrier_config(fleet: &FleetConfig) -> Result<&CarrierConfig> {
-    fleet.carrier.as_deref().context("fleet.carrier: missing; nothing is carried in this fleet")
+    fleet.carrier.as_deref().context("fleet.carrier: missing; this fleet has no carrier")
 }
 
-/// The link to whoever publishes, and what it says; else the newest that any control machine says.
+/// Connects to the control machine that publishes, and returns its status. The error has the status with the newest
+/// version from any other control machine, and why the publisher was not found.
 async fn find_publisher(
     fleet: &FleetConfig,
     timeout: Duration,
@@ -57,8 +60,9 @@
                 let Some(other) = publisher.filter(|other| *other != status.name) else {
                     return Ok((called, status));
                 };
-                let address =
-                    carrier.address_of(&other).with_context(|| format!("{other} is no control machine"))?;
+                let address = carrier
+                    .address_of(&other)
+                    .with_context(|| format!("{other} is not a control machine"))?;
                 let mut called = connect(fleet, address).await.with_context(|| other.clone())?;
                 let status = ask_status(&mut called).await.with_context(|| other.clone())?;
                 anyhow::Ok((called, status))
@@ -68,7 +72,7 @@
                     return Ok((called, status));
                 }
                 Ok((_, status)) => {
-                    why = "no control machine is known to publish".into();
+                    why = "no control machine is known to be the publisher".into();
                     if newest.as_ref().is_none_or(|newest| newest.holds < status.holds) {
                         newest = Some(status);
                     }
@@ -84,7 +88,7 @@
     }
 }
 
-/// `pumicebay fleet set` and `unset`.
+/// Runs `pumicebay fleet set`, or `unset` if there is no file. An error if the change was refused, or not written.
 pub async fn change(
     fleet: &FleetConfig,
     scope_text: &str,
@@ -109,7 +113,9 @@
         ChangeOutcome::Settled(version) => version,
         ChangeOutcome::Refused(why) => bail!("refused: {why}"),
         ChangeOutcome::Unknown => {
-            eprintln!("pumicebay: whether it was written is not known; see pumicebay fleet changes");
+            eprintln!(
+                "pumicebay: it is not known whether the change was written; see pumicebay fleet changes"
+            );
             return Ok(ExitCode::from(EXIT_INCOMPLETE));
         }
     };
@@ -135,14 +141,14 @@
             _ => None,
         });
         match answer.await {
-            // Another publishes by now.
+            // Another control machine publishes by now.
             Ok(None) => {}
-            // A publisher that lost its lease amid the write does not know. The same change once more is only a newer
-            // version of it.
+            // A publisher that lost its lease during the write does not know the outcome. Writing the same change
+            // again only creates a newer version of it.
             Ok(Some(ChangeOutcome::Unknown)) => offered = true,
             Ok(Some(outcome)) => return Ok(outcome),
             Err(error) => {
-                eprintln!("pumicebay: {error:#}; asked again");
+                eprintln!("pumicebay: {error:#}; retrying");
                 offered = true;
             }
         }
@@ -153,7 +159,8 @@
     }
 }
 
-/// Until it is in force everywhere, or all that is missing won't come by waiting.
+/// Waits until the version is in force everywhere. Returns early if the only processes without it have refused it, as
+/// waiting would not change that.
 async fn wait_until_in_force(fleet: &FleetConfig, version: Version, wait: Duration) -> Result<ExitCode> {
     let deadline = Instant::now() + wait;
     loop {
@@ -177,14 +184,14 @@
                 }
             },
             Err((_, why)) => {
-                eprintln!("pumicebay: whether {version} is in force is not known: {why}");
+                eprintln!("pumicebay: it is not known whether {version} is in force: {why}");
                 return Ok(ExitCode::from(EXIT_INCOMPLETE));
             }
         }
     }
 }
 
-/// `pumicebay fleet changes`.
+/// Runs `pumicebay fleet changes`: prints the newest version, and where it is not in force.
 pub async fn changes(fleet: &FleetConfig, as_json: bool) -> Result<ExitCode> {
     carrier_config(fleet)?;
     let (status, published) = match find_publisher(fleet, ANSWERS).await {
@@ -243,7 +250,7 @@
     let everywhere = match shown["everywhere"].as_bool() {
         Some(true) => "in force everywhere".into(),
         _ if shown["gathered"] == false => {
-            format!("{in_force} is in force at those counted; others may not be linked yet")
+            format!("{in_force} is in force at those counted; others may not be connected yet")
         }
         _ if exceptions.is_empty() && shown["unnamed"] == 0 => {
             format!("not everywhere yet; {in_force} is in force everywhere")
@@ -252,7 +259,7 @@
     };
     let publisher = match shown["publisher"].as_str() {
         Some(publisher) => format!("published by {publisher}"),
-        None => format!("NOBODY IS KNOWN TO PUBLISH: as {by} knows it"),
+        None => format!("NOBODY IS KNOWN TO PUBLISH: status from {by}"),
     };
     let mut lines =
         format!("version {version}, {everywhere}\n{members} members, {queue} waiting, {publisher}\n");
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -1,4 +1,4 @@
-//! The section `fleet.carrier` of the configuration. Every message names the key.
+//! The section `fleet.carrier` of the configuration. Every error names the key that is wrong.
 
 use crate::fleet::config::addresses;
 use crate::validation::check_value;
@@ -13,37 +13,44 @@
 const MAX_CONTROL_MACHINES: usize = 64;
 const DEFAULT_MAX_CHILDREN: u64 = 2048;
 const DEFAULT_BYTES_PER_SECOND: u64 = 6000;
-/// A part of a difference has to fit into some seconds of it.
+/// One part of a difference must be transferable within a few seconds at this rate.
 const MIN_BYTES_PER_SECOND: u64 = 1000;
 
+/// The role of a process in the distribution tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TreeRole {
-    /// Keeps all on disk, may publish, takes any process as a child.
+    /// Stores all resources on disk, may publish, and accepts any process as a child.
     Control,
-    /// Takes the proxies of its site as children.
+    /// Accepts the proxies of its site as children.
     Relay,
+    /// Has a parent and no children.
     Leaf,
 }
 
+/// The parsed section `fleet.carrier`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CarrierConfig {
-    /// The control machines, and where each takes children.
+    /// The control machines, and the address at which each accepts children.
     pub control: BTreeMap<String, SocketAddr>,
-    /// Those of this process's site that take the others of the site as children.
+    /// The relays of this process's site, and the address at which each accepts children.
     pub relays: BTreeMap<String, SocketAddr>,
+    /// The region of this process.
     pub region: String,
+    /// The site of this process.
     pub site: String,
-    /// Where this process takes children, if it is not where they call it.
+    /// The address at which this process listens for children, if it differs from the one that they connect to.
     pub listen: Option<SocketAddr>,
-    /// Where the last good set is kept.
+    /// The folder of the snapshot file.
     pub folder: Option<PathBuf>,
-    /// How many children this process takes at the most, and what it sends to each in a second.
+    /// The maximum number of children of this process.
     pub max_children: usize,
+    /// The maximum number of bytes that are sent to each child in a second.
     pub bytes_per_second: u64,
 }
 
 impl CarrierConfig {
-    /// `None` where the section `fleet` has no such section.
+    /// Parses the section for the process of this name; `None` if the section is missing. Unknown keys are logged
+    /// and ignored; a wrong value is an error.
     pub fn parse(json: &Json, name: &str) -> Result<Option<CarrierConfig>> {
         let carrier = json.pointer("/fleet/carrier").unwrap_or(&Json::Null);
         if carrier.is_null() {
@@ -53,7 +60,7 @@
             .as_object()
             .with_context(|| format!("fleet.carrier: expected an object, found {carrier}"))?;
         for key in object.keys().filter(|key| !KEYS.contains(&key.as_str()) && !key.starts_with('#')) {
-            tracing::warn!("configuration: fleet.carrier.{key} is not known and not used");
+            tracing::warn!("configuration: fleet.carrier.{key} is unknown and ignored");
         }
         for key in ["region", "site", "listen", "folder"] {
             check_value(json, &format!("/fleet/carrier/{key}"), "a text", Json::is_string)?;
@@ -73,12 +80,12 @@
         );
         let relays = addresses(carrier, "fleet.carrier", "relays")?;
         if let Some(duplicate) = relays.keys().find(|relay| control.contains_key(*relay)) {
-            bail!("fleet.carrier.relays: {duplicate} is among the control machines");
+            bail!("fleet.carrier.relays: {duplicate} is also one of the control machines");
         }
         let folder = text("folder").map(PathBuf::from);
         ensure!(
             folder.is_some() || !control.contains_key(name),
-            "fleet.carrier.folder: missing, and {name} is among the control machines"
+            "fleet.carrier.folder: missing, but {name} is a control machine and needs it"
         );
         let listen = text("listen").map(|at| {
             at.parse().with_context(|| format!("fleet.carrier.listen: expected ADDRESS:PORT, found {at:?}"))
@@ -100,7 +107,7 @@
         }))
     }
 
-    /// What a process of this name does.
+    /// The role of the process with this name.
     pub fn role(&self, name: &str) -> TreeRole {
         match name {
             _ if self.control.contains_key(name) => TreeRole::Control,
@@ -109,17 +116,18 @@
         }
     }
 
-    /// Where a process of this name takes children; a leaf takes none.
+    /// The address at which the process with this name listens for children; `None` for a leaf.
     pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
         let address = self.address_of(name)?;
         Some(self.listen.unwrap_or(address))
     }
 
-    /// Where this one is called by its children.
+    /// The address to which children of the process with this name connect; `None` for a leaf.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.control.get(name).or_else(|| self.relays.get(name)).copied()
     }
 
+    /// A short description for the log: the role of the process with this name, and the size of the tree's top.
     pub fn summary(&self, name: &str) -> String {
         let role = match self.role(name) {
             TreeRole::Control => "control machine",
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -1,4 +1,5 @@
-//! The last good set on disk, where the process has a folder for it. None of it keeps a process from serving.
+//! The snapshot file with the last good set of resources, if a folder is configured. A failure here never stops
+//! the process from serving.
 
 use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::sealed::Sealed;
@@ -10,18 +11,18 @@
 const FILE: Sealed = Sealed {
     magic: b"pumicebc",
     version: 1,
-    foreign: "no file of the carrier",
+    foreign: "not a snapshot file of the carrier",
     name: "carrier",
     lock: "carrier.lock",
 };
 
-/// What was kept there, if anything; why not, if it can't be read.
+/// Reads the snapshot from the folder; `None` if there is no file, an error if it cannot be read or is corrupt.
 pub fn read(folder: &Path) -> Result<Option<Snapshot>> {
     let Some(bytes) = FILE.read(folder)? else { return Ok(None) };
     decode(&bytes).map(Some).with_context(|| folder.join(FILE.name).display().to_string())
 }
 
-/// Writes what comes, the newest only, as long as the process lives.
+/// Writes the newest snapshot whenever it changes, until the process ends. Intermediate ones may be skipped.
 pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, handle: Handle) {
     let written = |snapshot: Snapshot| {
         let handle = handle.clone();
@@ -30,11 +31,12 @@
     FILE.keep_newest("carrier", folder, newest, written).await;
 }
 
+/// The bytes of the snapshot file.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>> {
     FILE.encode(snapshot)
 }
 
-/// What a file says, or why it can't be trusted.
+/// Decodes the bytes of a snapshot file; an error if they are corrupt or of another version.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot> {
     FILE.decode(bytes)
 }
--- a/crates/proxy/src/fleet/carrier/handle.rs
+++ b/crates/proxy/src/fleet/carrier/handle.rs
@@ -1,4 +1,5 @@
-//! The way to the carrier's actor, for links, the disk and commands: it needs nothing of the actor but its mailbox.
+//! The handle of the carrier actor, for links, the disk task and commands. It depends only on the actor's event
+//! queue.
 
 use crate::fleet::carrier::apply::Refusal;
 use crate::fleet::wire::Frame;
@@ -8,42 +9,53 @@
 
 const QUEUE_CAPACITY: usize = 1024;
 
-/// What can happen to the carrier.
+/// An event for the carrier actor.
 pub enum Event {
-    /// A child's link is up; what it is told goes into this mailbox.
+    /// A child's link is up; messages to the child go into this queue.
     ChildConnected(ChildId, mpsc::Sender<ParentMessage>),
+    /// A message from a child.
     ChildMessage(ChildId, ChildMessage),
+    /// A child's link has ended.
     ChildDisconnected(ChildId),
-    /// Of the dial with this number.
+    /// The connection attempt with this number succeeded.
     ParentConnected(u64),
+    /// A message from the parent, on the link of the connection attempt with this number.
     ParentMessage(u64, ParentMessage),
+    /// The connection attempt with this number failed, or its link has ended.
     ParentDisconnected(u64),
-    /// What was put in force, and what was not.
+    /// Resources of this version were put in force, except for the refused ones.
     Applied(Version, Vec<Refusal>),
-    /// The file was read again: what was refused may do now, and what did not.
+    /// The configuration file was reloaded, so resources that were refused may be accepted now and vice versa.
     FileReloaded,
+    /// The snapshot of this version is on disk.
     Persisted(Version),
-    /// The lease, and who has it where that is another.
+    /// The lease as held by this process, and the name of its holder if that is another process.
     LeaseChanged(Option<HeldLease>, Option<String>),
-    /// Answers to the publisher of this number.
+    /// The answer to a read by the publisher with this number.
     RecordRead(u64, Reply),
+    /// The answer to a write by the publisher with this number.
     RecordWritten(u64, Reply),
-    /// A command's, under its own number; the answer goes to its link.
+    /// Changes offered by a command under the command's own number; the answer goes to its link.
     Offer(u64, Vec<Change>, mpsc::Sender<Frame>),
+    /// Whether this process's own configuration accepts the offered changes, or why not.
     OfferChecked(u64, Vec<Change>, mpsc::Sender<Frame>, Result<(), String>),
+    /// A command's request for the status; the answer goes to its link.
     Status(mpsc::Sender<Frame>),
 }
 
+/// Sends events to the carrier actor.
 #[derive(Clone)]
 pub struct Handle(mpsc::Sender<Event>);
 
 impl Handle {
-    /// Waits for room: each that says something is a task of its own, and only it waits. False when the carrier has ended.
+    /// Sends an event, waiting while the queue is full. Each sender is a task of its own, so nothing else waits.
+    /// Returns false if the actor has ended.
     pub async fn send(&self, event: Event) -> bool {
         self.0.send(event).await.is_ok()
     }
 }
 
+/// Creates a handle and the event queue that it writes to.
 pub fn channel() -> (Handle, mpsc::Receiver<Event>) {
     let (events, mailbox) = mpsc::channel(QUEUE_CAPACITY);
     (Handle(events), mailbox)
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -1,5 +1,6 @@
-//! The carrier's links: children that call, the parent that is dialled, commands. Each is a task with a small mailbox; one
-//! that does not read, or says nothing, ends, and nobody waits for it.
+//! The carrier's links: incoming ones from children and commands, and the outgoing one to the parent. Each link
+//! is a task with a small queue. A link whose other end does not read or stays silent is closed, so nothing
+//! waits for it.
 
 use crate::fleet::accept::Acceptor;
 use crate::fleet::carrier::handle::{Event, Handle};
@@ -12,15 +13,18 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// What waits for a child: one part of a difference and some pulses. One whose mailbox is full does not read.
+/// The queue of messages to a child has room for one part of a difference and some heartbeats. A child whose queue
+/// is full does not read its messages.
 const CHILD_QUEUE_CAPACITY: usize = 8;
+/// The capacity of the queue of messages to the parent.
 const PARENT_QUEUE_CAPACITY: usize = 16;
-/// Answers that wait for a command.
+/// The maximum number of answers that wait to be sent to a command.
 const COMMAND_QUEUE_CAPACITY: usize = 16;
-/// Links beyond those of proxies: other control machines, relays, those that are told that there is no room, commands.
+/// Links accepted in addition to the maximum number of children: other control machines, relays, children that are
+/// told that there is no room, commands.
 const EXTRA_LINKS: usize = 256;
 
-/// Accepts as long as the process lives.
+/// Accepts links at this address until the process ends.
 pub async fn accept(me: Me, handle: Handle, address: SocketAddr, max_children: usize) {
     let max_links = max_children.saturating_add(EXTRA_LINKS);
     let acceptor = Acceptor {
@@ -34,7 +38,7 @@
         let (me, handle) = (me.clone(), handle.clone());
         async move {
             if let Err(error) = serve(&me, &handle, stream, number).await {
-                tracing::info!("carrier: a link ends: {error:#}");
+                tracing::info!("carrier: incoming link ended: {error:#}");
             }
         }
     };
@@ -48,9 +52,13 @@
 async fn serve(me: &Me, handle: &Handle, stream: TcpStream, number: ChildId) -> Result<()> {
     let (mut link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.to_string();
-    ensure!(link.speaks() >= CARRIER, "{name} speaks links up to {}, not {CARRIER}", link.speaks());
+    ensure!(
+        link.speaks() >= CARRIER,
+        "{name} supports link versions up to {}, version {CARRIER} is required",
+        link.speaks()
+    );
     if other.role == Role::Command {
-        // Commands come and go.
+        // Commands are short-lived; the end of their links is logged at debug level only.
         if let Err(error) = run_command_link(handle, &mut link).await {
             tracing::debug!("carrier: {name}: {error:#}");
         }
@@ -76,7 +84,7 @@
         if let ChildMessage::Subscribe { attachment, .. } = &*message {
             let member = &attachment.member;
             let same_process = member.name == other.who.name && member.incarnation == other.who.incarnation;
-            ensure!(same_process, "subscribes as {}, and to_frame hello as {}", member.name, other.who);
+            ensure!(same_process, "subscribes as {}, but its hello was from {}", member.name, other.who);
         }
         handle.send(Event::ChildMessage(number, *message)).await;
     }
@@ -97,11 +105,13 @@
     Ok(())
 }
 
-/// The link to a parent, or the dial to one: it ends with this.
+/// The link to a parent, or the connection attempt; dropping it ends the task.
 pub struct Parent {
-    /// Of the dial: what comes of an earlier one counts no more.
+    /// The number of the connection attempt; events of earlier ones are ignored.
     pub number: u64,
+    /// The name of the parent.
     pub name: String,
+    /// Messages to the parent.
     pub sender: mpsc::Sender<ChildMessage>,
     task: AbortHandle,
 }
@@ -112,7 +122,8 @@
     }
 }
 
-/// Dials; what comes of it, and that it ended, is to_frame under this number. `first` is the dial after a link that was up.
+/// Connects to a parent in a task of its own. Its events carry this number. `first_dial` is true for the first attempt
+/// after a link was up.
 pub fn dial(
     me: &Me,
     handle: &Handle,
@@ -126,11 +137,13 @@
     let task = tokio::spawn(async move {
         let mut connected = false;
         match run_parent_link(&me, &handle, number, &parent, address, mailbox, &mut connected).await {
-            Ok(()) => tracing::info!("carrier: parent {parent} ended the link"),
+            Ok(()) => tracing::info!("carrier: parent {parent} closed the link"),
             Err(error) if connected => tracing::info!("carrier: link to parent {parent} lost: {error:#}"),
-            // Said once, until one is up again.
-            Err(error) if first_dial => tracing::info!("carrier: no link to parent {parent}: {error:#}"),
-            Err(error) => tracing::debug!("carrier: no link to parent {parent}: {error:#}"),
+            // Logged once until a link is up again.
+            Err(error) if first_dial => {
+                tracing::info!("carrier: cannot connect to parent {parent}: {error:#}")
+            }
+            Err(error) => tracing::debug!("carrier: cannot connect to parent {parent}: {error:#}"),
         }
         handle.send(Event::ParentDisconnected(number)).await;
     });
@@ -146,13 +159,13 @@
     mut mailbox: mpsc::Receiver<ChildMessage>,
     connected: &mut bool,
 ) -> Result<()> {
-    let address = address.context("fleet.carrier has no such control machine or relay")?;
+    let address = address.context("fleet.carrier lists no control machine or relay of this name")?;
     let (mut link, other) = Link::connect(address, &hello(me)).await?;
-    ensure!(other.who.name == name, "at {address} is {}", other.who);
+    ensure!(other.who.name == name, "{address} belongs to {}", other.who);
     link.ensure_speaks(CARRIER)?;
     handle.send(Event::ParentConnected(number)).await;
     *connected = true;
-    tracing::info!("carrier: parent is {}", other.who);
+    tracing::info!("carrier: connected to parent {}", other.who);
     let to_frame = |message| Frame::Up(Box::new(message));
     while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
         if let Frame::Down(message) = frame {
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -1,17 +1,17 @@
-//! The carrier of control: changes of configuration come by it, and what is in force is told back. Nothing here runs,
-//! listens or allocates unless the configuration has a section `fleet.carrier`. The choices are those of
-//! `pumicebay-carrier`; this folder carries them out.
+//! The carrier: distributes configuration changes to all proxies of the fleet, and reports back what is in
+//! force. Nothing here runs, listens or allocates unless the configuration has a section `fleet.carrier`. The
+//! decisions are made in `pumicebay-carrier`; this module does the input and output.
 //!
-//! | file | job |
+//! | file | purpose |
 //! | --- | --- |
-//! | `config.rs` | the section `fleet.carrier`, read and checked |
-//! | `handle.rs` | the way to the actor |
-//! | `actor.rs` | owns the node and the publisher, drives them with the fleet's clock |
-//! | `links.rs` | children that call, the parent that is dialled, commands |
-//! | `publish.rs` | the lease `carrier`, reads and writes of the record |
-//! | `disk.rs` | the last good set on disk |
-//! | `apply.rs` | lays what is carried over the file |
-//! | `command.rs` | `pumicebay fleet set`, `unset`, `changes` |
+//! | `config.rs` | the section `fleet.carrier`, parsed and checked |
+//! | `handle.rs` | the handle of the actor, and its events |
+//! | `actor.rs` | owns the tree node and the publisher, and drives them with the fleet's clock |
+//! | `links.rs` | links to children, to the parent and to commands |
+//! | `publish.rs` | holds the lease `carrier`, reads and writes the record |
+//! | `disk.rs` | the snapshot file with the last good resources |
+//! | `apply.rs` | applies resources on top of the configuration file |
+//! | `command.rs` | `pumicebay fleet set`, `unset` and `changes` |
 
 pub mod actor;
 pub mod apply;
@@ -34,7 +34,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinSet, spawn_blocking};
 
-/// What was kept, if anything can be read, and that laid over the file.
+/// Loads the snapshot from the disk, and applies its resources on top of the configuration file. Both are `None` if
+/// there is no readable snapshot.
 pub async fn load_snapshot(file: &Config) -> (Option<Snapshot>, Option<AppliedConfig>) {
     let Some(fleet) = &file.fleet else { return (None, None) };
     let Some(carrier) = &fleet.carrier else { return (None, None) };
@@ -43,11 +44,15 @@
         Ok(Ok(Some(snapshot))) => snapshot,
         Ok(Ok(None)) => return (None, None),
         Ok(Err(error)) => {
-            tracing::error!("carrier: what was kept is not used, starts from the file alone: {error:#}");
+            tracing::error!(
+                "carrier: the snapshot is not used, starting with the configuration file alone: {error:#}"
+            );
             return (None, None);
         }
         Err(error) => {
-            tracing::error!("carrier: what was kept is not used, starts from the file alone: {error}");
+            tracing::error!(
+                "carrier: the snapshot is not used, starting with the configuration file alone: {error}"
+            );
             return (None, None);
         }
     };
@@ -56,15 +61,16 @@
     let resources = actor::relevant_resources(&file.name, location, &snapshot.resources);
     let applied = apply::apply_resources(file, &resources, &snapshot.last_good);
     let (version, used, all) = (snapshot.version, applied.accepted.len(), resources.len());
-    tracing::info!("carrier: starts with version {version} as it was kept, {used} of {all} resources");
+    tracing::info!("carrier: starts with version {version} of the snapshot, {used} of {all} resources");
     for (scope, name, why) in &applied.refused {
-        tracing::error!("carrier: {name} for {scope} is refused: {why}");
+        tracing::error!("carrier: resource {name} for {scope} is refused: {why}");
     }
     (Some(snapshot), Some(applied))
 }
 
-/// Takes its part: keeps a link to a parent, takes children if it is to, publishes if it is its turn, and tells how old what
-/// it has is. Gives the way to it, and what has to run as long as it does.
+/// Starts the carrier of this process: it keeps a link to a parent, accepts children if its role has them, publishes
+/// while it holds the lease, and reports the age of its configuration. Returns the handle, and a future that must be
+/// polled for as long as the carrier is to run.
 pub fn start(
     me: &Me,
     config: Arc<CarrierConfig>,
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -1,4 +1,5 @@
-//! What a publisher asks for, carried out: reads and writes of the record under the lease, and answers to commands.
+//! The host of a publisher: reads and writes the record under the lease, and answers commands. It also holds the
+//! lease.
 
 use crate::fleet::asker::Asker;
 use crate::fleet::carrier::handle::{Event, Handle};
@@ -11,29 +12,32 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// The lease, and the value in the record.
+/// The name of the lease, and of the value in the record.
 pub const LEASE_NAME: &str = "carrier";
+/// The time for which each grant of the lease is valid.
 pub const LEASE_DURATION: Duration = Duration::from_secs(3);
-/// How long the voters are asked before it is not known whether it was done.
+/// The timeout of a read or write of the record. After it, whether a write was executed is unknown.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Who gave the lease back lets others have it before it wants it again.
+/// The pause after giving the lease back, so that another control machine can acquire it.
 const RELEASE_PAUSE: Duration = Duration::from_secs(5);
 
-/// What the decisions ask for, once the actor has the time.
+/// An action that the publisher requested, to be executed by the actor.
 pub enum Action {
     Publish(Version, Vec<Resource>),
     ReleaseLease,
 }
 
-/// The host of one publisher, for as long as its lease.
+/// The host of one publisher; it exists while the lease is held.
 pub struct RecordHost {
     asker: Asker,
     handle: Handle,
-    /// Of the publisher: answers to an earlier one count no more.
+    /// Identifies the publisher; answers to earlier publishers are ignored.
     pub number: u64,
     token: Token,
+    /// Actions that were requested and are not yet executed.
     pub actions: Vec<Action>,
-    /// Who waits for what became of an offer, by the number that the publisher has for it, and that of the command.
+    /// Offers without an outcome yet, by the publisher's number of the proposal: the command's own number of the
+    /// offer, and the link for the answer.
     pub pending_offers: BTreeMap<u64, (u64, mpsc::Sender<Frame>)>,
     last_proposal: u64,
 }
@@ -51,14 +55,14 @@
         }
     }
 
-    /// A number for an offer, whose answer goes there.
+    /// Registers an offer whose answer goes to this link, and returns the number of the proposal.
     pub fn add_pending_offer(&mut self, command: u64, link: mpsc::Sender<Frame>) -> u64 {
         self.last_proposal += 1;
         self.pending_offers.insert(self.last_proposal, (command, link));
         self.last_proposal
     }
 
-    /// Whoever still waits is told that it is not known.
+    /// Answers all pending offers that their outcome is unknown.
     pub fn fail_pending_offers(&mut self) {
         for (command, link) in std::mem::take(&mut self.pending_offers).into_values() {
             let _ = link.try_send(Frame::Offered(command, ChangeOutcome::Unknown));
@@ -101,25 +105,26 @@
     }
 }
 
-/// When the record was founded, and the value in it.
+/// The time at which the record was founded, and the text and version of the value; `None` if there is no value.
 pub fn founding_and_value(record: &SharedRecord) -> (u64, Option<(&str, u64)>) {
     let value = record.0.values.get(LEASE_NAME).map(|entry| (entry.text.as_str(), entry.version));
     (record.0.founded, value)
 }
 
+/// Converts the reply to a write.
 pub fn write_outcome(reply: Reply) -> WriteOutcome {
     match reply {
         Reply::Written(version) => WriteOutcome::Committed(version),
         Reply::Refused(why) => {
-            tracing::warn!("carrier: the record was not written: {why}");
+            tracing::warn!("carrier: the write to the record was refused: {why}");
             WriteOutcome::Refused
         }
         _ => WriteOutcome::Unknown,
     }
 }
 
-/// Wants the lease as long as the process lives, and says who has it. `release_requests` has a word in it each time it is to be release_requests
-/// back.
+/// Tries to hold the lease until the process ends, and reports each change of the holder. Each message in
+/// `release_requests` makes it give the lease back.
 pub async fn hold_lease(asker: Asker, handle: Handle, mut release_requests: mpsc::Receiver<()>) {
     loop {
         let mut lease = Lease::want(asker.clone(), LEASE_NAME, LEASE_DURATION);
@@ -127,7 +132,7 @@
         let mut reported: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
             let current = (*held.borrow_and_update(), holder.borrow_and_update().clone());
-            // Another grant of the same token only prolongs it.
+            // Another grant with the same token is only a renewal.
             let token = |held: &Option<HeldLease>| held.map(|held| held.token);
             let same = reported
                 .as_ref()
