--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -40,8 +40,8 @@
 pub struct ConfigFreshness {
     /// The version that this process holds.
     pub version: Version,
-    /// The latest time at which the publisher is known to have held the same version; `None` if there has been
-    /// no confirmation since the start.
+    /// The latest time at which the publisher is known to have held the same version; `None` if there has
+    /// been no confirmation since the start.
     pub confirmed_at: Option<Instant>,
 }
 
@@ -125,8 +125,8 @@
     parent: Option<Parent>,
     /// The number of connection attempts to parents; the latest value identifies the current attempt.
     dial_count: u64,
-    /// The number of failed connection attempts since a link to a parent was up.
-    failed_dials: u32,
+    /// The number of connection attempts since a link to a parent was last up.
+    dials_since_link: u32,
     children: HashMap<ChildId, mpsc::Sender<ParentMessage>>,
     publisher: Option<(Publisher, publish::RecordHost)>,
     /// The number of publishers started; the latest value identifies the current publisher.
@@ -191,7 +191,7 @@
         actions,
         parent: None,
         dial_count: 0,
-        failed_dials: 0,
+        dials_since_link: 0,
         children: HashMap::new(),
         publisher: None,
         publisher_count: 0,
@@ -219,22 +219,22 @@
         let dial_number = self.parent.as_ref().map(|parent| parent.number);
         let (node, actions) = (&mut self.node, &mut self.actions);
         match event {
-            Event::ChildConnected(child, mailbox) => {
-                self.children.insert(child, mailbox);
+            Event::ChildConnected(child, sender) => {
+                self.children.insert(child, sender);
                 node.child_connected(now, child, actions);
             }
-            Event::ChildMessage(child, up) if self.children.contains_key(&child) => {
-                node.child_message(now, child, up, actions);
+            Event::ChildMessage(child, message) if self.children.contains_key(&child) => {
+                node.child_message(now, child, message, actions);
             }
             Event::ChildDisconnected(child) if self.children.remove(&child).is_some() => {
                 node.child_disconnected(now, child, actions);
             }
             Event::ParentConnected(number) if dial_number == Some(number) => {
-                self.failed_dials = 0;
+                self.dials_since_link = 0;
                 node.parent_connected(now, actions);
             }
-            Event::ParentMessage(number, down) if dial_number == Some(number) => {
-                node.parent_message(now, down, actions)
+            Event::ParentMessage(number, message) if dial_number == Some(number) => {
+                node.parent_message(now, message, actions)
             }
             Event::ParentDisconnected(number) if dial_number == Some(number) => {
                 self.parent = None;
@@ -257,7 +257,7 @@
             }
             Event::Offer(number, changes, link) => self.check_offer(number, changes, link),
             Event::OfferChecked(number, changes, link, checked) => match (checked, &mut self.publisher) {
-                (Err(why), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(why))),
+                (Err(reason), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(reason))),
                 (Ok(()), Some((publisher, host))) => {
                     let number = host.add_pending_offer(number, link);
                     publisher.propose(now, number, changes, host);
@@ -300,22 +300,22 @@
                         self.dial_count,
                         &name,
                         address,
-                        self.failed_dials == 0,
+                        self.dials_since_link == 0,
                     ));
-                    self.failed_dials = self.failed_dials.saturating_add(1);
+                    self.dials_since_link = self.dials_since_link.saturating_add(1);
                 }
                 Action::DisconnectParent => self.parent = None,
-                Action::SendToParent(up) => {
-                    let full = |parent: &Parent| parent.sender.try_send(up).is_err();
-                    if self.parent.as_ref().is_some_and(full) {
+                Action::SendToParent(message) => {
+                    let is_full = |parent: &Parent| parent.sender.try_send(message).is_err();
+                    if self.parent.as_ref().is_some_and(is_full) {
                         // The parent does not read its messages; treat it as disconnected.
                         self.parent = None;
                         self.node.parent_disconnected(self.me.clock.now(), &mut self.actions);
                     }
                 }
-                Action::SendToChild(child, down) => {
-                    let full = |mailbox: &mpsc::Sender<ParentMessage>| mailbox.try_send(down).is_err();
-                    if self.children.get(&child).is_some_and(full) {
+                Action::SendToChild(child, message) => {
+                    let is_full = |sender: &mpsc::Sender<ParentMessage>| sender.try_send(message).is_err();
+                    if self.children.get(&child).is_some_and(is_full) {
                         tracing::info!("carrier: a child is disconnected, it does not read its messages");
                         self.children.remove(&child);
                         self.node.child_disconnected(self.me.clock.now(), child, &mut self.actions);
@@ -367,7 +367,7 @@
             self.root = root;
         }
         self.node.set_root(now, self.root.as_deref(), &mut self.actions);
-        self.end_publisher();
+        self.stop_publisher();
         if let (Some(held), Some(asker)) = (held, &self.context.asker) {
             (self.publisher_count, self.publisher_since) = (self.publisher_count + 1, now);
             let handle = self.context.handle.clone();
@@ -377,7 +377,7 @@
         }
     }
 
-    fn end_publisher(&mut self) {
+    fn stop_publisher(&mut self) {
         if let Some((_, mut host)) = self.publisher.take() {
             host.fail_pending_offers();
         }
@@ -391,15 +391,15 @@
         };
         match reply {
             Reply::Record(record) => {
-                let (epoch, entry) = publish::founding_and_value(record);
-                publisher.record_read(now, epoch, entry, held_version, host);
+                let (founded, value) = publish::founding_and_value(record);
+                publisher.record_read(now, founded, value, held_version, host);
             }
             _ => publisher.record_read_failed(now, host),
         }
     }
 
-    /// Checks offered changes against this process's own configuration file first, so that a refusal names the
-    /// key that is wrong.
+    /// Checks offered changes against this process's own configuration file first, so that a refusal names
+    /// the key that is wrong.
     fn check_offer(&mut self, number: u64, changes: Vec<Change>, link: mpsc::Sender<Frame>) {
         if self.publisher.is_none() {
             let _ = link.try_send(self.status());
@@ -445,10 +445,12 @@
             let seconds = age.unwrap_or(0) as f64 / 1e9;
             match (stale, age) {
                 (true, Some(_)) => tracing::warn!(
-                    "carrier: version {version} was last confirmed as the newest {seconds:.1} s ago; serving continues"
+                    "carrier: version {version} was last confirmed as the newest {seconds:.1} s ago; serving \
+                     continues"
                 ),
                 (true, None) => tracing::warn!(
-                    "carrier: nothing heard from the publisher yet, version {version} is from before the start; serving continues"
+                    "carrier: nothing heard from the publisher yet, version {version} is from before the \
+                     start; serving continues"
                 ),
                 (false, _) => {
                     tracing::info!("carrier: current again, version {version} confirmed {seconds:.1} s ago")
--- a/crates/proxy/src/fleet/carrier/apply.rs
+++ b/crates/proxy/src/fleet/carrier/apply.rs
@@ -1,6 +1,7 @@
-//! Applies the resources of the carrier on top of the configuration file. Each resource is a JSON merge patch;
-//! wider scopes are merged first. The result is parsed by the code that parses the file. A resource that fails
-//! is replaced by its last accepted version, if there is one, and reported with the key that is wrong.
+//! Applies the resources of the carrier on top of the configuration file. Each resource is a JSON merge
+//! patch; wider scopes are merged first. The result is parsed by the code that parses the file. A resource
+//! that fails is replaced by its last accepted version, if there is one, and reported with the key that is
+//! wrong.
 
 use crate::config::{self, Config};
 use anyhow::{Context, Result, ensure};
@@ -9,8 +10,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 const QUEUE_CAPACITY: usize = 4;
-/// The maximum length of the reason of a refusal, in characters. Reasons are sent up to the publisher together
-/// with many others.
+/// The maximum length of the reason of a refusal, in characters. Reasons are sent up to the publisher
+/// together with many others.
 const MAX_REASON_CHARS: usize = 200;
 
 /// The scope and the name of a resource, and why the resource is not in force.
@@ -95,8 +96,8 @@
     Ok(json)
 }
 
-/// Merges a patch as RFC 7396 defines it: null removes a key, objects are merged, any other value replaces the
-/// old one.
+/// Merges a patch as RFC 7396 defines it: null removes a key, objects are merged, any other value replaces
+/// the old one.
 pub fn merge(target: &mut Json, patch: &Json) {
     let Json::Object(patch) = patch else {
         *target = patch.clone();
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -1,5 +1,5 @@
-//! `pumicebay fleet set`, `unset` and `changes`: the operators' commands for configuration changes. They are sent
-//! to the control machine that publishes.
+//! `pumicebay fleet set`, `unset` and `changes`: the operators' commands for configuration changes. They are
+//! sent to the control machine that publishes.
 
 use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::carrier::actor::parse_scope;
@@ -20,8 +20,9 @@
 const OFFER_TIMEOUT: Duration = Duration::from_secs(15);
 /// The pause before the control machines, or the publisher, are asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// The time within which all processes that were connected to a failed publisher reconnect to the next one. Until a
-/// publisher has published for this long, processes that are missing from its counts are not yet known to be missing.
+/// The time within which all processes that were connected to a failed publisher reconnect to the next one.
+/// Until a publisher has published for this long, processes that are missing from its counts are not yet
+/// known to be missing.
 const RECONNECT_TIME: Duration = Duration::from_secs(8);
 /// The exit code when a change is not in force everywhere, or when its state is unknown.
 const EXIT_INCOMPLETE: u8 = 3;
@@ -31,19 +32,19 @@
 }
 
 async fn ask_status(called: &mut Called) -> Result<CarrierStatus> {
-    let wanted = |frame| match frame {
+    let as_status = |frame| match frame {
         Frame::CarrierIs(status) => Some(*status),
         _ => None,
     };
-    called.ask(Frame::Carrier, ANSWERS, wanted).await
+    called.ask(Frame::Carrier, ANSWERS, as_status).await
 }
 
 fn carrier_config(fleet: &FleetConfig) -> Result<&CarrierConfig> {
     fleet.carrier.as_deref().context("fleet.carrier: missing; this fleet has no carrier")
 }
 
-/// Connects to the control machine that publishes, and returns its status. The error has the status with the newest
-/// version from any other control machine, and why the publisher was not found.
+/// Connects to the control machine that publishes, and returns its status. The error has the status with the
+/// newest version from any other control machine, and why the publisher was not found.
 async fn find_publisher(
     fleet: &FleetConfig,
     timeout: Duration,
@@ -53,7 +54,7 @@
     let (mut newest, mut why): (Option<CarrierStatus>, String) = (None, "no control machine answers".into());
     loop {
         for (name, address) in &carrier.control {
-            let found = async {
+            let query = async {
                 let mut called = connect(fleet, *address).await?;
                 let status = ask_status(&mut called).await?;
                 let publisher = status.publisher.clone();
@@ -67,7 +68,7 @@
                 let status = ask_status(&mut called).await.with_context(|| other.clone())?;
                 anyhow::Ok((called, status))
             };
-            match found.await {
+            match query.await {
                 Ok((called, status)) if status.publisher.as_ref() == Some(&status.name) => {
                     return Ok((called, status));
                 }
@@ -88,7 +89,8 @@
     }
 }
 
-/// Runs `pumicebay fleet set`, or `unset` if there is no file. An error if the change was refused, or not written.
+/// Runs `pumicebay fleet set`, or `unset` if there is no file. An error if the change was refused, or not
+/// written.
 pub async fn change(
     fleet: &FleetConfig,
     scope_text: &str,
@@ -126,6 +128,8 @@
     }
 }
 
+/// Offers the change to the publisher, and again to the next one if the outcome is unknown. An error if
+/// nothing was written.
 async fn offer(fleet: &FleetConfig, change: Change) -> Result<ChangeOutcome> {
     let (deadline, mut offered) = (Instant::now() + PUBLISHER_TIMEOUT, false);
     loop {
@@ -143,8 +147,8 @@
         match answer.await {
             // Another control machine publishes by now.
             Ok(None) => {}
-            // A publisher that lost its lease during the write does not know the outcome. Writing the same change
-            // again only creates a newer version of it.
+            // A publisher that lost its lease during the write does not know the outcome. Writing the same
+            // change again only creates a newer version of it.
             Ok(Some(ChangeOutcome::Unknown)) => offered = true,
             Ok(Some(outcome)) => return Ok(outcome),
             Err(error) => {
@@ -159,8 +163,8 @@
     }
 }
 
-/// Waits until the version is in force everywhere. Returns early if the only processes without it have refused it, as
-/// waiting would not change that.
+/// Waits until the version is in force everywhere. Returns early if the only processes without it have
+/// refused it, as waiting would not change that.
 async fn wait_until_in_force(fleet: &FleetConfig, version: Version, wait: Duration) -> Result<ExitCode> {
     let deadline = Instant::now() + wait;
     loop {
@@ -199,22 +203,23 @@
         Err((Some(status), _)) => (status, false),
         Err((None, why)) => bail!("{why}"),
     };
-    let mut shown = status_json(&status);
+    let mut json = status_json(&status);
     if !published {
-        shown["publisher"] = Json::Null;
+        json["publisher"] = Json::Null;
     }
     if as_json {
-        println!("{shown:#}");
+        println!("{json:#}");
     } else {
-        print!("{}", status_text(&shown));
+        print!("{}", status_text(&json));
     }
-    Ok(if shown["everywhere"] == true && published {
+    Ok(if json["everywhere"] == true && published {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(EXIT_INCOMPLETE)
     })
 }
 
+/// Whether all processes had time to connect to the publisher, so that its counts include them.
 fn counts_are_complete(status: &CarrierStatus) -> bool {
     status.publishes.is_some_and(|time| Duration::from_nanos(time) >= RECONNECT_TIME)
 }
@@ -233,7 +238,8 @@
     };
     json!({
         "version": holds.to_string(), "publisher": publisher, "said_by": name,
-        "everywhere": counts_are_complete(status) && sum.in_force >= *holds && sum.exceptions.is_empty() && sum.unnamed == 0,
+        "everywhere": counts_are_complete(status)
+            && sum.in_force >= *holds && sum.exceptions.is_empty() && sum.unnamed == 0,
         "gathered": counts_are_complete(status), "publishes_s": publishes.map(|time| time as f64 / 1e9),
         "in_force": sum.in_force.to_string(), "members": sum.members,
         "exceptions": sum.exceptions.iter().map(exception).collect::<Vec<_>>(), "unnamed": sum.unnamed,
@@ -241,23 +247,23 @@
     })
 }
 
-fn status_text(shown: &Json) -> String {
-    let text = |json: &Json| json.as_str().map_or_else(|| json.to_string(), String::from);
+fn status_text(status: &Json) -> String {
+    let text = |value: &Json| value.as_str().map_or_else(|| value.to_string(), String::from);
     let [version, in_force, members, queue, by] =
-        ["version", "in_force", "members", "queue", "said_by"].map(|key| text(&shown[key]));
+        ["version", "in_force", "members", "queue", "said_by"].map(|key| text(&status[key]));
     let empty = Vec::new();
-    let exceptions = shown["exceptions"].as_array().unwrap_or(&empty);
-    let everywhere = match shown["everywhere"].as_bool() {
+    let exceptions = status["exceptions"].as_array().unwrap_or(&empty);
+    let everywhere = match status["everywhere"].as_bool() {
         Some(true) => "in force everywhere".into(),
-        _ if shown["gathered"] == false => {
+        _ if status["gathered"] == false => {
             format!("{in_force} is in force at those counted; others may not be connected yet")
         }
-        _ if exceptions.is_empty() && shown["unnamed"] == 0 => {
+        _ if exceptions.is_empty() && status["unnamed"] == 0 => {
             format!("not everywhere yet; {in_force} is in force everywhere")
         }
         _ => format!("{in_force} is in force everywhere but for those below"),
     };
-    let publisher = match shown["publisher"].as_str() {
+    let publisher = match status["publisher"].as_str() {
         Some(publisher) => format!("published by {publisher}"),
         None => format!("NOBODY IS KNOWN TO PUBLISH: status from {by}"),
     };
@@ -267,8 +273,8 @@
         let [name, in_force, why] = ["name", "in_force", "why"].map(|key| text(&exception[key]));
         lines += &format!("  {name}  has {in_force}  {why}\n");
     }
-    if shown["unnamed"] != 0 {
-        lines += &format!("  and {} more\n", shown["unnamed"]);
+    if status["unnamed"] != 0 {
+        lines += &format!("  and {} more\n", status["unnamed"]);
     }
     lines
 }
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -38,7 +38,8 @@
     pub region: String,
     /// The site of this process.
     pub site: String,
-    /// The address at which this process listens for children, if it differs from the one that they connect to.
+    /// The address at which this process listens for children, if it differs from the one that they connect
+    /// to.
     pub listen: Option<SocketAddr>,
     /// The folder of the snapshot file.
     pub folder: Option<PathBuf>,
@@ -49,8 +50,8 @@
 }
 
 impl CarrierConfig {
-    /// Parses the section for the process of this name; `None` if the section is missing. Unknown keys are logged
-    /// and ignored; a wrong value is an error.
+    /// Parses the section for the process of this name; `None` if the section is missing. Unknown keys are
+    /// logged and ignored; a wrong value is an error.
     pub fn parse(json: &Json, name: &str) -> Result<Option<CarrierConfig>> {
         let carrier = json.pointer("/fleet/carrier").unwrap_or(&Json::Null);
         if carrier.is_null() {
@@ -127,7 +128,8 @@
         self.control.get(name).or_else(|| self.relays.get(name)).copied()
     }
 
-    /// A short description for the log: the role of the process with this name, and the size of the tree's top.
+    /// A short description for the log: the role of the process with this name, and the size of the tree's
+    /// top.
     pub fn summary(&self, name: &str) -> String {
         let role = match self.role(name) {
             TreeRole::Control => "control machine",
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -1,5 +1,5 @@
-//! The snapshot file with the last good set of resources, if a folder is configured. A failure here never stops
-//! the process from serving.
+//! The snapshot file with the last good set of resources, if a folder is configured. A failure here never
+//! stops the process from serving.
 
 use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::sealed::Sealed;
@@ -16,7 +16,8 @@
     lock: "carrier.lock",
 };
 
-/// Reads the snapshot from the folder; `None` if there is no file, an error if it cannot be read or is corrupt.
+/// Reads the snapshot from the folder; `None` if there is no file, an error if it cannot be read or is
+/// corrupt.
 pub fn read(folder: &Path) -> Result<Option<Snapshot>> {
     let Some(bytes) = FILE.read(folder)? else { return Ok(None) };
     decode(&bytes).map(Some).with_context(|| folder.join(FILE.name).display().to_string())
--- a/crates/proxy/src/fleet/carrier/handle.rs
+++ b/crates/proxy/src/fleet/carrier/handle.rs
@@ -1,5 +1,5 @@
-//! The handle of the carrier actor, for links, the disk task and commands. It depends only on the actor's event
-//! queue.
+//! The handle of the carrier actor, for links, the disk task and commands. It depends only on the actor's
+//! event queue.
 
 use crate::fleet::carrier::apply::Refusal;
 use crate::fleet::wire::Frame;
@@ -25,7 +25,8 @@
     ParentDisconnected(u64),
     /// Resources of this version were put in force, except for the refused ones.
     Applied(Version, Vec<Refusal>),
-    /// The configuration file was reloaded, so resources that were refused may be accepted now and vice versa.
+    /// The configuration file was reloaded, so resources that were refused may be accepted now and vice
+    /// versa.
     FileReloaded,
     /// The snapshot of this version is on disk.
     Persisted(Version),
@@ -48,8 +49,8 @@
 pub struct Handle(mpsc::Sender<Event>);
 
 impl Handle {
-    /// Sends an event, waiting while the queue is full. Each sender is a task of its own, so nothing else waits.
-    /// Returns false if the actor has ended.
+    /// Sends an event, waiting while the queue is full. Each sender is a task of its own, so nothing else
+    /// waits. Returns false if the actor has ended.
     pub async fn send(&self, event: Event) -> bool {
         self.0.send(event).await.is_ok()
     }
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -1,6 +1,6 @@
-//! The carrier's links: incoming ones from children and commands, and the outgoing one to the parent. Each link
-//! is a task with a small queue. A link whose other end does not read or stays silent is closed, so nothing
-//! waits for it.
+//! The carrier's links: incoming ones from children and commands, and the outgoing one to the parent. Each
+//! link is a task with a small queue. A link whose other end does not read or stays silent is closed, so
+//! nothing waits for it.
 
 use crate::fleet::accept::Acceptor;
 use crate::fleet::carrier::handle::{Event, Handle};
@@ -13,15 +13,15 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// The queue of messages to a child has room for one part of a difference and some heartbeats. A child whose queue
-/// is full does not read its messages.
+/// The queue of messages to a child has room for one part of a difference and some heartbeats. A child whose
+/// queue is full does not read its messages.
 const CHILD_QUEUE_CAPACITY: usize = 8;
 /// The capacity of the queue of messages to the parent.
 const PARENT_QUEUE_CAPACITY: usize = 16;
 /// The maximum number of answers that wait to be sent to a command.
 const COMMAND_QUEUE_CAPACITY: usize = 16;
-/// Links accepted in addition to the maximum number of children: other control machines, relays, children that are
-/// told that there is no room, commands.
+/// Links accepted in addition to the maximum number of children: other control machines, relays, children
+/// that are told that there is no room, commands.
 const EXTRA_LINKS: usize = 256;
 
 /// Accepts links at this address until the process ends.
@@ -92,13 +92,13 @@
 }
 
 async fn run_command_link(handle: &Handle, link: &mut Link) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+    let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
         match frame {
             Frame::Offer(number, changes) => {
-                handle.send(Event::Offer(number, changes, answers.clone())).await;
+                handle.send(Event::Offer(number, changes, answer_sender.clone())).await;
             }
-            Frame::Carrier => _ = handle.send(Event::Status(answers.clone())).await,
+            Frame::Carrier => _ = handle.send(Event::Status(answer_sender.clone())).await,
             _ => {}
         }
     }
@@ -122,8 +122,8 @@
     }
 }
 
-/// Connects to a parent in a task of its own. Its events carry this number. `first_dial` is true for the first attempt
-/// after a link was up.
+/// Connects to a parent in a task of its own. Its events carry this number. `first_dial` is true for the
+/// first attempt after a link was up.
 pub fn dial(
     me: &Me,
     handle: &Handle,
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -34,8 +34,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinSet, spawn_blocking};
 
-/// Loads the snapshot from the disk, and applies its resources on top of the configuration file. Both are `None` if
-/// there is no readable snapshot.
+/// Loads the snapshot from the disk, and applies its resources on top of the configuration file. Both are
+/// `None` if there is no readable snapshot.
 pub async fn load_snapshot(file: &Config) -> (Option<Snapshot>, Option<AppliedConfig>) {
     let Some(fleet) = &file.fleet else { return (None, None) };
     let Some(carrier) = &fleet.carrier else { return (None, None) };
@@ -68,9 +68,9 @@
     (Some(snapshot), Some(applied))
 }
 
-/// Starts the carrier of this process: it keeps a link to a parent, accepts children if its role has them, publishes
-/// while it holds the lease, and reports the age of its configuration. Returns the handle, and a future that must be
-/// polled for as long as the carrier is to run.
+/// Starts the carrier of this process: it keeps a link to a parent, accepts children if its role has them,
+/// publishes while it holds the lease, and reports the age of its configuration. Returns the handle, and a
+/// future that must be polled for as long as the carrier is to run.
 pub fn start(
     me: &Me,
     config: Arc<CarrierConfig>,
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -1,5 +1,5 @@
-//! The host of a publisher: reads and writes the record under the lease, and answers commands. It also holds the
-//! lease.
+//! The host of a publisher: reads and writes the record under the lease, and answers commands. It also holds
+//! the lease.
 
 use crate::fleet::asker::Asker;
 use crate::fleet::carrier::handle::{Event, Handle};
@@ -23,7 +23,9 @@
 
 /// An action that the publisher requested, to be executed by the actor.
 pub enum Action {
+    /// Pass settled changes to the tree node.
     Publish(Version, Vec<Resource>),
+    /// Give the lease back, and drop the publisher.
     ReleaseLease,
 }
 
@@ -36,13 +38,15 @@
     token: Token,
     /// Actions that were requested and are not yet executed.
     pub actions: Vec<Action>,
-    /// Offers without an outcome yet, by the publisher's number of the proposal: the command's own number of the
-    /// offer, and the link for the answer.
+    /// Offers without an outcome yet, by the publisher's number of the proposal: the command's own number of
+    /// the offer, and the link for the answer.
     pub pending_offers: BTreeMap<u64, (u64, mpsc::Sender<Frame>)>,
+    /// The number of the newest proposal.
     last_proposal: u64,
 }
 
 impl RecordHost {
+    /// Creates the host of the publisher with this number, which holds the lease with this token.
     pub fn new(asker: Asker, handle: Handle, number: u64, token: Token) -> RecordHost {
         RecordHost {
             asker,
@@ -105,7 +109,8 @@
     }
 }
 
-/// The time at which the record was founded, and the text and version of the value; `None` if there is no value.
+/// The time at which the record was founded, and the text and version of the value; `None` if there is no
+/// value.
 pub fn founding_and_value(record: &SharedRecord) -> (u64, Option<(&str, u64)>) {
     let value = record.0.values.get(LEASE_NAME).map(|entry| (entry.text.as_str(), entry.version));
     (record.0.founded, value)
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -1,4 +1,5 @@
-//! The replica's actor: it owns the replica and drives it with the fleet's clock and the machine's.
+//! The replica actor. It owns the replica, and drives it with the fleet's monotonic clock and the machine's
+//! clock.
 
 use crate::fleet::drive::{self, drive};
 use crate::fleet::me::{Me, draw, unix};
@@ -16,14 +17,14 @@
 use tokio::task::spawn_blocking;
 use tokio::time::Instant;
 
-/// A stamp may be so far ahead of this machine's clock.
+/// The maximum time by which the stamp of an order may be ahead of this machine's clock. Nanoseconds.
 const MAX_CLOCK_SKEW: Nanos = 60 * SECOND;
-/// In one part of a transfer.
+/// The size of one part of a transfer, in bytes.
 const CHUNK_BYTES: usize = 1024;
-/// The replica is looked at this often at the least.
+/// The actor ticks at least this often. Nanoseconds.
 const MAX_TICK_INTERVAL: Nanos = SECOND;
 
-/// An order whose giver waits until it is on disk.
+/// An issued order whose caller waits until it is on disk.
 struct PendingOrder {
     stamp: Stamp,
     persisted: oneshot::Sender<()>,
@@ -42,12 +43,12 @@
     pending_orders: Vec<PendingOrder>,
 }
 
-/// By both clocks.
+/// The current time by the fleet's monotonic clock and by the machine's clock.
 fn read_clocks(me: &Me) -> Now {
     Now { monotonic: me.clock.now(), unix: unix().as_nanos() as u64 }
 }
 
-/// Runs as long as the process lives.
+/// Loads the replica's copy from the disk, if there is one, and runs the actor until the process ends.
 pub async fn run(
     me: Me,
     config: Arc<ReplicationConfig>,
@@ -64,7 +65,10 @@
     let now = read_clocks(&me);
     if let Some(snapshot) = &snapshot {
         let age = now.unix.saturating_sub(snapshot.as_of) as f64 / 1e9;
-        tracing::info!("replication: starts with {} orders as of {age:.1} s ago", snapshot.entries.len());
+        tracing::info!(
+            "replication: starts with {} orders from disk, as of {age:.1} s ago",
+            snapshot.entries.len()
+        );
     }
     let mut actions = ActionQueue::new(draw());
     let replica_config = ReplicaConfig {
@@ -115,7 +119,7 @@
             Event::LinkDown { link } if self.links.remove(&link).is_some() => {
                 self.replica.link_down(now, link, &mut self.actions);
             }
-            // Of a link that was closed here.
+            // Events of a link that was already closed here.
             Event::MessageReceived { .. } | Event::LinkDown { .. } => {}
             Event::DialFailed => self.replica.dial_failed(now, &mut self.actions),
             Event::Persisted(snapshot) => self.snapshot_persisted(now, &snapshot),
@@ -151,7 +155,7 @@
             (Ok(stamp), Some(_)) => {
                 self.pending_orders.push(PendingOrder { stamp: stamp.clone(), persisted })
             }
-            // Without a disk memory has to do.
+            // Without a disk the order is only kept in memory, so there is nothing to wait for.
             _ => _ = persisted.send(()),
         }
         let _ = answer.send(stamp);
@@ -166,7 +170,8 @@
         self.replica.persisted(now, &mut self.actions);
     }
 
-    /// What it shows of itself: what holds counts once it is carried out.
+    /// The status of the replica. Its orders count only once they are applied in the serving process, so
+    /// until then the vector is empty.
     fn status(&self, now: Now) -> Status {
         let mut status = self.replica.status(now);
         if self.handle.applied_revision() < self.states.revision {
@@ -175,7 +180,7 @@
         status
     }
 
-    /// What was asked for, until nothing more is.
+    /// Executes the queued actions until the queue is empty.
     fn execute_actions(&mut self) {
         let mut changed = false;
         while let Some(action) = self.actions.actions.pop_front() {
@@ -184,11 +189,11 @@
                 Action::Send(link, message) => self.send(link, message),
                 Action::Close(link) => _ = self.links.remove(&link),
                 Action::Apply(node, service) => {
-                    tracing::info!("replication: {node} is {service:?} of service");
+                    tracing::info!("replication: service state of {node} is now {service:?}");
                     self.states.by_node.insert(node, service);
                     changed = true;
                 }
-                // Where there is no disk nothing comes back, and nothing more is to be kept.
+                // Without a disk, `persisted` is never reported, so the replica requests no further writes.
                 Action::Persist(snapshot) => {
                     if let Some(snapshot_sender) = &self.snapshot_sender {
                         snapshot_sender.send_replace(Some(snapshot));
@@ -204,9 +209,9 @@
     }
 
     fn send(&mut self, link: LinkId, message: Message) {
-        let full = |mailbox: &mpsc::Sender<Message>| mailbox.try_send(message).is_err();
-        if self.links.get(&link).is_some_and(full) {
-            // It does not read: as good as gone.
+        let is_full = |sender: &mpsc::Sender<Message>| sender.try_send(message).is_err();
+        if self.links.get(&link).is_some_and(is_full) {
+            // The peer does not read its messages; treat the link as down.
             self.links.remove(&link);
             let now = read_clocks(&self.me);
             self.replica.link_down(now, link, &mut self.actions);
@@ -217,23 +222,26 @@
 fn log_report(report: &Report) {
     match report {
         Report::FutureStamp { entry, ahead } => tracing::error!(
-            "replication: an order of {} for {} is {:.1} s ahead of this clock, refused",
+            "replication: order from {} for {} refused: its stamp is {:.1} s ahead of this machine's clock",
             entry.order.stamp.issuer.name,
             entry.slot.node,
             *ahead as f64 / 1e9
         ),
         Report::Conflict { entry } => tracing::error!(
-            "replication: one stamp with two contents, a copied disk or corruption: {} for {}",
+            "replication: two different orders from {} for {} have the same stamp; a disk was copied or data \
+             is corrupt",
             entry.order.stamp.issuer.name,
             entry.slot.node
         ),
         Report::StaleCopy { peer, superseded } => {
             tracing::warn!(
-                "replication: this copy was away; {superseded} orders had ended according to {peer}"
+                "replication: this copy was out of date; according to {peer}, {superseded} of its orders were \
+                 superseded"
             );
         }
         Report::PossiblySuperseded { entry } => tracing::warn!(
-            "replication: {} of service for {} by {} is older than ended orders are remembered; it holds, look at it",
+            "replication: order {} of service for {} from {} is older than the retention and may have been \
+             superseded; it stays in force, please check it",
             match entry.order.service {
                 ServiceState::Out => "out",
                 ServiceState::In => "in",
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -1,5 +1,6 @@
-//! `pumicebay fleet drain`, `undrain` and `orders`: what operators order of all proxies of a group, and what each knows of
-//! it. Any proxy of the group takes an order; that it holds at the others is asked of each of them.
+//! `pumicebay fleet drain`, `undrain` and `orders`: maintenance orders to all proxies of a group, and the
+//! orders that each proxy knows. Any proxy of the group accepts an order; each of the others is asked whether
+//! the order is in force there.
 
 use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::config::FleetConfig;
@@ -17,20 +18,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Proxies that are asked at a time.
+/// The maximum number of proxies that are asked for their status at the same time.
 const MAX_CONCURRENT_CALLS: usize = 64;
+/// The pause before the proxies are asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Not at all proxies, or not known.
+/// The exit code when an order is not in force at all proxies, or when that is unknown.
 const EXIT_INCOMPLETE: u8 = 3;
 
-/// Why a proxy is not known to hold an order.
+/// The proxies that are not known to have an order, and why.
 type MissingProxies = BTreeMap<String, String>;
 
 fn replication_config(fleet: &FleetConfig) -> Result<&ReplicationConfig> {
-    fleet.replication.as_deref().context("fleet.replication: missing; nothing is replicated in this fleet")
+    fleet.replication.as_deref().context("fleet.replication: missing; this fleet has no replication")
 }
 
-/// `pumicebay fleet drain` and `undrain`. Under the lease of `pumicebay fleet run`, where it is started by that.
+/// Runs `pumicebay fleet drain` or `undrain`; under the lease of `pumicebay fleet run`, if started by it.
+/// With `wait`, it waits until the order is in force at all proxies. An error if the order was refused or no
+/// proxy accepted it, or if that is unknown.
 pub async fn order(
     fleet: Arc<FleetConfig>,
     node: &str,
@@ -60,7 +64,8 @@
     }
 }
 
-/// The lease and token that `pumicebay fleet run` gives its command.
+/// The lease and token that `pumicebay fleet run` passes to its command in environment variables, if they are
+/// set.
 fn lease_from_environment() -> Result<Option<(String, Token)>> {
     let (Ok(lease), Ok(token)) = (std::env::var("PUMICEBAY_LEASE"), std::env::var("PUMICEBAY_TOKEN")) else {
         return Ok(None);
@@ -74,7 +79,7 @@
     format!("{}.{:016x}.{}", stamp.issuer.name, stamp.issuer.incarnation, stamp.version)
 }
 
-/// The first proxy that can be reached takes the order.
+/// Issues the order at the first proxy that can be reached.
 async fn issue(fleet: &FleetConfig, call: &OrderCall) -> Result<Stamp> {
     let mut last_failure = "no proxy of the group answers".to_string();
     for (name, address) in &replication_config(fleet)?.peers {
@@ -92,13 +97,15 @@
         return match answer.await {
             Ok(OrderAnswer::Given(stamp)) => Ok(stamp),
             Ok(OrderAnswer::Refused(reason)) => bail!("refused: {reason}"),
-            Err(error) => bail!("{name} did not answer, whether it was given is not known: {error:#}"),
+            Err(error) => {
+                bail!("{name} did not answer, it is not known whether the order was issued: {error:#}")
+            }
         };
     }
     bail!("nothing was ordered: {last_failure}")
 }
 
-/// What each proxy says of itself, and why others do not.
+/// The status of each proxy that answers, and why the others do not.
 async fn collect_statuses(fleet: &Arc<FleetConfig>) -> Result<(BTreeMap<String, Status>, MissingProxies)> {
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     let mut queries = JoinSet::new();
@@ -107,19 +114,19 @@
         queries.spawn(async move {
             let _permit = permits.acquire().await;
             let status = async {
-                let wanted = |frame| match frame {
+                let as_status = |frame| match frame {
                     Frame::ReplicationIs(status) => Some(*status),
                     _ => None,
                 };
                 let mut called = Called::call_speaking(&fleet, address, REPLICATION).await?;
-                called.ask(Frame::Replication, ANSWERS, wanted).await
+                called.ask(Frame::Replication, ANSWERS, as_status).await
             };
             (name, status.await)
         });
     }
     let (mut statuses, mut missing) = (BTreeMap::new(), MissingProxies::new());
     while let Some(result) = queries.join_next().await {
-        match result.context("asking")? {
+        match result.context("asking for the status")? {
             (name, Ok(status)) => _ = statuses.insert(name, status),
             (name, Err(error)) => _ = missing.insert(name, format!("{error:#}")),
         }
@@ -127,7 +134,7 @@
     Ok((statuses, missing))
 }
 
-/// `pumicebay fleet orders`: what each proxy knows.
+/// Runs `pumicebay fleet orders`: prints the orders that each proxy knows.
 pub async fn orders(fleet: Arc<FleetConfig>, as_json: bool) -> Result<ExitCode> {
     let (statuses, missing) = collect_statuses(&fleet).await?;
     let digests: BTreeSet<u64> = statuses.values().map(|status| status.digest).collect();
@@ -149,7 +156,7 @@
                 status.out_of_service.join(" ")
             );
             for entry in &status.possibly_superseded {
-                println!("  doubtful: {} by {}", entry.slot.node, stamp_text(&entry.order.stamp));
+                println!("  possibly superseded: {} by {}", entry.slot.node, stamp_text(&entry.order.stamp));
             }
         }
         missing.iter().for_each(|(name, reason)| println!("{name}  {reason}"));
@@ -158,7 +165,7 @@
 }
 
 fn statuses_json(statuses: &BTreeMap<String, Status>) -> Json {
-    let one = |(name, status): (&String, &Status)| {
+    let proxy_json = |(name, status): (&String, &Status)| {
         let Status {
             out_of_service,
             order_count,
@@ -175,9 +182,10 @@
             status.possibly_superseded.iter().map(|entry| &entry.slot.node).collect();
         json!({
             "name": name, "out": out_of_service, "orders": order_count, "digest": format!("{digest:016x}"),
-            "age_s": last_heard_age.map(|age| age as f64 / 1e9), "linked": linked_peers, "differing": differing_peers,
-            "bytes_sent": bytes_sent, "future": future_stamps, "conflicts": conflicts, "doubtful": possibly_superseded,
+            "age_s": last_heard_age.map(|age| age as f64 / 1e9), "linked": linked_peers,
+            "differing": differing_peers, "bytes_sent": bytes_sent, "future": future_stamps,
+            "conflicts": conflicts, "doubtful": possibly_superseded,
         })
     };
-    statuses.iter().map(one).collect()
+    statuses.iter().map(proxy_json).collect()
 }
--- a/crates/proxy/src/fleet/replication/config.rs
+++ b/crates/proxy/src/fleet/replication/config.rs
@@ -1,4 +1,4 @@
-//! The section `fleet.replication` of the configuration. Every message names the key.
+//! The section `fleet.replication` of the configuration. Every error names the key that is wrong.
 
 use crate::fleet::config::addresses;
 use crate::validation::check_value;
@@ -13,31 +13,34 @@
 const MAX_PEERS: usize = 4096;
 const DEFAULT_LINKS: u64 = 4;
 const MAX_LINKS: u64 = 32;
-/// What the carrier leaves of the bytes that control may take.
+/// The part of the bandwidth for control traffic that the carrier leaves.
 const DEFAULT_BYTES_PER_SECOND: u64 = 2000;
 const MIN_BYTES_PER_SECOND: u64 = 1024;
 const DEFAULT_RETENTION_SECONDS: u64 = 7 * 86_400;
 const MIN_RETENTION_SECONDS: u64 = 10;
 const MAX_RETENTION_SECONDS: u64 = 365 * 86_400;
 
+/// The parsed section `fleet.replication`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// The group, this process included, and where each takes links.
+    /// The proxies of the group including this one, and the address at which each accepts links.
     pub peers: BTreeMap<String, SocketAddr>,
-    /// Where this process takes links, if it is not where the others call it.
+    /// The address at which this process listens for links, if it differs from the one that the others
+    /// connect to.
     pub listen: Option<SocketAddr>,
-    /// Where its copy is kept.
+    /// The folder of the replica's copy on disk.
     pub folder: Option<PathBuf>,
-    /// Links to peers of its choice.
+    /// The number of links that this process keeps to peers that it chooses.
     pub target_links: usize,
-    /// To all peers together.
+    /// The maximum number of bytes sent to all peers together in a second.
     pub bytes_per_second: usize,
-    /// For how long an order that puts a node back is kept.
+    /// How long an order that puts a node back in service is kept.
     pub retention: Duration,
 }
 
 impl ReplicationConfig {
-    /// `None` where the section `fleet` has no such section.
+    /// Parses the section for the process of this name, or for a command if the name is empty. `None` if the
+    /// section is missing. An unknown key or a wrong value is an error.
     pub fn parse(json: &Json, name: &str) -> Result<Option<ReplicationConfig>> {
         let section = json.pointer("/fleet/replication").unwrap_or(&Json::Null);
         if section.is_null() {
@@ -65,7 +68,7 @@
             "fleet.replication.peers: expected 2 to {MAX_PEERS}, found {}",
             peers.len()
         );
-        // A command reads the section under no name.
+        // A command has an empty name, and is not a peer.
         ensure!(
             name.is_empty() || peers.contains_key(name),
             "fleet.replication.peers: {name} is not among them"
@@ -91,12 +94,13 @@
         }))
     }
 
-    /// Where a process of this name takes links.
+    /// The address at which the process with this name listens for links; `None` if it is not in the group.
     pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
         let peer_address = self.peers.get(name)?;
         Some(self.listen.unwrap_or(*peer_address))
     }
 
+    /// A short description for the log.
     pub fn summary(&self) -> String {
         format!("replication among {} proxies", self.peers.len())
     }
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -1,4 +1,5 @@
-//! The replica's copy on disk, where the process has a folder for it. None of it keeps a process from serving.
+//! The replica's copy on disk, if a folder is configured. A failure here never stops the process from
+//! serving.
 
 use crate::fleet::replication::handle::{Event, Handle};
 use crate::fleet::sealed::Sealed;
@@ -10,13 +11,13 @@
 const FILE: Sealed = Sealed {
     magic: b"pumicebr",
     version: 1,
-    foreign: "no file of replication",
+    foreign: "not a replica file",
     name: "replica",
     lock: "replica.lock",
 };
 
-/// The copy that was kept there. One that can't be read, or that is another process's, is set aside with a line in the
-/// log.
+/// Reads the copy from the folder; `None` if there is no usable one. A copy that cannot be read, or that
+/// belongs to another process, is logged and set aside.
 pub fn read(folder: &Path, name: &str) -> Option<Snapshot> {
     let snapshot =
         FILE.read(folder).and_then(|bytes| bytes.map(|bytes| decode_own(&bytes, name)).transpose());
@@ -25,7 +26,7 @@
         Err(error) => {
             tracing::error!("replication: the copy on disk is not used: {error:#}");
             if let Err(error) = FILE.set_aside(folder) {
-                tracing::error!("replication: it can't be set aside: {error:#}");
+                tracing::error!("replication: the copy on disk cannot be set aside: {error:#}");
             }
             None
         }
@@ -34,11 +35,11 @@
 
 fn decode_own(bytes: &[u8], name: &str) -> Result<Snapshot> {
     let snapshot: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
-    anyhow::ensure!(snapshot.name == name, "it is {}'s", snapshot.name);
+    anyhow::ensure!(snapshot.name == name, "it belongs to {}", snapshot.name);
     Ok(snapshot)
 }
 
-/// Writes what comes, the newest only, as long as the process lives.
+/// Writes the newest snapshot whenever it changes, until the process ends. Intermediate ones may be skipped.
 pub async fn run(folder: PathBuf, newest: watch::Receiver<Option<Snapshot>>, handle: Handle) {
     let written = |snapshot: Snapshot| {
         let handle = handle.clone();
--- a/crates/proxy/src/fleet/replication/handle.rs
+++ b/crates/proxy/src/fleet/replication/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the replica's actor, and what holds by the orders.
+//! The handle of the replica actor, and the service states that follow from the orders.
 
 use crate::fleet::wire::Frame;
 use pumicebay_replication::{Lease, LinkId, Message, Refusal, ServiceState, Snapshot, Stamp, Status};
@@ -10,86 +10,86 @@
 use tokio::time::timeout;
 
 const QUEUE_CAPACITY: usize = 1024;
-/// How long an order may take until it is on disk: operators' calls are answered within a second.
+/// How long writing an order to disk may take. It is below one second because operators' calls are answered
+/// within a second.
 const PERSIST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// An order as it is given at this process.
+/// An order to be issued at this process.
 #[derive(Clone, Debug)]
 pub struct NewOrder {
+    /// The id of the node.
     pub node: String,
+    /// The state that the node shall have.
     pub service: ServiceState,
+    /// The lease under which the order is issued, if any.
     pub lease: Option<Lease>,
 }
 
-/// What can happen to the replica.
+/// An event for the replica actor.
 pub enum Event {
-    /// A link came up: what the peer is told goes into this mailbox.
-    LinkUp {
-        link: LinkId,
-        peer: String,
-        dialled: bool,
-        mailbox: mpsc::Sender<Message>,
-    },
-    MessageReceived {
-        link: LinkId,
-        message: Message,
-    },
-    LinkDown {
-        link: LinkId,
-    },
+    /// A link is up. `dialled` is true if this process connected; messages to the peer go into `mailbox`.
+    LinkUp { link: LinkId, peer: String, dialled: bool, mailbox: mpsc::Sender<Message> },
+    /// A message from the peer at the other end of the link.
+    MessageReceived { link: LinkId, message: Message },
+    /// A link has ended.
+    LinkDown { link: LinkId },
+    /// A connection attempt to a peer failed.
     DialFailed,
+    /// This snapshot is on disk.
     Persisted(Box<Snapshot>),
-    Issue {
-        order: NewOrder,
-        answer: oneshot::Sender<Result<Stamp, Refusal>>,
-        persisted: oneshot::Sender<()>,
-    },
-    StatusFrame {
-        answer: mpsc::Sender<Frame>,
-    },
-    Status {
-        answer: oneshot::Sender<Status>,
-    },
+    /// Issues an order. `answer` gets its stamp, or why it is refused; `persisted` is signalled once it is on
+    /// disk.
+    Issue { order: NewOrder, answer: oneshot::Sender<Result<Stamp, Refusal>>, persisted: oneshot::Sender<()> },
+    /// A command's request for the status, to be answered with a frame.
+    StatusFrame { answer: mpsc::Sender<Frame> },
+    /// A request for the status from within the process.
+    Status { answer: oneshot::Sender<Status> },
 }
 
-/// What holds by all orders that are known: by node, as of a revision that grows.
+/// The service state of each node that has orders, derived from all known orders.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceStates {
+    /// Increases with each change.
     pub revision: u64,
+    /// The service state by node id.
     pub by_node: BTreeMap<String, ServiceState>,
 }
 
-/// Why an order was not given.
+/// Why issuing an order failed.
 #[derive(Debug)]
 pub enum IssueError {
+    /// The replica refused the order.
     Refused(Refusal),
-    /// It is given and spreads, but this process's disk does not have it.
+    /// The order is in force and is replicated, but it was not written to this process's disk in time.
     NotPersisted,
-    /// The replica has ended.
+    /// The replica actor has ended.
     ReplicaStopped,
 }
 
-/// The way to the actor.
+/// Sends events to the replica actor.
 #[derive(Clone)]
 pub struct Handle {
     events: mpsc::Sender<Event>,
+    /// The id of the newest link.
     last_link: Arc<AtomicU64>,
-    /// The revision of what holds that has been carried out.
+    /// The newest revision of the service states that has been applied in the serving process.
     applied_revision: Arc<AtomicU64>,
 }
 
 impl Handle {
-    /// Waits for room: each that says something is a task of its own, and only it waits. False when the actor has ended.
+    /// Sends an event, waiting while the queue is full. Each sender is a task of its own, so nothing else
+    /// waits. Returns false if the actor has ended.
     pub async fn send(&self, event: Event) -> bool {
         self.events.send(event).await.is_ok()
     }
 
-    /// A number for a new link, never used before in this process.
+    /// An id for a new link, never used before in this process.
     pub fn next_link_id(&self) -> LinkId {
         self.last_link.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Gives an order; returns once it holds in the replica and is on disk, where there is one.
+    /// Issues an order. Returns its stamp once it is in force in the replica and, if there is a disk, written
+    /// to it.
     pub async fn issue(&self, order: NewOrder) -> Result<Stamp, IssueError> {
         let ((answer, answered), (persisted, on_disk)) = (oneshot::channel(), oneshot::channel());
         if !self.send(Event::Issue { order, answer, persisted }).await {
@@ -102,31 +102,37 @@
         }
     }
 
-    /// What the replica shows of itself.
+    /// The status of the replica; `None` if the actor has ended.
     pub async fn status(&self) -> Option<Status> {
         let (answer, answered) = oneshot::channel();
         self.send(Event::Status { answer }).await;
         answered.await.ok()
     }
 
-    /// What holds as of this revision has been carried out.
+    /// Reports that the service states of this revision have been applied in the serving process.
     pub fn set_applied_revision(&self, revision: u64) {
         self.applied_revision.store(revision, Ordering::Release);
     }
 
+    /// The newest revision of the service states that has been applied in the serving process.
     pub fn applied_revision(&self) -> u64 {
         self.applied_revision.load(Ordering::Acquire)
     }
 }
 
-/// What one process has of it.
+/// The ends of the channels to and from the replica actor of one process.
 pub struct Channels {
+    /// Sends events to the actor.
     pub handle: Handle,
+    /// The actor's event queue.
     pub events: mpsc::Receiver<Event>,
+    /// Publishes the service states.
     pub states_sender: watch::Sender<ServiceStates>,
+    /// Receives the service states.
     pub states: watch::Receiver<ServiceStates>,
 }
 
+/// Creates the channels of one process.
 pub fn channels() -> Channels {
     let (events, mailbox) = mpsc::channel(QUEUE_CAPACITY);
     let (states_sender, states) = watch::channel(ServiceStates::default());
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -1,5 +1,6 @@
-//! Replication's links: peers that are dialled, peers and commands that call. Each is a task with a small mailbox; one that
-//! does not read, or says nothing, ends, and nobody waits for it.
+//! Replication's links: outgoing ones to peers, and incoming ones from peers and commands. Each link is a
+//! task with a small queue. A link whose other end does not read or stays silent is closed, so nothing waits
+//! for it.
 
 use crate::bans::{Maintenance, MaintenanceResult};
 use crate::fleet::accept::Acceptor;
@@ -14,14 +15,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// What waits for a peer: a part, its answer, summaries. One whose mailbox is full does not read.
+/// The queue of messages to a peer has room for a part of a transfer, an acknowledgement and some summaries.
+/// A peer whose queue is full does not read its messages.
 const PEER_QUEUE_CAPACITY: usize = 32;
-/// Answers that wait for a command.
+/// The maximum number of answers that wait to be sent to a command.
 const COMMAND_QUEUE_CAPACITY: usize = 16;
-/// Links that are taken at a time, commands included.
+/// The maximum number of incoming links at a time, including those of commands.
 const MAX_INCOMING_LINKS: usize = 128;
 
-/// Accepts as long as the process lives.
+/// Accepts links at this address until the process ends.
 pub async fn accept(
     me: Me,
     config: Arc<ReplicationConfig>,
@@ -37,7 +39,7 @@
         let (handle, maintenance) = (handle.clone(), maintenance.clone());
         async move {
             if let Err(error) = serve(&me, &config, &handle, &maintenance, stream).await {
-                tracing::info!("replication: a link ends: {error:#}");
+                tracing::info!("replication: incoming link ended: {error:#}");
             }
         }
     };
@@ -57,20 +59,27 @@
 ) -> Result<()> {
     let (link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.name.clone();
-    ensure!(link.speaks() >= REPLICATION, "{name} speaks links up to {}, not {REPLICATION}", link.speaks());
+    ensure!(
+        link.speaks() >= REPLICATION,
+        "{name} supports link versions up to {}, version {REPLICATION} is required",
+        link.speaks()
+    );
     if other.role == Role::Command {
-        // Commands come and go.
+        // Commands are short-lived; the end of their links is logged at debug level only.
         if let Err(error) = run_command_link(handle, maintenance, link).await {
             tracing::debug!("replication: {name}: {error:#}");
         }
         return Ok(());
     }
-    ensure!(name != me.who.name, "{name} calls itself: two processes of one name, or a copied configuration");
-    ensure!(config.peers.contains_key(&name), "{name} is not among fleet.replication.peers");
+    ensure!(
+        name != me.who.name,
+        "{name} connects to itself: two processes have the same name, or a configuration was copied"
+    );
+    ensure!(config.peers.contains_key(&name), "{name} is not listed in fleet.replication.peers");
     run_link(handle, link, &name, false).await.with_context(|| format!("peer {name}"))
 }
 
-/// Dials a peer; that it came to nothing is said too.
+/// Connects to a peer in a task of its own; a failure is reported to the actor too.
 pub fn dial(me: &Me, config: &ReplicationConfig, handle: &Handle, peer: &str) {
     let (me, handle, peer) = (me.clone(), handle.clone(), peer.to_string());
     let address = config.peers.get(&peer).copied();
@@ -82,7 +91,7 @@
                 }
             }
             Err(error) => {
-                tracing::debug!("replication: no link to {peer}: {error:#}");
+                tracing::debug!("replication: cannot connect to {peer}: {error:#}");
                 handle.send(Event::DialFailed).await;
             }
         }
@@ -90,14 +99,14 @@
 }
 
 async fn connect(me: &Me, peer: &str, address: Option<SocketAddr>) -> Result<Link> {
-    let address = address.context("fleet.replication.peers has no such process")?;
+    let address = address.context("fleet.replication.peers lists no process of this name")?;
     let (link, other) = Link::connect(address, &hello(me)).await?;
-    ensure!(other.who.name == peer, "at {address} is {}", other.who);
+    ensure!(other.who.name == peer, "{address} belongs to {}", other.who);
     link.ensure_speaks(REPLICATION)?;
     Ok(link)
 }
 
-/// Carries what both ends say, until one ends it.
+/// Runs a link until one end closes it, and reports its start and end to the actor.
 async fn run_link(handle: &Handle, mut link: Link, peer: &str, dialled: bool) -> Result<()> {
     let (mailbox, mut to_send) = mpsc::channel(PEER_QUEUE_CAPACITY);
     let link_id = handle.next_link_id();
@@ -122,12 +131,12 @@
     Ok(())
 }
 
-/// What a command asks for.
+/// Answers the requests of a command.
 async fn run_command_link(handle: &Handle, maintenance: &Maintenance, mut link: Link) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+    let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
         match frame {
-            Frame::Replication => _ = handle.send(Event::StatusFrame { answer: answers.clone() }).await,
+            Frame::Replication => _ = handle.send(Event::StatusFrame { answer: answer_sender.clone() }).await,
             Frame::Order(call) => {
                 let answer = issue_order(maintenance, *call).await;
                 link.send(&Frame::Ordered(Box::new(answer))).await?;
@@ -138,7 +147,7 @@
     Ok(())
 }
 
-/// A command's order goes the way of an operator's call at this proxy.
+/// Issues a command's order in the same way as an operator's call at this proxy.
 async fn issue_order(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
     let OrderCall { node, out, under } = call;
     match maintenance.set_service(node.clone(), out, under).await {
--- a/crates/proxy/src/fleet/replication/mod.rs
+++ b/crates/proxy/src/fleet/replication/mod.rs
@@ -1,15 +1,15 @@
-//! Replication: orders of maintenance reach every proxy of the group. Nothing here runs, listens or allocates unless the
-//! configuration has a section `fleet.replication`. The choices are those of `pumicebay-replication`; this folder carries
-//! them out.
+//! Replication: maintenance orders reach every proxy of the group. Nothing here runs, listens or allocates
+//! unless the configuration has a section `fleet.replication`. The decisions are made in
+//! `pumicebay-replication`; this module does the input and output.
 //!
-//! | file | job |
+//! | file | purpose |
 //! | --- | --- |
-//! | `config.rs` | the section `fleet.replication`, read and checked |
-//! | `handle.rs` | the way to the actor, and what holds by the orders |
-//! | `actor.rs` | owns the replica and drives it with both clocks |
-//! | `links.rs` | peers that are dialled and that call, commands |
+//! | `config.rs` | the section `fleet.replication`, parsed and checked |
+//! | `handle.rs` | the handle of the actor, and the service states that follow from the orders |
+//! | `actor.rs` | owns the replica, and drives it with the fleet's clock and the machine's |
+//! | `links.rs` | links to peers and to commands |
 //! | `disk.rs` | the replica's copy on disk |
-//! | `command.rs` | `pumicebay fleet drain`, `undrain`, `orders` |
+//! | `command.rs` | `pumicebay fleet drain`, `undrain` and `orders` |
 
 pub mod actor;
 pub mod command;
@@ -28,16 +28,18 @@
 
 /// What the actor is started with.
 pub struct ActorContext {
+    /// Passed to tasks that report to the actor.
     pub handle: Handle,
+    /// The actor's event queue.
     pub events: mpsc::Receiver<Event>,
-    /// What holds by the orders, for whoever carries it out.
+    /// Publishes the service states to the task that applies them.
     pub states_sender: watch::Sender<ServiceStates>,
-    /// Where commands' orders go, so that they take the way of all others.
+    /// Receives orders from commands, so that they are handled like operators' calls at this proxy.
     pub maintenance: Maintenance,
 }
 
-/// Takes its part: keeps links to peers, takes theirs, and keeps its copy on disk. Gives what has to run as long as it
-/// does.
+/// Starts the replica of this process: it keeps links to peers, accepts links from them, and keeps its copy
+/// on disk. Returns a future that must be polled for as long as the replica is to run.
 pub fn start(
     me: &Me,
     config: Arc<ReplicationConfig>,
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration to a fleet of proxies on loopback: three voters, two control machines, relays and
-//! leaves. Each is a whole proxy with stand-ins of its own.
+//! Distribution of configuration changes in a fleet of proxies on loopback: three voters, two control
+//! machines, relays and leaves. Each is a complete proxy with stand-ins of its own.
 
 use crate::cli::{File, Running, program};
 use crate::operations::{Folder, call};
@@ -22,7 +22,7 @@
 const VOTERS: [&str; 3] = ["v1", "v2", "v3"];
 const CONTROL: [&str; 2] = ["c1", "c2"];
 
-/// All processes of it, each with its folder.
+/// The running processes of a fleet by name, and the folder that has one subfolder for each.
 struct Fleet {
     worlds: BTreeMap<&'static str, World>,
     section: Json,
@@ -30,8 +30,9 @@
     file: File,
 }
 
-/// An address below those that the kernel gives out: nobody else takes it between now and its use.
-pub fn free() -> String {
+/// A loopback address with a free port below the ephemeral range, so that the kernel does not assign the port
+/// to another socket before it is used.
+pub fn unused_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let number = std::process::id().wrapping_mul(61).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
@@ -43,22 +44,26 @@
 }
 
 impl Fleet {
-    /// Founded, with these processes beside the control machines.
+    /// Starts a fleet with these relays and leaves in addition to the voters and control machines, and founds
+    /// its record.
     async fn start(test: &str, relays: &[&'static str], leaves: &[&'static str]) -> Fleet {
-        let at =
-            |names: &[&str]| names.iter().map(|name| (name.to_string(), json!(free()))).collect::<Json>();
+        let addresses = |names: &[&str]| {
+            names.iter().map(|name| (name.to_string(), json!(unused_address()))).collect::<Json>()
+        };
         let section = json!({
-            "name": test, "zone": "hall", "voters": at(&VOTERS),
-            "carrier": {"control": at(&CONTROL), "relays": at(relays), "region": "north", "site": "s1"},
+            "name": test, "zone": "hall", "voters": addresses(&VOTERS),
+            "carrier": {
+                "control": addresses(&CONTROL), "relays": addresses(relays), "region": "north", "site": "s1",
+            },
         });
         let folder = Folder::new(&format!("carrier-{test}"));
         let file = File::new(&format!("carrier-{test}"), &json!({"fleet": section}).to_string());
         let mut fleet = Fleet { worlds: BTreeMap::new(), section, folder, file };
         for name in VOTERS.iter().chain(&CONTROL).chain(relays).chain(leaves) {
-            fleet.begin(name, &[]).await;
+            fleet.start_process(name, &[]).await;
         }
         for _ in 0..200 {
-            let (code, _) = fleet.say(&["found"]).await;
+            let (code, _) = fleet.run_command(&["found"]).await;
             if code == 0 {
                 break;
             }
@@ -67,7 +72,8 @@
         fleet
     }
 
-    async fn begin(&mut self, name: &'static str, set: &[(&str, Json)]) {
+    /// Starts a process with its own folder and with these settings changed.
+    async fn start_process(&mut self, name: &'static str, set: &[(&str, Json)]) {
         let mut section = self.section.clone();
         let folder = self.folder.0.join(name);
         section["folder"] = json!(folder.join("voter"));
@@ -78,7 +84,7 @@
         self.worlds.insert(name, world);
     }
 
-    /// As a process that is killed: its links, its listeners and all it was about to do are gone.
+    /// Simulates the kill of a process: its links, listeners and pending work are gone.
     async fn kill(&mut self, name: &str) -> World {
         let mut world = self.worlds.remove(name).unwrap();
         world.running.abort();
@@ -86,27 +92,28 @@
         world
     }
 
-    /// `pumicebay fleet` with these words: its exit code, and all it says.
-    async fn say(&self, words: &[&str]) -> (i32, String) {
+    /// Runs `pumicebay fleet` with these arguments. Returns the exit code and the whole output.
+    async fn run_command(&self, words: &[&str]) -> (i32, String) {
         let path = self.file.path().to_string();
         let mut words: Vec<String> = words.iter().map(|word| word.to_string()).collect();
         words.insert(0, "fleet".into());
         words.extend(["--config".into(), path]);
-        let done = tokio::task::spawn_blocking(move || {
+        let output = tokio::task::spawn_blocking(move || {
             let words: Vec<&str> = words.iter().map(String::as_str).collect();
             program(&words).output().unwrap()
         });
-        let done = done.await.unwrap();
+        let output = output.await.unwrap();
         let text =
-            format!("{}{}", String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
-        (done.status.code().unwrap_or(-1), text)
+            format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+        (output.status.code().unwrap_or(-1), text)
     }
 
-    /// Has it everywhere within so many seconds, or says where it is not.
+    /// Runs `pumicebay fleet set` and waits this many seconds until the change is in force everywhere.
+    /// Returns the exit code, and the output with versions replaced by VERSION.
     async fn set(&self, scope: &str, name: &str, patch: &Json, wait: &str) -> (i32, String) {
         let patch = File::new(&format!("{}-{name}", self.section["name"]), &patch.to_string());
-        let (code, text) = self.say(&["set", scope, name, patch.path(), "--wait", wait]).await;
-        // Versions begin with the time of the founding.
+        let (code, text) = self.run_command(&["set", scope, name, patch.path(), "--wait", wait]).await;
+        // A version begins with the time at which the record was founded, which differs in each run.
         let digits = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
         let hidden = |word: &str| {
             let bare = word.trim_end_matches([' ', ',', ':', '\n']);
@@ -116,18 +123,18 @@
         (code, text.split_inclusive([' ', '\n']).map(hidden).collect())
     }
 
-    /// Has it everywhere.
-    async fn put(&self, scope: &str, name: &str, patch: &Json) {
+    /// Sets a resource, and asserts that it is in force everywhere.
+    async fn set_everywhere(&self, scope: &str, name: &str, patch: &Json) {
         assert_eq!(self.set(scope, name, patch, "20").await, (0, "VERSION\n".into()));
     }
 
     async fn changes(&self) -> Json {
-        let (_, text) = self.say(&["changes", "--json"]).await;
+        let (_, text) = self.run_command(&["changes", "--json"]).await;
         serde_json::from_str(&text).unwrap_or_else(|_| json!(text))
     }
 
-    /// What a client of each gets under this class.
-    async fn ask(&self, class: &str) -> String {
+    /// Sends a request of this class to each process, and returns the replies.
+    async fn request_at_each(&self, class: &str) -> String {
         let mut trace = String::new();
         for (name, world) in &self.worlds {
             let labels = format!("c={class},t=acme,d=3000,size=9,k=x");
@@ -138,7 +145,7 @@
     }
 }
 
-/// A patch that gives the proxies one more route.
+/// A patch that adds a route with this name.
 fn with_route(fleet: &Fleet, name: &str) -> Json {
     let json = &fleet.worlds.values().next().unwrap().json;
     let mut routes = json["settings"]["routes"].clone();
@@ -149,10 +156,10 @@
 }
 
 #[tokio::test]
-async fn a_change_reaches_all_and_holds_there() {
+async fn change_reaches_all_processes_in_its_scope() {
     let fleet = Fleet::start("reach", &["r1"], &["l1", "l2"]).await;
     let patch = with_route(&fleet, "fresh");
-    fleet.put("fleet", "routes", &patch).await;
+    fleet.set_everywhere("fleet", "routes", &patch).await;
     expect![[r#"
         c1 hit: value of c1
         c2 hit: value of c2
@@ -163,20 +170,20 @@
         v2 hit: value of v2
         v3 hit: value of v3
     "#]]
-    .assert_eq(&fleet.ask("fresh").await);
+    .assert_eq(&fleet.request_at_each("fresh").await);
     let changes = fleet.changes().await;
     assert_eq!((&changes["everywhere"], &changes["members"]), (&json!(true), &json!(8)), "{changes:#}");
-    // One proxy alone, and another site alone.
+    // A change for a single proxy, and one for a site that has no proxies here.
     let own = with_route(&fleet, "own");
-    fleet.put("proxy/s1/l2", "routes", &own).await;
-    let holds = |text: String| text.lines().filter(|line| line.contains("value of")).count();
-    assert_eq!(holds(fleet.ask("own").await), 1);
-    fleet.put("site/other", "routes", &own).await;
-    assert_eq!(holds(fleet.ask("own").await), 1);
-    let (code, said) = fleet.say(&["unset", "proxy/s1/l2", "routes", "--wait", "10"]).await;
-    assert_eq!(code, 0, "{said}");
-    assert_eq!(holds(fleet.ask("fresh").await), 8);
-    // What can't be read ends its link, and nothing else.
+    fleet.set_everywhere("proxy/s1/l2", "routes", &own).await;
+    let count_served = |text: String| text.lines().filter(|line| line.contains("value of")).count();
+    assert_eq!(count_served(fleet.request_at_each("own").await), 1);
+    fleet.set_everywhere("site/other", "routes", &own).await;
+    assert_eq!(count_served(fleet.request_at_each("own").await), 1);
+    let (code, text) = fleet.run_command(&["unset", "proxy/s1/l2", "routes", "--wait", "10"]).await;
+    assert_eq!(code, 0, "{text}");
+    assert_eq!(count_served(fleet.request_at_each("fresh").await), 8);
+    // An unreadable frame closes its link and affects nothing else.
     let (c1, who) =
         (&fleet.section["carrier"]["control"]["c1"], ProcessId { name: "x".into(), incarnation: 1 });
     let foreign = Attachment { member: Member { name: "y".into(), incarnation: 1 }, number: 1 };
@@ -195,34 +202,36 @@
         stream.write_all(&bytes).await.unwrap();
         stream.shutdown().await.unwrap();
         let ended = timeout(Duration::from_secs(4), stream.read_to_end(&mut Vec::new())).await;
-        assert!(ended.is_ok(), "the link goes on after {bytes:?}");
+        assert!(ended.is_ok(), "the link stays open after {bytes:?}");
     }
-    fleet.put("fleet", "routes", &with_route(&fleet, "after")).await;
+    fleet.set_everywhere("fleet", "routes", &with_route(&fleet, "after")).await;
 }
 
-/// What the publisher's own file can't take is refused at once, with the key; what one proxy alone can't take is named, and
-/// the rest have it.
+/// A change that the publisher's own configuration cannot accept is refused at once, with the key. A change
+/// that only one proxy cannot accept is in force everywhere else, and that proxy is listed with the reason.
 #[tokio::test]
-async fn what_is_refused_is_named_with_its_key() {
+async fn refused_change_is_reported_with_its_key() {
     let mut fleet = Fleet::start("refuse", &[], &["l1"]).await;
-    // Its file lacks what those of all others have.
-    fleet.begin("l2", &[("/settings/rules", json!({"fall-us": 1_000_000, "start-capacity": 0.12}))]).await;
+    // The rules in the file of l2 lack a key that the files of all others have.
+    fleet
+        .start_process("l2", &[("/settings/rules", json!({"fall-us": 1_000_000, "start-capacity": 0.12}))])
+        .await;
     let mut trace = String::new();
     for patch in [
         json!({"settings": {"routes": []}}),
         json!({"settings": {"permissions": {"most-upstream-tries": "many"}}}),
         json!({"listen": "127.0.0.1:1"}),
     ] {
-        let (code, said) = fleet.set("fleet", "wrong", &patch, "5").await;
-        trace += &format!("{code} {said}");
+        let (code, text) = fleet.set("fleet", "wrong", &patch, "5").await;
+        trace += &format!("{code} {text}");
     }
-    let (code, said) = fleet.say(&["unset", "planet", "wrong"]).await;
-    trace += &format!("{code} {said}");
+    let (code, text) = fleet.run_command(&["unset", "planet", "wrong"]).await;
+    trace += &format!("{code} {text}");
     let mut patch = with_route(&fleet, "fresh");
     patch["settings"]["rules"] = json!({"cold-us": 24_000_000});
-    let (code, said) = fleet.set("fleet", "rules", &patch, "20").await;
+    let (code, text) = fleet.set("fleet", "rules", &patch, "20").await;
     let publisher = fleet.changes().await["publisher"].as_str().unwrap_or("?").to_string();
-    trace += &format!("{code} {}", said.replace(&publisher, "PUBLISHER"));
+    trace += &format!("{code} {}", text.replace(&publisher, "PUBLISHER"));
     expect![[r#"
         1 pumicebay: refused: wrong for fleet: settings.routes: expected one or more
         1 pumicebay: refused: wrong for fleet: settings.permissions.most-upstream-tries: expected a whole number, found "many"
@@ -243,12 +252,12 @@
         v2 hit: value of v2
         v3 hit: value of v3
     "#]]
-    .assert_eq(&fleet.ask("fresh").await);
-    // Its file is mended and read again: the exception is gone.
+    .assert_eq(&fleet.request_at_each("fresh").await);
+    // Once the file of l2 is corrected and reloaded, l2 is no longer listed as an exception.
     let l2 = &fleet.worlds["l2"];
-    let mut mended = l2.json.clone();
-    mended["settings"]["rules"]["cold-us"] = json!(24_000_000);
-    l2.configs.send(parse(&mended)).await.unwrap();
+    let mut corrected = l2.json.clone();
+    corrected["settings"]["rules"]["cold-us"] = json!(24_000_000);
+    l2.configs.send(parse(&corrected)).await.unwrap();
     let mut changes = json!(null);
     for _ in 0..100 {
         changes = fleet.changes().await;
@@ -258,42 +267,48 @@
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(changes["everywhere"], true, "{changes:#}");
-    assert!(fleet.ask("fresh").await.contains("l2 hit: value of l2"));
+    assert!(fleet.request_at_each("fresh").await.contains("l2 hit: value of l2"));
 }
 
 #[tokio::test]
-async fn children_of_a_relay_that_is_gone_go_to_others() {
+async fn children_of_a_lost_relay_connect_to_another_parent() {
     let mut fleet = Fleet::start("relay", &["r1", "r2"], &["l1", "l2", "l3", "l4"]).await;
-    fleet.put("fleet", "routes", &with_route(&fleet, "one")).await;
+    fleet.set_everywhere("fleet", "routes", &with_route(&fleet, "one")).await;
     drop(fleet.kill("r1").await);
-    // Not everywhere: it is not known what is in force at the relay that is gone.
-    let (code, said) = fleet.set("fleet", "routes", &with_route(&fleet, "two"), "12").await;
-    assert_eq!(code, 3, "{said}");
-    assert_eq!(fleet.ask("two").await.matches("value of").count(), 10, "{}", fleet.ask("two").await);
+    // The exit code says that the change is not everywhere: what is in force at the lost relay is unknown.
+    let (code, text) = fleet.set("fleet", "routes", &with_route(&fleet, "two"), "12").await;
+    assert_eq!(code, 3, "{text}");
+    assert_eq!(
+        fleet.request_at_each("two").await.matches("value of").count(),
+        10,
+        "{}",
+        fleet.request_at_each("two").await
+    );
     let changes = fleet.changes().await;
     let named = |exception: &Json| format!("{} {}", exception["name"], exception["why"]);
     let exceptions: Vec<String> = changes["exceptions"].as_array().unwrap().iter().map(named).collect();
     assert_eq!(exceptions, [r#""r1" "lost""#], "{changes:#}");
-    // It comes back, and all is well.
-    fleet.begin("r1", &[]).await;
-    fleet.put("fleet", "routes", &with_route(&fleet, "three")).await;
+    // After the relay has restarted, a change reaches all processes again.
+    fleet.start_process("r1", &[]).await;
+    fleet.set_everywhere("fleet", "routes", &with_route(&fleet, "three")).await;
 }
 
-/// Proxies serve on, and start from what they kept; one whose kept file is spoilt starts from its own file alone.
+/// Without control machines, proxies continue to serve, and restarted ones use their snapshot. One whose
+/// snapshot file is corrupt starts with its own configuration file alone.
 #[tokio::test]
-async fn serving_goes_on_without_any_control_machine() {
+async fn serving_continues_without_any_control_machine() {
     let mut fleet = Fleet::start("gone", &["r1"], &["l1", "l2"]).await;
-    fleet.put("fleet", "routes", &with_route(&fleet, "fresh")).await;
-    // The relay too: it would give those that start what it has.
+    fleet.set_everywhere("fleet", "routes", &with_route(&fleet, "fresh")).await;
+    // The relay is killed too, as it would send its resources to restarted children.
     for name in CONTROL.into_iter().chain(["r1", "l1", "l2"]) {
         drop(fleet.kill(name).await);
     }
-    let spoilt = fleet.folder.0.join("l2/carrier/carrier");
-    let mut bytes = std::fs::read(&spoilt).unwrap();
+    let corrupt = fleet.folder.0.join("l2/carrier/carrier");
+    let mut bytes = std::fs::read(&corrupt).unwrap();
     bytes[30] ^= 1;
-    std::fs::write(&spoilt, bytes).unwrap();
+    std::fs::write(&corrupt, bytes).unwrap();
     for name in ["l1", "l2"] {
-        fleet.begin(name, &[]).await;
+        fleet.start_process(name, &[]).await;
     }
     expect![[r#"
         l1 hit: value of l1
@@ -302,50 +317,50 @@
         v2 hit: value of v2
         v3 hit: value of v3
     "#]]
-    .assert_eq(&fleet.ask("fresh").await);
-    assert_eq!(fleet.ask("read").await.matches("value of").count(), 5);
+    .assert_eq(&fleet.request_at_each("fresh").await);
+    assert_eq!(fleet.request_at_each("read").await.matches("value of").count(), 5);
     let status = call(fleet.worlds["l1"].operator.unwrap(), "GET", "/status", "").await;
     assert!(
         status.starts_with("200 serving, carrier: version ") && status.contains("nothing heard"),
         "{status}"
     );
-    let (code, said) = fleet.set("fleet", "routes", &with_route(&fleet, "late"), "1").await;
-    assert!(code == 1 && said.contains("nothing was written"), "{code} {said}");
-    // They come back with their folders, and with them all the rest.
+    let (code, text) = fleet.set("fleet", "routes", &with_route(&fleet, "late"), "1").await;
+    assert!(code == 1 && text.contains("nothing was written"), "{code} {text}");
+    // Once the control machines and the relay are back with their folders, changes reach all processes again.
     for name in CONTROL.into_iter().chain(["r1"]) {
-        fleet.begin(name, &[]).await;
+        fleet.start_process(name, &[]).await;
     }
-    fleet.put("fleet", "routes", &with_route(&fleet, "late")).await;
-    assert_eq!(fleet.ask("late").await.matches("value of").count(), 8);
+    fleet.set_everywhere("fleet", "routes", &with_route(&fleet, "late")).await;
+    assert_eq!(fleet.request_at_each("late").await.matches("value of").count(), 8);
 }
 
 fn resource(scope: Scope, name: &str, number: u64, patch: &str) -> Resource {
     Resource { scope, name: name.into(), version: Version { epoch: 7, number }, patch: Some(patch.into()) }
 }
 
-/// Cut at every byte and flipped at every bit, a kept file is either whole or known to be spoilt.
+/// A snapshot file that is truncated at any byte, or has any single bit flipped, is detected as corrupt.
 #[test]
-fn a_kept_file_is_whole_or_known_not_to_be() {
+fn corrupt_snapshot_file_is_detected() {
     let resources = vec![resource(Scope::Fleet, "a", 3, "{}")];
-    let kept = Snapshot { version: Version { epoch: 7, number: 3 }, resources, ..Snapshot::default() };
-    let whole = disk::encode(&kept).unwrap();
-    assert_eq!(disk::decode(&whole).unwrap(), kept);
-    for at in 0..whole.len() {
-        assert!(disk::decode(&whole[..at]).is_err(), "cut at {at}");
+    let snapshot = Snapshot { version: Version { epoch: 7, number: 3 }, resources, ..Snapshot::default() };
+    let encoded = disk::encode(&snapshot).unwrap();
+    assert_eq!(disk::decode(&encoded).unwrap(), snapshot);
+    for at in 0..encoded.len() {
+        assert!(disk::decode(&encoded[..at]).is_err(), "truncated at byte {at}");
         for bit in 0..8 {
-            let mut flipped = whole.clone();
+            let mut flipped = encoded.clone();
             flipped[at] ^= 1 << bit;
-            assert!(disk::decode(&flipped).is_err(), "flipped at {at}");
+            assert!(disk::decode(&flipped).is_err(), "bit flipped in byte {at}");
         }
     }
-    let mut later = whole;
+    let mut later = encoded;
     later[8] = 2;
     expect!["of version 2, this program reads 1"].assert_eq(&disk::decode(&later).unwrap_err().to_string());
 }
 
 /// The examples of RFC 7396.
 #[test]
-fn patches_are_merged_as_the_rfc_says() {
+fn merge_follows_rfc_7396() {
     for (target, patch, merged) in [
         (json!({"a": "b"}), json!({"a": "c"}), json!({"a": "c"})),
         (json!({"a": "b"}), json!({"b": "c"}), json!({"a": "b", "b": "c"})),
@@ -368,30 +383,35 @@
     }
 }
 
-/// Narrower scopes go over wider ones, and of those that fail the last good ones stay.
+/// Narrower scopes override wider ones. For a resource that is refused, its last accepted version stays in
+/// force.
 #[test]
-fn what_fails_is_left_out_and_its_last_good_one_stays() {
+fn refused_resource_keeps_its_last_accepted_version() {
     let file = parse(&configuration(&[])).unwrap();
-    let tries =
+    let with_limit =
         |number: Json| json!({"settings": {"permissions": {"most-upstream-tries": number}}}).to_string();
     let site = Scope::Site("s1".into());
     let mut all = vec![
-        resource(site.clone(), "tries", 1, &tries(json!(3))),
-        resource(Scope::Fleet, "tries", 2, &tries(json!(2))),
+        resource(site.clone(), "tries", 1, &with_limit(json!(3))),
+        resource(Scope::Fleet, "tries", 2, &with_limit(json!(2))),
     ];
     apply::sort_by_precedence(&mut all);
     let first = apply::apply_resources(&file, &all, &[]);
-    let said = |laid: &apply::AppliedConfig| {
-        laid.config.json["settings"]["permissions"]["most-upstream-tries"].clone()
+    let limit = |applied: &apply::AppliedConfig| {
+        applied.config.json["settings"]["permissions"]["most-upstream-tries"].clone()
     };
-    assert_eq!((said(&first), first.refused.len(), first.accepted.len()), (json!(3), 0, 2));
+    assert_eq!((limit(&first), first.refused.len(), first.accepted.len()), (json!(3), 0, 2));
     let next = [
         resource(Scope::Fleet, "bad", 4, "[]"),
         all[0].clone(),
-        resource(site, "tries", 3, &tries(json!("many"))),
+        resource(site, "tries", 3, &with_limit(json!("many"))),
     ];
     let second = apply::apply_resources(&file, &next, &first.accepted);
-    assert_eq!((said(&second), second.accepted.len()), (json!(3), 2), "the site's last good one");
+    assert_eq!(
+        (limit(&second), second.accepted.len()),
+        (json!(3), 2),
+        "the last accepted version of the site's resource stays"
+    );
     expect![[r#"
         fleet bad: expected an object, found []
         site/s1 tries: settings.permissions.most-upstream-tries: expected a whole number, found "many""#]]
@@ -405,15 +425,17 @@
     );
 }
 
-/// The program itself: three voters that are control machines, a relay and a leaf, each a process that can be killed.
+/// Runs the program in separate processes: three voters that are also control machines, a relay and a leaf.
+/// Changes are distributed, and a snapshot is used at a restart, after processes are killed.
 #[test]
-fn processes_carry_changes_and_survive_kills() {
+fn changes_are_distributed_after_processes_are_killed() {
     let names = ["v1", "v2", "v3"];
-    let at =
-        |names: &[&str]| -> Json { names.iter().map(|name| (name.to_string(), json!(free()))).collect() };
+    let addresses = |names: &[&str]| -> Json {
+        names.iter().map(|name| (name.to_string(), json!(unused_address()))).collect()
+    };
     let folder = Folder::new("carrier-real");
-    let mut section = json!({"name": "real", "voters": at(&names),
-        "carrier": {"control": at(&names), "relays": at(&["r1"]), "site": "s1"}});
+    let mut section = json!({"name": "real", "voters": addresses(&names),
+        "carrier": {"control": addresses(&names), "relays": addresses(&["r1"]), "site": "s1"}});
     let mut files = BTreeMap::new();
     for name in ["v1", "v2", "v3", "r1", "l1"] {
         section["folder"] = json!(folder.0.join(name).join("voter"));
@@ -423,32 +445,32 @@
     }
     let start = |name: &str| Running::start(program(&["serve", "--config", files[name].path()]));
     let mut running: BTreeMap<&str, Running> = files.keys().map(|name| (*name, start(name))).collect();
-    let say = |words: &[&str]| {
+    let run_command = |words: &[&str]| {
         let words: Vec<&str> =
             ["fleet"].iter().chain(words).chain(&["--config", files["l1"].path()]).copied().collect();
-        let done = program(&words).output().unwrap();
+        let output = program(&words).output().unwrap();
         let text =
-            format!("{}{}", String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
-        (done.status.code().unwrap_or(-1), text)
+            format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+        (output.status.code().unwrap_or(-1), text)
     };
-    while say(&["found"]).0 != 0 {
+    while run_command(&["found"]).0 != 0 {
         std::thread::sleep(Duration::from_millis(50));
     }
-    let tries = |number: u64| {
+    let with_limit = |number: u64| {
         let patch = json!({"settings": {"permissions": {"most-upstream-tries": number}}});
         File::new(&format!("carrier-real-{number}"), &patch.to_string())
     };
-    let (code, said) = say(&["set", "fleet", "tries", tries(2).path(), "--wait", "30"]);
-    assert_eq!(code, 0, "{said}");
-    // The publisher and the relay are killed: the others go on without them, and name them.
-    let (_, changes) = say(&["changes", "--json"]);
+    let (code, text) = run_command(&["set", "fleet", "tries", with_limit(2).path(), "--wait", "30"]);
+    assert_eq!(code, 0, "{text}");
+    // After the publisher and the relay are killed, the others take the change and list the missing ones.
+    let (_, changes) = run_command(&["changes", "--json"]);
     let changes: Json = serde_json::from_str(&changes).unwrap();
     assert_eq!(changes["members"], 5, "{changes:#}");
     running.remove(changes["publisher"].as_str().unwrap()).unwrap();
     running.remove("r1").unwrap();
-    let (code, said) = say(&["set", "fleet", "tries", tries(3).path(), "--wait", "30"]);
-    assert_eq!(code, 3, "{said}");
-    // All control machines are gone: a proxy that starts has the last good set.
+    let (code, text) = run_command(&["set", "fleet", "tries", with_limit(3).path(), "--wait", "30"]);
+    assert_eq!(code, 3, "{text}");
+    // Without any control machine, a proxy starts with the resources of its snapshot.
     running.clear();
     let log = start("l1").begun.clone();
     assert!(log.contains("carrier: starts with version") && log.contains("1 of 1 resources"), "{log}");
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -1,6 +1,6 @@
-//! Orders of maintenance in a group of proxies on loopback, each a whole proxy with stand-ins of its own.
+//! Maintenance orders in a group of proxies on loopback, each a complete proxy with stand-ins of its own.
 
-use crate::carrier::free;
+use crate::carrier::unused_address;
 use crate::cli::{File, program};
 use crate::operations::{Folder, call};
 use crate::{World, configuration};
@@ -17,10 +17,10 @@
 use tokio::time::{sleep, timeout};
 
 const NAMES: [&str; 4] = ["p1", "p2", "p3", "p4"];
-const OUT: &str = "/maintenance/enter";
-const BACK: &str = "/maintenance/exit";
+const DRAIN_PATH: &str = "/maintenance/enter";
+const UNDRAIN_PATH: &str = "/maintenance/exit";
 
-/// All processes of it, each with its folder.
+/// The running proxies of a group by name, and the folder that has one subfolder for each.
 struct Group {
     worlds: BTreeMap<&'static str, World>,
     section: Json,
@@ -28,61 +28,68 @@
     file: File,
 }
 
-fn at(names: &[&str]) -> Json {
-    names.iter().map(|name| (name.to_string(), json!(free()))).collect()
+/// Assigns an unused address to each name.
+fn addresses(names: &[&str]) -> Json {
+    names.iter().map(|name| (name.to_string(), json!(unused_address()))).collect()
 }
 
 impl Group {
+    /// Starts a group of four proxies and waits until they are linked.
     async fn start(test: &str) -> Group {
-        let section = json!({"name": test, "voters": at(&NAMES[..3]), "replication": {"peers": at(&NAMES)}});
+        let section = json!({
+            "name": test, "voters": addresses(&NAMES[..3]), "replication": {"peers": addresses(&NAMES)},
+        });
         let folder = Folder::new(&format!("replication-{test}"));
         let file = File::new(&format!("replication-{test}"), &json!({"fleet": section}).to_string());
         let mut group = Group { worlds: BTreeMap::new(), section, folder, file };
         for name in NAMES {
-            group.begin(name).await;
+            group.start_process(name).await;
         }
-        group.until_linked().await;
+        group.wait_until_linked().await;
         group
     }
 
-    async fn begin(&mut self, name: &'static str) {
+    /// Starts a proxy with its own folder.
+    async fn start_process(&mut self, name: &'static str) {
         let mut section = self.section.clone();
         let folder = self.folder.0.join(name);
         section["folder"] = json!(folder.join("voter"));
         section["replication"]["folder"] = json!(folder.join("replica"));
-        // A node that is put back is warm at once: whether it serves tells whether it is out.
-        let warm = ("/settings/rules/cold-us", json!(1000));
-        let own = [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0")), warm];
+        // A node that is put back is warm at once, so it serves exactly when it is in service.
+        let no_warm_up = ("/settings/rules/cold-us", json!(1000));
+        let own =
+            [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0")), no_warm_up];
         let world = World::start(&own).await;
         self.worlds.insert(name, world);
     }
 
-    /// All take links, and know the same.
-    async fn until_linked(&self) {
+    /// Waits until all proxies accept links and have equal copies.
+    async fn wait_until_linked(&self) {
         for _ in 0..100 {
-            if self.say(&["orders"], None).await.starts_with("0 ") {
+            if self.run_command(&["orders"], None).await.starts_with("0 ") {
                 return;
             }
             sleep(Duration::from_millis(50)).await;
         }
-        panic!("not linked: {}", self.say(&["orders"], None).await);
+        panic!("not linked: {}", self.run_command(&["orders"], None).await);
     }
 
-    /// As a process that is killed.
+    /// Simulates the kill of a process: its links, listeners and pending work are gone.
     async fn kill(&mut self, name: &str) {
         let mut world = self.worlds.remove(name).unwrap();
         world.running.abort();
         let _ = (&mut world.running).await;
     }
 
-    /// `pumicebay fleet` with these words, under this lease: its exit code, and what it says without stamps.
-    async fn say(&self, words: &[&str], lease: Option<(&str, u64)>) -> String {
+    /// Runs `pumicebay fleet` with these arguments under this lease. Returns the exit code, and the output
+    /// without stamps.
+    async fn run_command(&self, words: &[&str], lease: Option<(&str, u64)>) -> String {
         let path = self.file.path().to_string();
         let mut words: Vec<String> = words.iter().map(|word| word.to_string()).collect();
         words.insert(0, "fleet".into());
         words.extend(["--config".into(), path]);
         let lease = lease.map(|(name, token)| (name.to_string(), token.to_string()));
-        let done = tokio::task::spawn_blocking(move || {
+        let output = tokio::task::spawn_blocking(move || {
             let words: Vec<&str> = words.iter().map(String::as_str).collect();
             let mut command = program(&words);
             if let Some((name, token)) = lease {
@@ -90,19 +97,20 @@
             }
             command.output().unwrap()
         });
-        let done = done.await.unwrap();
+        let output = output.await.unwrap();
         let text =
-            format!("{}{}", String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
-        let stamps = |line: &str| match line.split_once('.') {
+            format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+        let without_stamp = |line: &str| match line.split_once('.') {
             Some((words, _)) if line.starts_with("out ") || line.starts_with("back ") => format!("{words}\n"),
             _ => format!("{line}\n"),
         };
-        let lines: String = text.lines().map(stamps).collect();
-        format!("{} {lines}", done.status.code().unwrap_or(-1))
+        let lines: String = text.lines().map(without_stamp).collect();
+        format!("{} {lines}", output.status.code().unwrap_or(-1))
     }
 
-    /// Who serves a client of each: its own cache node or, where that is out of service, the origin.
-    async fn serves(&self) -> String {
+    /// Which node serves a client of each proxy: `c` for the proxy's own cache node, or `o` for the origin
+    /// where the cache node is out of service.
+    async fn serving_sources(&self) -> String {
         let mut trace = String::new();
         for (name, world) in &self.worlds {
             let reply = world.client().await.ask(&["C.GET", "hit", name, "c=read,d=3000"]).await;
@@ -111,23 +119,25 @@
         trace
     }
 
-    async fn until_serves(&self, wanted: &str) {
+    /// Waits until the clients are served by these nodes.
+    async fn wait_until_serving(&self, expected: &str) {
         for _ in 0..100 {
-            if self.serves().await == wanted {
+            if self.serving_sources().await == expected {
                 return;
             }
             sleep(Duration::from_millis(50)).await;
         }
-        panic!("{} serve, not {wanted}", self.serves().await);
+        panic!("served by {}, expected {expected}", self.serving_sources().await);
     }
 
+    /// Sends an operator's call to this proxy.
     async fn call(&self, name: &str, path: &str, body: Json) -> String {
         call(self.worlds[name].operator.unwrap(), "POST", path, &body.to_string()).await
     }
 }
 
 #[tokio::test]
-async fn an_order_holds_at_all_proxies_and_is_taken_back() {
+async fn order_applies_at_all_proxies_and_can_be_reverted() {
     let group = Group::start("hold").await;
     let mut trace = String::new();
     for (words, lease) in [
@@ -139,8 +149,8 @@
         (vec!["undrain", "s-cache"], None),
         (vec!["undrain", "s-cache"], Some(("repair", 4))),
     ] {
-        trace += &group.say(&words, lease).await;
-        trace += &format!("{}\n", group.serves().await);
+        trace += &group.run_command(&words, lease).await;
+        trace += &format!("{}\n", group.serving_sources().await);
     }
     expect![[r#"
         0 out p1
@@ -156,19 +166,20 @@
         0 out p1
         holds at all 4 proxies
         oooo
-        1 pumicebay: refused: s-cache: lease "repair" has spoken for it: an order needs a lease and its token
+        1 pumicebay: refused: s-cache: the node has an order under lease "repair": a new order needs a lease and its token
         oooo
         1 pumicebay: refused: repair has gone on to token 5
         oooo
     "#]]
     .assert_eq(&trace);
-    // A call at one proxy's own door goes the same way.
-    let back = group.call("p3", BACK, json!({"who": "s-cache"})).await;
-    let leased = group.call("p3", BACK, json!({"who": "s-cache", "lease": "repair", "token": 6})).await;
-    group.until_serves("cccc").await;
-    let late = group.call("p4", OUT, json!({"who": "s-cache", "lease": "repair", "token": 5})).await;
+    // An operator's call at one proxy is replicated in the same way.
+    let back = group.call("p3", UNDRAIN_PATH, json!({"who": "s-cache"})).await;
+    let leased =
+        group.call("p3", UNDRAIN_PATH, json!({"who": "s-cache", "lease": "repair", "token": 6})).await;
+    group.wait_until_serving("cccc").await;
+    let late = group.call("p4", DRAIN_PATH, json!({"who": "s-cache", "lease": "repair", "token": 5})).await;
     expect![[r#"
-        409 s-cache: lease "repair" has spoken for it: an order needs a lease and its token
+        409 s-cache: the node has an order under lease "repair": a new order needs a lease and its token
         200 s-cache is back
         409 repair has gone on to token 6
     "#]]
@@ -183,31 +194,37 @@
     }
     assert!(status.starts_with("200 serving, replication: 2 orders as of "), "{status}");
     assert!(status.trim_end().ends_with(", 0 nodes out, 3 peers linked, 0 differ"), "{status}");
-    let orders: Json = serde_json::from_str(&group.say(&["orders", "--json"], None).await[2..]).unwrap();
+    let orders: Json =
+        serde_json::from_str(&group.run_command(&["orders", "--json"], None).await[2..]).unwrap();
     assert_eq!((&orders["equal"], orders["proxies"].as_array().unwrap().len()), (&json!(true), 4));
 }
 
-/// Proxies that are gone while an order is given have it once they are back, whatever became of their folder; what an
-/// order that was taken back meanwhile had ended does not come back with an old one.
+/// Proxies that are down while orders are issued learn them after a restart, even if their folder was lost,
+/// is corrupt or belongs to another proxy. An order that was superseded meanwhile does not come back from an
+/// old copy.
 #[tokio::test]
-async fn who_was_away_has_what_was_ordered_meanwhile() {
+async fn restarted_proxy_learns_orders_issued_while_it_was_down() {
     let mut group = Group::start("away").await;
     assert_eq!(
-        group.say(&["drain", "s-cache", "--wait", "10"], None).await,
+        group.run_command(&["drain", "s-cache", "--wait", "10"], None).await,
         "0 out p1\nholds at all 4 proxies\n"
     );
     group.kill("p4").await;
     group.kill("p3").await;
-    // It comes back alone with what it had, and serves by that at once.
-    assert_eq!(group.say(&["undrain", "s-cache"], None).await, "0 back p1\n");
-    let lacking = group.say(&["drain", "s-cache", "--wait", "0.5"], None).await;
-    assert!(lacking.starts_with("3 out p1\nholds at 2 of 4 proxies, but not at these:\n  p3  "), "{lacking}");
-    assert_eq!(group.say(&["undrain", "s-cache"], None).await, "0 back p1\n");
+    // The node is put back and taken out again while two proxies are down; these are listed as missing the
+    // order.
+    assert_eq!(group.run_command(&["undrain", "s-cache"], None).await, "0 back p1\n");
+    let incomplete = group.run_command(&["drain", "s-cache", "--wait", "0.5"], None).await;
+    assert!(
+        incomplete.starts_with("3 out p1\nholds at 2 of 4 proxies, but not at these:\n  p3  "),
+        "{incomplete}"
+    );
+    assert_eq!(group.run_command(&["undrain", "s-cache"], None).await, "0 back p1\n");
     std::fs::remove_dir_all(group.folder.0.join("p3/replica")).unwrap();
-    group.begin("p4").await;
-    group.begin("p3").await;
-    group.until_serves("cccc").await;
-    // A spoilt file, and another's, are set aside.
+    group.start_process("p4").await;
+    group.start_process("p3").await;
+    group.wait_until_serving("cccc").await;
+    // A corrupt file, and one that belongs to another proxy, are set aside.
     for (name, from) in [("p4", None), ("p3", Some("p1"))] {
         group.kill(name).await;
         let file = |name: &str| group.folder.0.join(name).join("replica/replica");
@@ -215,32 +232,33 @@
             Some(other) => _ = std::fs::copy(file(other), file(name)).unwrap(),
             None => std::fs::write(file(name), b"pumicebr and no more").unwrap(),
         }
-        group.begin(name).await;
+        group.start_process(name).await;
     }
     assert_eq!(
-        group.say(&["drain", "s-cache", "--wait", "10"], None).await,
+        group.run_command(&["drain", "s-cache", "--wait", "10"], None).await,
         "0 out p1\nholds at all 4 proxies\n"
     );
-    assert_eq!(group.serves().await, "oooo");
-    let aside = |name: &str| group.folder.0.join(name).join("replica/replica.aside").exists();
-    assert!(aside("p3") && aside("p4") && !aside("p1"));
+    assert_eq!(group.serving_sources().await, "oooo");
+    let was_set_aside = |name: &str| group.folder.0.join(name).join("replica/replica.aside").exists();
+    assert!(was_set_aside("p3") && was_set_aside("p4") && !was_set_aside("p1"));
 }
 
-/// What can't be read ends its link, and nothing else; whoever is none of the group is turned away.
+/// An unreadable frame closes its link and affects nothing else. A process that is not a peer of the group,
+/// or has the name of the proxy itself, is disconnected.
 #[tokio::test]
-async fn links_end_on_what_is_none_of_the_group() {
+async fn invalid_frames_and_unknown_peers_are_disconnected() {
     let group = Group::start("absurd").await;
     let address = group.section["replication"]["peers"]["p1"].as_str().unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
-    let took =
+    let acknowledgement =
         postcard::to_stdvec(&Frame::Replicate(Box::new(Message::Ack { number: 9, accepted: true }))).unwrap();
     for (name, bytes) in [
         ("p2", framed(&[99, 1, 2])),
         ("p2", vec![255; 8]),
         ("p2", framed(&[])),
-        ("p2", framed(&took)[..7].to_vec()),
-        ("stranger", framed(&took)),
-        ("p1", framed(&took)),
+        ("p2", framed(&acknowledgement)[..7].to_vec()),
+        ("stranger", framed(&acknowledgement)),
+        ("p1", framed(&acknowledgement)),
     ] {
         let mut stream = TcpStream::connect(address).await.unwrap();
         let who = ProcessId { name: name.into(), incarnation: 1 };
@@ -249,18 +267,18 @@
         let _ = stream.write_all(&bytes).await;
         let _ = stream.shutdown().await;
         let ended = timeout(Duration::from_secs(4), stream.read_to_end(&mut Vec::new())).await;
-        assert!(ended.is_ok(), "the link of {name} goes on after {bytes:?}");
+        assert!(ended.is_ok(), "the link of {name} stays open after {bytes:?}");
     }
     assert_eq!(
-        group.say(&["drain", "s-cache", "--wait", "10"], None).await,
+        group.run_command(&["drain", "s-cache", "--wait", "10"], None).await,
         "0 out p1\nholds at all 4 proxies\n"
     );
 }
 
 #[test]
-fn a_wrong_section_is_refused_by_its_key() {
+fn invalid_section_is_refused_with_its_key() {
     let error = |section: Json| {
-        let fleet = json!({"name": "f", "voters": at(&["a", "b", "c"]), "replication": section});
+        let fleet = json!({"name": "f", "voters": addresses(&["a", "b", "c"]), "replication": section});
         let json = configuration(&[("/name", json!("p1")), ("/fleet", fleet)]);
         parse(&json).err().map_or("taken".into(), |error| format!("{error:#}"))
     };
--- a/crates/replication/src/order.rs
+++ b/crates/replication/src/order.rs
@@ -103,7 +103,10 @@
                 write!(f, "the token is stale: the lease has reached token {token}")
             }
             Refusal::LeaseRequired { lease } => {
-                write!(f, "lease {lease:?} has spoken for it: an order needs a lease and its token")
+                write!(
+                    f,
+                    "the node has an order under lease {lease:?}: a new order needs a lease and its token"
+                )
             }
             Refusal::InvalidName => {
                 write!(f, "the names of a node and a lease must have 1 to {MAX_NAME_BYTES} bytes")
