--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -81,12 +81,12 @@
         );
         let relays = addresses(carrier, "fleet.carrier", "relays")?;
         if let Some(duplicate) = relays.keys().find(|relay| control.contains_key(*relay)) {
-            bail!("fleet.carrier.relays: {duplicate} is also one of the control machines");
+            bail!("fleet.carrier.relays: {duplicate} is among the control machines");
         }
         let folder = text("folder").map(PathBuf::from);
         ensure!(
             folder.is_some() || !control.contains_key(name),
-            "fleet.carrier.folder: missing, but {name} is a control machine and needs it"
+            "fleet.carrier.folder: missing, and {name} is among the control machines"
         );
         let listen = text("listen").map(|at| {
             at.parse().with_context(|| format!("fleet.carrier.listen: expected ADDRESS:PORT, found {at:?}"))
