--- a/crates/proxy/src/fleet/carrier/apply.rs
+++ b/crates/proxy/src/fleet/carrier/apply.rs
@@ -1,5 +1,7 @@
-//! What is carried, laid over the file: wider scopes first, each a JSON merge patch, and the outcome read by the code that
-//! reads the file. What fails is left out, its last good one put in its place, and named with the key that is wrong.
+//! Applies the resources of the carrier on top of the configuration file. Each resource is a JSON merge
+//! patch; wider scopes are merged first. The result is parsed by the code that parses the file. A resource
+//! that fails is replaced by its last accepted version, if there is one, and reported with the key that is
+//! wrong.
 
 use crate::config::{self, Config};
 use anyhow::{Context, Result, ensure};
@@ -7,64 +9,70 @@
 use serde_json::{Map, Value as Json};
 use tokio::sync::{mpsc, oneshot};
 
-const MAILBOX: usize = 4;
-/// Of a refusal's words: they go up to the publisher among many others.
-const LONGEST_REASON: usize = 200;
+const QUEUE_CAPACITY: usize = 4;
+/// The maximum length of the reason of a refusal, in characters. Reasons are sent up to the publisher
+/// together with many others.
+const MAX_REASON_CHARS: usize = 200;
 
-/// A resource, and why it is not in force.
+/// The scope and the name of a resource, and why the resource is not in force.
 pub type Refusal = (Scope, Name, String);
 
-/// What came of it.
-pub struct Laid {
+/// The result of applying resources on top of the file.
+pub struct AppliedConfig {
+    /// The resulting configuration.
     pub config: Config,
-    /// What is in force, in its order.
-    pub good: Vec<Resource>,
+    /// The resources that are in force, in the order in which they were merged.
+    pub accepted: Vec<Resource>,
+    /// The resources that were refused.
     pub refused: Vec<Refusal>,
 }
 
-/// The order in which they are laid: wider scopes first, then by name.
-pub fn in_order(resources: &mut Vec<Resource>) {
+/// Drops removed resources and sorts the rest into the order in which they are merged: wider scopes first,
+/// then by name.
+pub fn sort_by_precedence(resources: &mut Vec<Resource>) {
     resources.retain(|resource| resource.patch.is_some());
     resources.sort_by(|one, other| (&one.scope, &one.name).cmp(&(&other.scope, &other.name)));
 }
 
-/// Lays these over the file, in their order; `before` is what was in force of them until now.
-pub fn lay(file: &Config, resources: &[Resource], before: &[Resource]) -> Laid {
-    let whole = resources.iter().try_fold(file.json.clone(), over);
-    if let Ok(config) = whole.and_then(|json| read(file, json)) {
-        return Laid { config, good: resources.to_vec(), refused: Vec::new() };
+/// Merges the resources into the file's configuration in the given order. `previous` has the resources that
+/// were in force until now; where a resource is refused, its previous version stays in force.
+pub fn apply_resources(file: &Config, resources: &[Resource], previous: &[Resource]) -> AppliedConfig {
+    let merged = resources.iter().try_fold(file.json.clone(), merge_resource);
+    if let Ok(config) = merged.and_then(|json| parse_merged(file, json)) {
+        return AppliedConfig { config, accepted: resources.to_vec(), refused: Vec::new() };
     }
-    let mut laid = Laid { config: file.clone(), good: Vec::new(), refused: Vec::new() };
+    let mut applied = AppliedConfig { config: file.clone(), accepted: Vec::new(), refused: Vec::new() };
     for resource in resources {
-        let one =
-            |json: &Json, resource: &Resource| over(json.clone(), resource).and_then(|json| read(file, json));
-        match one(&laid.config.json, resource) {
+        let merge_one = |json: &Json, resource: &Resource| {
+            merge_resource(json.clone(), resource).and_then(|json| parse_merged(file, json))
+        };
+        match merge_one(&applied.config.json, resource) {
             Ok(config) => {
-                laid.config = config;
-                laid.good.push(resource.clone());
+                applied.config = config;
+                applied.accepted.push(resource.clone());
             }
             Err(error) => {
-                let mut why = format!("{error:#}");
-                if let Some((end, _)) = why.char_indices().nth(LONGEST_REASON) {
-                    why.truncate(end);
+                let mut reason = format!("{error:#}");
+                if let Some((end, _)) = reason.char_indices().nth(MAX_REASON_CHARS) {
+                    reason.truncate(end);
                 }
-                laid.refused.push((resource.scope.clone(), resource.name.clone(), why));
+                applied.refused.push((resource.scope.clone(), resource.name.clone(), reason));
                 let same = |old: &&Resource| old.scope == resource.scope && old.name == resource.name;
-                if let Some(old) = before.iter().find(same)
-                    && let Ok(config) = one(&laid.config.json, old)
+                if let Some(old) = previous.iter().find(same)
+                    && let Ok(config) = merge_one(&applied.config.json, old)
                 {
-                    laid.config = config;
-                    laid.good.push(old.clone());
+                    applied.config = config;
+                    applied.accepted.push(old.clone());
                 }
             }
         }
     }
-    laid
+    applied
 }
 
-/// What stands in the file and can't change while it serves can't be carried: it would hold after a restart alone, and on
-/// some of the fleet.
-fn read(file: &Config, json: Json) -> Result<Config> {
+/// Parses a merged configuration. Keys that cannot change while the process serves are refused: they would
+/// take effect only after a restart, and so only in part of the fleet.
+fn parse_merged(file: &Config, json: Json) -> Result<Config> {
     let config = config::parse(&json)?;
     let mut restart = config::keys_needing_restart(&file.json, &json);
     restart.extend(
@@ -74,21 +82,22 @@
             .map(|key| (*key).into()),
     );
     ensure!(restart.is_empty(), "needs a restart, put it into the file: {}", restart.join(", "));
-    // What the platform said and no JSON has.
+    // These values were set by the platform and are not part of the JSON.
     let (listener_inherited, folder, known) =
         (file.listener_inherited, file.folder.clone(), file.known.clone());
     Ok(Config { listener_inherited, folder, known, ..config })
 }
 
-fn over(mut json: Json, resource: &Resource) -> Result<Json> {
+fn merge_resource(mut json: Json, resource: &Resource) -> Result<Json> {
     let text = resource.patch.as_deref().unwrap_or("{}");
-    let patch: Json = serde_json::from_str(text).context("no JSON")?;
+    let patch: Json = serde_json::from_str(text).context("not valid JSON")?;
     ensure!(patch.is_object(), "expected an object, found {patch}");
     merge(&mut json, &patch);
     Ok(json)
 }
 
-/// RFC 7396: what is null is taken out, objects are merged, all else replaces what was there.
+/// Merges a patch as RFC 7396 defines it: null removes a key, objects are merged, any other value replaces
+/// the old one.
 pub fn merge(target: &mut Json, patch: &Json) {
     let Json::Object(patch) = patch else {
         *target = patch.clone();
@@ -107,48 +116,51 @@
     }
 }
 
-/// What the carrier wants of the process that serves.
-pub enum Order {
-    /// Puts these in force, and answers with what it refused.
-    Lay(Vec<Resource>, oneshot::Sender<Vec<Refusal>>),
-    /// Whether these would do, over what is in force now.
+/// A command from the carrier to the serving process.
+pub enum Command {
+    /// Puts these resources in force, and answers with the refused ones.
+    Apply(Vec<Resource>, oneshot::Sender<Vec<Refusal>>),
+    /// Answers whether these resources would be accepted on top of those that are in force, or why not.
     Check(Vec<Resource>, oneshot::Sender<Result<(), String>>),
 }
 
-/// The carrier's way to the process that serves.
+/// Sends commands from the carrier to the serving process.
 #[derive(Clone)]
-pub struct Layer(mpsc::Sender<Order>);
+pub struct Applier(mpsc::Sender<Command>);
 
-impl Layer {
-    /// `None` only when the process ends.
-    pub async fn lay(&self, resources: Vec<Resource>) -> Option<Vec<Refusal>> {
+impl Applier {
+    /// Puts these resources in force and returns the refused ones; `None` only when the process is stopping.
+    pub async fn apply(&self, resources: Vec<Resource>) -> Option<Vec<Refusal>> {
         let (answer, answered) = oneshot::channel();
-        self.0.send(Order::Lay(resources, answer)).await.ok()?;
+        self.0.send(Command::Apply(resources, answer)).await.ok()?;
         answered.await.ok()
     }
 
+    /// Checks whether these resources would be accepted. The error is the reason why not.
     pub async fn check(&self, resources: Vec<Resource>) -> Result<(), String> {
         let (answer, answered) = oneshot::channel();
-        let ending = || String::from("this process ends");
-        self.0.send(Order::Check(resources, answer)).await.map_err(|_| ending())?;
-        answered.await.unwrap_or_else(|_| Err(ending()))
+        let stopping = || String::from("this process is stopping");
+        self.0.send(Command::Check(resources, answer)).await.map_err(|_| stopping())?;
+        answered.await.unwrap_or_else(|_| Err(stopping()))
     }
 }
 
-pub fn door() -> (Layer, mpsc::Receiver<Order>) {
-    let (orders, mailbox) = mpsc::channel(MAILBOX);
-    (Layer(orders), mailbox)
+/// Creates the channel between the carrier and the serving process.
+pub fn channel() -> (Applier, mpsc::Receiver<Command>) {
+    let (commands, mailbox) = mpsc::channel(QUEUE_CAPACITY);
+    (Applier(commands), mailbox)
 }
 
-/// Whether these would do, each over what is in force without its own earlier version.
-pub fn check(file: &Config, good: &[Resource], new: &[Resource]) -> Result<(), String> {
+/// Checks whether new resources would be accepted together with those in force, where each replaces its own
+/// earlier version. The error names the first resource that is refused, and the reason.
+pub fn check(file: &Config, accepted: &[Resource], new: &[Resource]) -> Result<(), String> {
     let same = |old: &Resource, new: &Resource| old.scope == new.scope && old.name == new.name;
-    let kept = good.iter().filter(|old| !new.iter().any(|new| same(old, new)));
+    let kept = accepted.iter().filter(|old| !new.iter().any(|new| same(old, new)));
     let mut all: Vec<Resource> = kept.chain(new).cloned().collect();
-    in_order(&mut all);
-    let laid = lay(file, &all, &[]);
-    match laid.refused.into_iter().next() {
-        Some((scope, name, why)) => Err(format!("{name} for {scope}: {why}")),
+    sort_by_precedence(&mut all);
+    let applied = apply_resources(file, &all, &[]);
+    match applied.refused.into_iter().next() {
+        Some((scope, name, reason)) => Err(format!("{name} for {scope}: {reason}")),
         None => Ok(()),
     }
 }
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -1,8 +1,9 @@
-//! The carrier's links: children that call, the parent that is dialled, commands. Each is a task with a small mailbox; one
-//! that does not read, or says nothing, ends, and nobody waits for it.
+//! The carrier's links: incoming ones from children and commands, and the outgoing one to the parent. Each
+//! link is a task with a small queue. A link whose other end does not read or stays silent is closed, so
+//! nothing waits for it.
 
 use crate::fleet::accept::Acceptor;
-use crate::fleet::carrier::door::{Door, Event};
+use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::me::Me;
 use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
 use anyhow::{Context, Result, ensure};
@@ -12,23 +13,32 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// What waits for a child: one part of a difference and some pulses. One whose mailbox is full does not read.
-const DOWNS: usize = 8;
-const UPS: usize = 16;
-/// Answers that wait for a command.
-const ANSWERS: usize = 16;
-/// Links beyond those of proxies: other control machines, relays, those that are told that there is no room, commands.
-const SPARE: usize = 256;
+/// The queue of messages to a child has room for one part of a difference and some heartbeats. A child whose
+/// queue is full does not read its messages.
+const CHILD_QUEUE_CAPACITY: usize = 8;
+/// The capacity of the queue of messages to the parent.
+const PARENT_QUEUE_CAPACITY: usize = 16;
+/// The maximum number of answers that wait to be sent to a command.
+const COMMAND_QUEUE_CAPACITY: usize = 16;
+/// Links accepted in addition to the maximum number of children: other control machines, relays, children
+/// that are told that there is no room, commands.
+const EXTRA_LINKS: usize = 256;
 
-/// Accepts as long as the process lives.
-pub async fn accept(me: Me, door: Door, at: SocketAddr, children: usize) {
-    let most = children.saturating_add(SPARE);
-    let acceptor = Acceptor { part: "carrier", key: "fleet.carrier.listen", callers: "children", at, most };
+/// Accepts links at this address until the process ends.
+pub async fn accept(me: Me, handle: Handle, address: SocketAddr, max_children: usize) {
+    let max_links = max_children.saturating_add(EXTRA_LINKS);
+    let acceptor = Acceptor {
+        part: "carrier",
+        key: "fleet.carrier.listen",
+        callers: "children",
+        at: address,
+        most: max_links,
+    };
     let serve = |stream, number| {
-        let (me, door) = (me.clone(), door.clone());
+        let (me, handle) = (me.clone(), handle.clone());
         async move {
-            if let Err(error) = serve(&me, &door, stream, number).await {
-                tracing::info!("carrier: a link ends: {error:#}");
+            if let Err(error) = serve(&me, &handle, stream, number).await {
+                tracing::info!("carrier: incoming link ended: {error:#}");
             }
         }
     };
@@ -39,64 +49,70 @@
     Hello::new(&me.config.name, &me.who, Role::Proxy, None)
 }
 
-async fn serve(me: &Me, door: &Door, stream: TcpStream, number: ChildId) -> Result<()> {
+async fn serve(me: &Me, handle: &Handle, stream: TcpStream, number: ChildId) -> Result<()> {
     let (mut link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.to_string();
-    ensure!(link.speaks() >= CARRIER, "{name} speaks links up to {}, not {CARRIER}", link.speaks());
+    ensure!(
+        link.speaks() >= CARRIER,
+        "{name} supports link versions up to {}, version {CARRIER} is required",
+        link.speaks()
+    );
     if other.role == Role::Command {
-        // Commands come and go.
-        if let Err(error) = command(door, &mut link).await {
+        // Commands are short-lived; the end of their links is logged at debug level only.
+        if let Err(error) = run_command_link(handle, &mut link).await {
             tracing::debug!("carrier: {name}: {error:#}");
         }
         return Ok(());
     }
-    let (downs, mailbox) = mpsc::channel(DOWNS);
-    door.say(Event::ChildUp(number, downs)).await;
-    let ended = child(door, &mut link, &other, number, mailbox).await;
-    door.say(Event::ChildLost(number)).await;
+    let (sender, mailbox) = mpsc::channel(CHILD_QUEUE_CAPACITY);
+    handle.send(Event::ChildConnected(number, sender)).await;
+    let ended = run_child_link(handle, &mut link, &other, number, mailbox).await;
+    handle.send(Event::ChildDisconnected(number)).await;
     ended.with_context(|| format!("child {name}"))
 }
 
-async fn child(
-    door: &Door,
+async fn run_child_link(
+    handle: &Handle,
     link: &mut Link,
     other: &Hello,
     number: ChildId,
     mut mailbox: mpsc::Receiver<ParentMessage>,
 ) -> Result<()> {
-    let said = |down| Frame::Down(Box::new(down));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        let Frame::Up(up) = frame else { continue };
-        if let ChildMessage::Subscribe { attachment, .. } = &*up {
-            let who = &attachment.member;
-            let same = who.name == other.who.name && who.incarnation == other.who.incarnation;
-            ensure!(same, "subscribes as {}, and said hello as {}", who.name, other.who);
+    let to_frame = |message| Frame::Down(Box::new(message));
+    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
+        let Frame::Up(message) = frame else { continue };
+        if let ChildMessage::Subscribe { attachment, .. } = &*message {
+            let member = &attachment.member;
+            let same_process = member.name == other.who.name && member.incarnation == other.who.incarnation;
+            ensure!(same_process, "subscribes as {}, but its hello was from {}", member.name, other.who);
         }
-        door.say(Event::ChildSaid(number, *up)).await;
+        handle.send(Event::ChildMessage(number, *message)).await;
     }
     Ok(())
 }
 
-async fn command(door: &Door, link: &mut Link) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(ANSWERS);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+async fn run_command_link(handle: &Handle, link: &mut Link) -> Result<()> {
+    let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
         match frame {
             Frame::Offer(number, changes) => {
-                door.say(Event::Offer(number, changes, answers.clone())).await;
+                handle.send(Event::Offer(number, changes, answer_sender.clone())).await;
             }
-            Frame::Carrier => _ = door.say(Event::Status(answers.clone())).await,
+            Frame::Carrier => _ = handle.send(Event::Status(answer_sender.clone())).await,
             _ => {}
         }
     }
     Ok(())
 }
 
-/// The link to a parent, or the dial to one: it ends with this.
+/// The link to a parent, or the connection attempt; dropping it ends the task.
 pub struct Parent {
-    /// Of the dial: what comes of an earlier one counts no more.
+    /// The number of the connection attempt; events of earlier ones are ignored.
     pub number: u64,
+    /// The name of the parent.
     pub name: String,
-    pub ups: mpsc::Sender<ChildMessage>,
+    /// Messages to the parent.
+    pub sender: mpsc::Sender<ChildMessage>,
     task: AbortHandle,
 }
 
@@ -106,44 +122,54 @@
     }
 }
 
-/// Dials; what comes of it, and that it ended, is said under this number. `first` is the dial after a link that was up.
-pub fn dial(me: &Me, door: &Door, number: u64, name: &str, at: Option<SocketAddr>, first: bool) -> Parent {
-    let (ups, mailbox) = mpsc::channel(UPS);
-    let (me, door, parent) = (me.clone(), door.clone(), name.to_string());
+/// Connects to a parent in a task of its own. Its events carry this number. `first_dial` is true for the
+/// first attempt after a link was up.
+pub fn dial(
+    me: &Me,
+    handle: &Handle,
+    number: u64,
+    name: &str,
+    address: Option<SocketAddr>,
+    first_dial: bool,
+) -> Parent {
+    let (sender, mailbox) = mpsc::channel(PARENT_QUEUE_CAPACITY);
+    let (me, handle, parent) = (me.clone(), handle.clone(), name.to_string());
     let task = tokio::spawn(async move {
-        let mut up = false;
-        match parent_link(&me, &door, number, &parent, at, mailbox, &mut up).await {
-            Ok(()) => tracing::info!("carrier: parent {parent} ended the link"),
-            Err(error) if up => tracing::info!("carrier: link to parent {parent} lost: {error:#}"),
-            // Said once, until one is up again.
-            Err(error) if first => tracing::info!("carrier: no link to parent {parent}: {error:#}"),
-            Err(error) => tracing::debug!("carrier: no link to parent {parent}: {error:#}"),
+        let mut connected = false;
+        match run_parent_link(&me, &handle, number, &parent, address, mailbox, &mut connected).await {
+            Ok(()) => tracing::info!("carrier: parent {parent} closed the link"),
+            Err(error) if connected => tracing::info!("carrier: link to parent {parent} lost: {error:#}"),
+            // Logged once until a link is up again.
+            Err(error) if first_dial => {
+                tracing::info!("carrier: cannot connect to parent {parent}: {error:#}")
+            }
+            Err(error) => tracing::debug!("carrier: cannot connect to parent {parent}: {error:#}"),
         }
-        door.say(Event::ParentLost(number)).await;
+        handle.send(Event::ParentDisconnected(number)).await;
     });
-    Parent { number, name: name.into(), ups, task: task.abort_handle() }
+    Parent { number, name: name.into(), sender, task: task.abort_handle() }
 }
 
-async fn parent_link(
+async fn run_parent_link(
     me: &Me,
-    door: &Door,
+    handle: &Handle,
     number: u64,
     name: &str,
-    at: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     mut mailbox: mpsc::Receiver<ChildMessage>,
-    up: &mut bool,
+    connected: &mut bool,
 ) -> Result<()> {
-    let at = at.context("fleet.carrier has no such control machine or relay")?;
-    let (mut link, other) = Link::connect(at, &hello(me)).await?;
-    ensure!(other.who.name == name, "at {at} is {}", other.who);
+    let address = address.context("fleet.carrier lists no control machine or relay of this name")?;
+    let (mut link, other) = Link::connect(address, &hello(me)).await?;
+    ensure!(other.who.name == name, "{address} belongs to {}", other.who);
     link.ensure_speaks(CARRIER)?;
-    door.say(Event::ParentUp(number)).await;
-    *up = true;
-    tracing::info!("carrier: parent is {}", other.who);
-    let said = |up| Frame::Up(Box::new(up));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        if let Frame::Down(down) = frame {
-            door.say(Event::ParentSaid(number, *down)).await;
+    handle.send(Event::ParentConnected(number)).await;
+    *connected = true;
+    tracing::info!("carrier: connected to parent {}", other.who);
+    let to_frame = |message| Frame::Up(Box::new(message));
+    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
+        if let Frame::Down(message) = frame {
+            handle.send(Event::ParentMessage(number, *message)).await;
         }
     }
     Ok(())
--- a/crates/proxy/src/fleet/replication/config.rs
+++ b/crates/proxy/src/fleet/replication/config.rs
@@ -1,4 +1,4 @@
-//! The section `fleet.replication` of the configuration. Every message names the key.
+//! The section `fleet.replication` of the configuration. Every error names the key that is wrong.
 
 use crate::fleet::config::addresses;
 use crate::validation::check_value;
@@ -10,34 +10,37 @@
 use std::time::Duration;
 
 const KEYS: &[&str] = &["peers", "listen", "folder", "links", "bytes-per-second", "retention-s"];
-const MOST_PEERS: usize = 4096;
-const LINKS: u64 = 4;
-const MOST_LINKS: u64 = 32;
-/// What the carrier leaves of the bytes that control may take.
-const BYTES_PER_SECOND: u64 = 2000;
-const FEWEST_BYTES_PER_SECOND: u64 = 1024;
-const RETENTION_SECONDS: u64 = 7 * 86_400;
-const LEAST_RETENTION_SECONDS: u64 = 10;
-const MOST_RETENTION_SECONDS: u64 = 365 * 86_400;
+const MAX_PEERS: usize = 4096;
+const DEFAULT_LINKS: u64 = 4;
+const MAX_LINKS: u64 = 32;
+/// The part of the bandwidth for control traffic that the carrier leaves.
+const DEFAULT_BYTES_PER_SECOND: u64 = 2000;
+const MIN_BYTES_PER_SECOND: u64 = 1024;
+const DEFAULT_RETENTION_SECONDS: u64 = 7 * 86_400;
+const MIN_RETENTION_SECONDS: u64 = 10;
+const MAX_RETENTION_SECONDS: u64 = 365 * 86_400;
 
+/// The parsed section `fleet.replication`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// The group, this process included, and where each takes links.
+    /// The proxies of the group including this one, and the address at which each accepts links.
     pub peers: BTreeMap<String, SocketAddr>,
-    /// Where this process takes links, if it is not where the others call it.
+    /// The address at which this process listens for links, if it differs from the one that the others
+    /// connect to.
     pub listen: Option<SocketAddr>,
-    /// Where its copy is kept.
+    /// The folder of the replica's copy on disk.
     pub folder: Option<PathBuf>,
-    /// Links to peers of its choice.
-    pub links: usize,
-    /// To all peers together.
+    /// The number of links that this process keeps to peers that it chooses.
+    pub target_links: usize,
+    /// The maximum number of bytes sent to all peers together in a second.
     pub bytes_per_second: usize,
-    /// For how long an order that puts a node back is kept.
+    /// How long an order that puts a node back in service is kept.
     pub retention: Duration,
 }
 
 impl ReplicationConfig {
-    /// `None` where the section `fleet` has no such section.
+    /// Parses the section for the process of this name, or for a command if the name is empty. `None` if the
+    /// section is missing. An unknown key or a wrong value is an error.
     pub fn parse(json: &Json, name: &str) -> Result<Option<ReplicationConfig>> {
         let section = json.pointer("/fleet/replication").unwrap_or(&Json::Null);
         if section.is_null() {
@@ -53,19 +56,19 @@
             check_value(json, &format!("/fleet/replication/{key}"), "a text", Json::is_string)?;
         }
         let text = |key: &str| section.get(key).and_then(Json::as_str);
-        let number = |key: &str, default: u64, least: u64, most: u64| -> Result<u64> {
-            let fits = |value: &Json| value.as_u64().is_some_and(|value| (least..=most).contains(&value));
-            let wanted = format!("a number from {least} to {most}");
-            check_value(json, &format!("/fleet/replication/{key}"), &wanted, fits)?;
+        let number = |key: &str, default: u64, min: u64, max: u64| -> Result<u64> {
+            let fits = |value: &Json| value.as_u64().is_some_and(|value| (min..=max).contains(&value));
+            let expected = format!("a number from {min} to {max}");
+            check_value(json, &format!("/fleet/replication/{key}"), &expected, fits)?;
             Ok(section.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
         let peers = addresses(section, "fleet.replication", "peers")?;
         ensure!(
-            (2..=MOST_PEERS).contains(&peers.len()),
-            "fleet.replication.peers: expected 2 to {MOST_PEERS}, found {}",
+            (2..=MAX_PEERS).contains(&peers.len()),
+            "fleet.replication.peers: expected 2 to {MAX_PEERS}, found {}",
             peers.len()
         );
-        // A command reads the section under no name.
+        // A command has an empty name, and is not a peer.
         ensure!(
             name.is_empty() || peers.contains_key(name),
             "fleet.replication.peers: {name} is not among them"
@@ -75,24 +78,29 @@
                 .with_context(|| format!("fleet.replication.listen: expected ADDRESS:PORT, found {at:?}"))
         });
         let retention =
-            number("retention-s", RETENTION_SECONDS, LEAST_RETENTION_SECONDS, MOST_RETENTION_SECONDS)?;
+            number("retention-s", DEFAULT_RETENTION_SECONDS, MIN_RETENTION_SECONDS, MAX_RETENTION_SECONDS)?;
         Ok(Some(ReplicationConfig {
             peers,
             listen: listen.transpose()?,
             folder: text("folder").map(PathBuf::from),
-            links: number("links", LINKS, 1, MOST_LINKS)? as usize,
-            bytes_per_second: number("bytes-per-second", BYTES_PER_SECOND, FEWEST_BYTES_PER_SECOND, 1 << 30)?
-                as usize,
+            target_links: number("links", DEFAULT_LINKS, 1, MAX_LINKS)? as usize,
+            bytes_per_second: number(
+                "bytes-per-second",
+                DEFAULT_BYTES_PER_SECOND,
+                MIN_BYTES_PER_SECOND,
+                1 << 30,
+            )? as usize,
             retention: Duration::from_secs(retention),
         }))
     }
 
-    /// Where a process of this name takes links.
-    pub fn listens(&self, name: &str) -> Option<SocketAddr> {
-        let called = self.peers.get(name)?;
-        Some(self.listen.unwrap_or(*called))
+    /// The address at which the process with this name listens for links; `None` if it is not in the group.
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
+        let peer_address = self.peers.get(name)?;
+        Some(self.listen.unwrap_or(*peer_address))
     }
 
+    /// A short description for the log.
     pub fn summary(&self) -> String {
         format!("replication among {} proxies", self.peers.len())
     }
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -1,5 +1,6 @@
-//! Replication's links: peers that are dialled, peers and commands that call. Each is a task with a small mailbox; one that
-//! does not read, or says nothing, ends, and nobody waits for it.
+//! Replication's links: outgoing ones to peers, and incoming ones from peers and commands. Each link is a
+//! task with a small queue. A link whose other end does not read or stays silent is closed, so nothing waits
+//! for it.
 
 use crate::bans::{Maintenance, MaintenanceResult};
 use crate::fleet::accept::Acceptor;
@@ -14,29 +15,31 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// What waits for a peer: a part, its answer, summaries. One whose mailbox is full does not read.
-const MAILBOX: usize = 32;
-/// Answers that wait for a command.
-const ANSWERS: usize = 16;
-/// Links that are taken at a time, commands included.
-const MOST_TAKEN: usize = 128;
+/// The queue of messages to a peer has room for a part of a transfer, an acknowledgement and some summaries.
+/// A peer whose queue is full does not read its messages.
+const PEER_QUEUE_CAPACITY: usize = 32;
+/// The maximum number of answers that wait to be sent to a command.
+const COMMAND_QUEUE_CAPACITY: usize = 16;
+/// The maximum number of incoming links at a time, including those of commands.
+const MAX_INCOMING_LINKS: usize = 128;
 
-/// Accepts as long as the process lives.
+/// Accepts links at this address until the process ends.
 pub async fn accept(
     me: Me,
     config: Arc<ReplicationConfig>,
     handle: Handle,
     maintenance: Maintenance,
-    at: SocketAddr,
+    address: SocketAddr,
 ) {
     let key = "fleet.replication.listen";
-    let acceptor = Acceptor { part: "replication", key, callers: "peers", at, most: MOST_TAKEN };
+    let acceptor =
+        Acceptor { part: "replication", key, callers: "peers", at: address, most: MAX_INCOMING_LINKS };
     let serve = |stream, _| {
         let (me, config) = (me.clone(), config.clone());
         let (handle, maintenance) = (handle.clone(), maintenance.clone());
         async move {
             if let Err(error) = serve(&me, &config, &handle, &maintenance, stream).await {
-                tracing::info!("replication: a link ends: {error:#}");
+                tracing::info!("replication: incoming link ended: {error:#}");
             }
         }
     };
@@ -56,79 +59,86 @@
 ) -> Result<()> {
     let (link, other) = Link::take(stream, async || hello(me)).await?;
     let name = other.who.name.clone();
-    ensure!(link.speaks() >= REPLICATION, "{name} speaks links up to {}, not {REPLICATION}", link.speaks());
+    ensure!(
+        link.speaks() >= REPLICATION,
+        "{name} supports link versions up to {}, version {REPLICATION} is required",
+        link.speaks()
+    );
     if other.role == Role::Command {
-        // Commands come and go.
-        if let Err(error) = command(handle, maintenance, link).await {
+        // Commands are short-lived; the end of their links is logged at debug level only.
+        if let Err(error) = run_command_link(handle, maintenance, link).await {
             tracing::debug!("replication: {name}: {error:#}");
         }
         return Ok(());
     }
-    ensure!(name != me.who.name, "{name} calls itself: two processes of one name, or a copied configuration");
-    ensure!(config.peers.contains_key(&name), "{name} is not among fleet.replication.peers");
-    talk(handle, link, &name, false).await.with_context(|| format!("peer {name}"))
+    ensure!(
+        name != me.who.name,
+        "{name} connects to itself: two processes have the same name, or a configuration was copied"
+    );
+    ensure!(config.peers.contains_key(&name), "{name} is not listed in fleet.replication.peers");
+    run_link(handle, link, &name, false).await.with_context(|| format!("peer {name}"))
 }
 
-/// Dials a peer; that it came to nothing is said too.
+/// Connects to a peer in a task of its own; a failure is reported to the actor too.
 pub fn dial(me: &Me, config: &ReplicationConfig, handle: &Handle, peer: &str) {
     let (me, handle, peer) = (me.clone(), handle.clone(), peer.to_string());
-    let at = config.peers.get(&peer).copied();
+    let address = config.peers.get(&peer).copied();
     tokio::spawn(async move {
-        match dialled(&me, &peer, at).await {
+        match connect(&me, &peer, address).await {
             Ok(link) => {
-                if let Err(error) = talk(&handle, link, &peer, true).await {
+                if let Err(error) = run_link(&handle, link, &peer, true).await {
                     tracing::info!("replication: link to {peer} lost: {error:#}");
                 }
             }
             Err(error) => {
-                tracing::debug!("replication: no link to {peer}: {error:#}");
-                handle.say(Event::DialFailed).await;
+                tracing::debug!("replication: cannot connect to {peer}: {error:#}");
+                handle.send(Event::DialFailed).await;
             }
         }
     });
 }
 
-async fn dialled(me: &Me, peer: &str, at: Option<SocketAddr>) -> Result<Link> {
-    let at = at.context("fleet.replication.peers has no such process")?;
-    let (link, other) = Link::connect(at, &hello(me)).await?;
-    ensure!(other.who.name == peer, "at {at} is {}", other.who);
+async fn connect(me: &Me, peer: &str, address: Option<SocketAddr>) -> Result<Link> {
+    let address = address.context("fleet.replication.peers lists no process of this name")?;
+    let (link, other) = Link::connect(address, &hello(me)).await?;
+    ensure!(other.who.name == peer, "{address} belongs to {}", other.who);
     link.ensure_speaks(REPLICATION)?;
     Ok(link)
 }
 
-/// Carries what both ends say, until one ends it.
-async fn talk(handle: &Handle, mut link: Link, peer: &str, dialled: bool) -> Result<()> {
-    let (mailbox, mut to_send) = mpsc::channel(MAILBOX);
-    let number = handle.new_link();
-    handle.say(Event::LinkUp { link: number, peer: peer.into(), dialled, mailbox }).await;
-    let ended = pass_on(handle, &mut link, number, &mut to_send).await;
-    handle.say(Event::LinkDown { link: number }).await;
+/// Runs a link until one end closes it, and reports its start and end to the actor.
+async fn run_link(handle: &Handle, mut link: Link, peer: &str, dialled: bool) -> Result<()> {
+    let (mailbox, mut to_send) = mpsc::channel(PEER_QUEUE_CAPACITY);
+    let link_id = handle.next_link_id();
+    handle.send(Event::LinkUp { link: link_id, peer: peer.into(), dialled, mailbox }).await;
+    let ended = forward_messages(handle, &mut link, link_id, &mut to_send).await;
+    handle.send(Event::LinkDown { link: link_id }).await;
     ended
 }
 
-async fn pass_on(
+async fn forward_messages(
     handle: &Handle,
     link: &mut Link,
-    number: LinkId,
+    link_id: LinkId,
     to_send: &mut mpsc::Receiver<Message>,
 ) -> Result<()> {
-    let said = |message| Frame::Replicate(Box::new(message));
-    while let Some(frame) = link.hear(to_send, said).await? {
+    let to_frame = |message| Frame::Replicate(Box::new(message));
+    while let Some(frame) = link.hear(to_send, to_frame).await? {
         if let Frame::Replicate(message) = frame {
-            handle.say(Event::Heard { link: number, message: *message }).await;
+            handle.send(Event::MessageReceived { link: link_id, message: *message }).await;
         }
     }
     Ok(())
 }
 
-/// What a command asks for.
-async fn command(handle: &Handle, maintenance: &Maintenance, mut link: Link) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(ANSWERS);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+/// Answers the requests of a command.
+async fn run_command_link(handle: &Handle, maintenance: &Maintenance, mut link: Link) -> Result<()> {
+    let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
         match frame {
-            Frame::Replication => _ = handle.say(Event::Status { answer: answers.clone() }).await,
+            Frame::Replication => _ = handle.send(Event::StatusFrame { answer: answer_sender.clone() }).await,
             Frame::Order(call) => {
-                let answer = ordered(maintenance, *call).await;
+                let answer = issue_order(maintenance, *call).await;
                 link.send(&Frame::Ordered(Box::new(answer))).await?;
             }
             _ => {}
@@ -137,8 +147,8 @@
     Ok(())
 }
 
-/// A command's order goes the way of an operator's call at this proxy.
-async fn ordered(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
+/// Issues a command's order in the same way as an operator's call at this proxy.
+async fn issue_order(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
     let OrderCall { node, out, under } = call;
     match maintenance.set_service(node.clone(), out, under).await {
         MaintenanceResult::Replicated(stamp) => OrderAnswer::Given(stamp),
