--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -3,7 +3,7 @@
 
 use crate::control::{ControlCommand, NodeKind, PROBE_TIMEOUT};
 use crate::event_loop;
-use crate::fleet::prober::Prober;
+use crate::fleet::probe_handle::Prober;
 use crate::log_limiter::LogLimiter;
 use crate::memory::MemoryMonitor;
 use crate::messages::{Answer, AttemptResult, ClientRequest, DiscoveredNode, Event, ListPart, Mailbox};
--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -1,14 +1,14 @@
 //! The carrier's actor: it owns the node, and on a control machine that holds the lease the publisher, and drives both with
 //! the fleet's clock.
 
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::apply::{self, Layer};
 use crate::fleet::carrier::config::{CarrierConfig, Part};
 use crate::fleet::carrier::door::{Door, Event};
 use crate::fleet::carrier::links::{Parent, dial};
 use crate::fleet::carrier::publish;
 use crate::fleet::drive::{self, drive};
-use crate::fleet::me::{Me, draw};
+use crate::fleet::local_process::{Me, draw};
+use crate::fleet::voter_client::Asker;
 use crate::fleet::wire::{CarrierStatus, Frame};
 use pumicebay_accord::{HeldLease, Reply};
 use pumicebay_carrier::{
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -1,9 +1,9 @@
 //! `pumicebay fleet set`, `unset` and `changes`: what operators ask of the carrier, by way of the control machine that
 //! publishes.
 
-use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::carrier::actor::scope;
 use crate::fleet::carrier::config::CarrierConfig;
+use crate::fleet::command_link::{ANSWERS, Called};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::wire::{CARRIER, CarrierStatus, Frame};
 use anyhow::{Context, Result, bail, ensure};
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -1,7 +1,7 @@
 //! The last good set on disk, where the process has a folder for it. None of it keeps a process from serving.
 
 use crate::fleet::carrier::door::{Door, Event};
-use crate::fleet::sealed::Sealed;
+use crate::fleet::checksummed_file::Sealed;
 use anyhow::{Context, Result};
 use pumicebay_carrier::Snapshot;
 use std::path::{Path, PathBuf};
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -1,9 +1,9 @@
 //! The carrier's links: children that call, the parent that is dialled, commands. Each is a task with a small mailbox; one
 //! that does not read, or says nothing, ends, and nobody waits for it.
 
-use crate::fleet::accept::Acceptor;
+use crate::fleet::acceptor::Acceptor;
 use crate::fleet::carrier::door::{Door, Event};
-use crate::fleet::me::Me;
+use crate::fleet::local_process::Me;
 use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
 use anyhow::{Context, Result, ensure};
 use pumicebay_carrier::{ChildId, ChildMessage, ParentMessage};
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -23,12 +23,12 @@
 pub mod publish;
 
 use crate::config::Config;
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::actor::{Told, Ways};
 use crate::fleet::carrier::apply::{Laid, Layer};
 use crate::fleet::carrier::config::CarrierConfig;
 use crate::fleet::carrier::door::Door;
-use crate::fleet::me::Me;
+use crate::fleet::local_process::Me;
+use crate::fleet::voter_client::Asker;
 use pumicebay_carrier::{Location, Snapshot};
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -1,8 +1,8 @@
 //! What a publisher asks for, carried out: reads and writes of the record under the lease, and answers to commands.
 
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::door::{Door, Event};
 use crate::fleet::lease::Lease;
+use crate::fleet::voter_client::Asker;
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{HeldLease, OperationKind, Reply, SharedRecord, Token};
 use pumicebay_carrier::{ChangeOutcome, PublisherHost, Resource, Version, WriteOutcome};
--- a/crates/proxy/src/fleet/command.rs
+++ b/crates/proxy/src/fleet/command.rs
@@ -1,11 +1,11 @@
 //! `pumicebay fleet ...`: what operators ask of a fleet. Each command reads a configuration's section `fleet` alone.
 
-use crate::fleet::asker::Asker;
-use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::carrier::command as carrier;
+use crate::fleet::command_link::{ANSWERS, Called};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::me::{FleetClock, Me, draw, incarnation};
+use crate::fleet::local_process::{FleetClock, Me, draw, incarnation};
 use crate::fleet::replication::command as replication;
+use crate::fleet::voter_client::Asker;
 use crate::fleet::wire::{Frame, Hello, Status};
 use crate::fleet::{run, start_command, store};
 use anyhow::{Context, Result, bail, ensure};
--- a/crates/proxy/src/fleet/call.rs
+++ b/crates/proxy/src/fleet/command_link.rs
@@ -1,7 +1,7 @@
 //! A command's link to one process of the fleet.
 
 use crate::fleet::config::FleetConfig;
-use crate::fleet::me::incarnation;
+use crate::fleet::local_process::incarnation;
 use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
 use anyhow::{Context, Result};
 use pumicebay_accord::ProcessId;
--- a/crates/proxy/src/fleet/inbound.rs
+++ b/crates/proxy/src/fleet/inbound.rs
@@ -1,8 +1,8 @@
 //! Who calls a voter: other voters, proxies, commands. Each link is a task; one that does not read, or says nothing, ends.
 
-use crate::fleet::accept::Acceptor;
-use crate::fleet::door::{Door, Event};
-use crate::fleet::me::Me;
+use crate::fleet::acceptor::Acceptor;
+use crate::fleet::local_process::Me;
+use crate::fleet::voter_handle::{Door, Event};
 use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
 use anyhow::{Context, Result};
 use std::net::SocketAddr;
--- a/crates/proxy/src/fleet/lease.rs
+++ b/crates/proxy/src/fleet/lease.rs
@@ -1,6 +1,6 @@
 //! One lease, asked for and renewed for as long as somebody wants it.
 
-use crate::fleet::asker::Asker;
+use crate::fleet::voter_client::Asker;
 use pumicebay_accord::{HeldLease, LeaseClient, Name, Reply};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -6,48 +6,48 @@
 //! | --- | --- |
 //! | `config.rs` | the section `fleet`, read and checked |
 //! | `wire.rs` | frames, the hello, which versions understand each other |
-//! | `sealed.rs` | files of the program's own: synced, with a checksum and a lock |
+//! | `checksummed_file.rs` | files of the program's own: synced, with a checksum and a lock |
 //! | `store.rs` | a voter's disk |
-//! | `me.rs` | who a process is to the others, and its clock |
+//! | `local_process.rs` | who a process is to the others, and its clock |
 //! | `drive.rs` | runs an actor that owns a state machine |
-//! | `door.rs` | the way to the voter for all other files |
-//! | `seat.rs` | the voter: an actor that owns the `Voter` and its disk |
-//! | `accept.rs` | takes links, with room for so many |
+//! | `voter_handle.rs` | the way to the voter for all other files |
+//! | `voter_actor.rs` | the voter: an actor that owns the `Voter` and its disk |
+//! | `acceptor.rs` | takes links, with room for so many |
 //! | `inbound.rs` | who calls a voter |
 //! | `outbound.rs` | the links that a process keeps to the voters; beats, reconnects |
-//! | `asker.rs` | asks voters until one answers |
-//! | `prober.rs` | the module's way to have nodes probed |
+//! | `voter_client.rs` | asks voters until one answers |
+//! | `probe_handle.rs` | the module's way to have nodes probed |
 //! | `probes.rs` | one process probes a node that is down for all of its zone |
 //! | `lease.rs` | one lease held for as long as it is wanted |
 //! | `carrier/` | changes of configuration to all processes, and back what is in force |
 //! | `replication/` | orders of maintenance to all processes of a group |
-//! | `call.rs` | a command's link to one process |
+//! | `command_link.rs` | a command's link to one process |
 //! | `command.rs`, `run.rs` | `pumicebay fleet ...` |
 
-pub mod accept;
-pub mod asker;
-pub mod call;
+pub mod acceptor;
 pub mod carrier;
+pub mod checksummed_file;
 pub mod command;
+pub mod command_link;
 pub mod config;
-pub mod door;
 pub mod drive;
 pub mod inbound;
 pub mod lease;
-pub mod me;
+pub mod local_process;
 pub mod outbound;
-pub mod prober;
+pub mod probe_handle;
 pub mod probes;
 pub mod replication;
 pub mod run;
-pub mod sealed;
-pub mod seat;
 pub mod store;
+pub mod voter_actor;
+pub mod voter_client;
+pub mod voter_handle;
 pub mod wire;
 
 use crate::control::ControlHandle;
-use crate::fleet::asker::Asker;
-use crate::fleet::me::Me;
+use crate::fleet::local_process::Me;
+use crate::fleet::voter_client::Asker;
 use tokio::task::JoinSet;
 
 /// Takes its part in the fleet: votes if it is to, and keeps links to the voters. Gives the way to ask them, and what has
@@ -55,18 +55,18 @@
 pub fn start(
     me: &Me,
     desk: ControlHandle,
-    probes: prober::Mailbox,
+    probes: probe_handle::Mailbox,
 ) -> (Asker, impl Future<Output = ()> + use<>) {
     let mut actors = JoinSet::new();
-    let (door, mailbox) = door::door();
+    let (door, mailbox) = voter_handle::door();
     let listens = me.config.listens(&me.who.name);
     let own = listens.map(|_| door);
     let (links, answered, news) = outbound::start(me, wire::Role::Proxy, own.as_ref(), &mut actors);
     if let (Some(at), Some(door)) = (listens, own.clone()) {
         actors.spawn(inbound::accept(me.clone(), door, at));
-        actors.spawn(seat::run(me.clone(), links.clone(), mailbox));
+        actors.spawn(voter_actor::run(me.clone(), links.clone(), mailbox));
     }
-    let asker = asker::start(me, links.clone(), answered, own.clone(), &mut actors);
+    let asker = voter_client::start(me, links.clone(), answered, own.clone(), &mut actors);
     actors.spawn(probes::run(asker.clone(), links, own, desk, probes, news));
     (asker, watched(actors))
 }
@@ -86,5 +86,5 @@
 /// Links for a command, which votes nowhere.
 pub fn start_command(me: &Me, actors: &mut JoinSet<()>) -> Asker {
     let (links, answered, _) = outbound::start(me, wire::Role::Command, None, actors);
-    asker::start(me, links, answered, None, actors)
+    voter_client::start(me, links, answered, None, actors)
 }
--- a/crates/proxy/src/fleet/outbound.rs
+++ b/crates/proxy/src/fleet/outbound.rs
@@ -1,8 +1,8 @@
 //! The links that a process keeps to the voters: dialled again after times by chance, beaten twice a second, and ended when
 //! they are silent or do not read. A full mailbox loses its frame: nobody waits for a slow voter.
 
-use crate::fleet::door::{Door, Event};
-use crate::fleet::me::{Me, draw};
+use crate::fleet::local_process::{Me, draw};
+use crate::fleet::voter_handle::{Door, Event};
 use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
 use anyhow::Result;
 use pumicebay_accord::{Answer, Name};
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -2,11 +2,11 @@
 //! fleet, in which one process probes for all. The choices are `pumicebay_accord::ProbeCoordinator`'s.
 
 use crate::control::ControlHandle;
-use crate::fleet::asker::Asker;
-use crate::fleet::door::Door;
 use crate::fleet::lease::Lease;
 use crate::fleet::outbound::Links;
-use crate::fleet::prober::{Event, Mailbox};
+use crate::fleet::probe_handle::{Event, Mailbox};
+use crate::fleet::voter_client::Asker;
+use crate::fleet::voter_handle::Door;
 use crate::fleet::wire::{Frame, News};
 use pumicebay_accord::{Name, ProbeCoordinator, ProbeHost, Token};
 use std::collections::VecDeque;
@@ -81,7 +81,7 @@
     let clock = asker.me.clock;
     // What this process's own voter is given to pass on.
     let mut passed = own.as_ref().map(Door::passed);
-    let random = oorandom::Rand64::new(u128::from(crate::fleet::me::draw()));
+    let random = oorandom::Rand64::new(u128::from(crate::fleet::local_process::draw()));
     let mut acts = Acts { asker, links, own, random, probe: Vec::new(), answer: Vec::new() };
     let (mut watch, mut lease, mut lately) = (ProbeCoordinator::default(), None::<Lease>, VecDeque::new());
     let mut tick = interval(TICK);
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -1,7 +1,7 @@
 //! The replica's actor: it owns the replica and drives it with the fleet's clock and the machine's.
 
 use crate::fleet::drive::{self, drive};
-use crate::fleet::me::{Me, draw, unix};
+use crate::fleet::local_process::{Me, draw, unix};
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, Order, Ordered};
 use crate::fleet::replication::{Parts, disk, links};
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -1,7 +1,7 @@
 //! `pumicebay fleet drain`, `undrain` and `orders`: what operators order of all proxies of a group, and what each knows of
 //! it. Any proxy of the group takes an order; that it holds at the others is asked of each of them.
 
-use crate::fleet::call::{ANSWERS, Called};
+use crate::fleet::command_link::{ANSWERS, Called};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::wire::{Frame, OrderAnswer, OrderCall, REPLICATION};
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -1,7 +1,7 @@
 //! The replica's copy on disk, where the process has a folder for it. None of it keeps a process from serving.
 
+use crate::fleet::checksummed_file::Sealed;
 use crate::fleet::replication::handle::{Event, Handle};
-use crate::fleet::sealed::Sealed;
 use anyhow::{Context, Result};
 use pumicebay_replication::Snapshot;
 use std::path::{Path, PathBuf};
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -2,8 +2,8 @@
 //! does not read, or says nothing, ends, and nobody waits for it.
 
 use crate::bans::{Maintenance, MaintenanceResult};
-use crate::fleet::accept::Acceptor;
-use crate::fleet::me::Me;
+use crate::fleet::acceptor::Acceptor;
+use crate::fleet::local_process::Me;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle};
 use crate::fleet::wire::{Frame, Hello, Link, OrderAnswer, OrderCall, REPLICATION, Role};
--- a/crates/proxy/src/fleet/replication/mod.rs
+++ b/crates/proxy/src/fleet/replication/mod.rs
@@ -19,7 +19,7 @@
 pub mod links;
 
 use crate::bans::Maintenance;
-use crate::fleet::me::Me;
+use crate::fleet::local_process::Me;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, Ordered};
 use std::sync::Arc;
--- a/crates/proxy/src/fleet/run.rs
+++ b/crates/proxy/src/fleet/run.rs
@@ -4,9 +4,9 @@
 //! command when the other is stopped or dead. What the command acts on has to refuse lower tokens all the same: a machine
 //! that stands still stops all three alike.
 
-use crate::fleet::asker::Asker;
 use crate::fleet::lease::Lease;
-use crate::fleet::me::FleetClock;
+use crate::fleet::local_process::FleetClock;
+use crate::fleet::voter_client::Asker;
 use anyhow::{Context, Result};
 use pumicebay_accord::{HeldLease, Nanos};
 use rustix::process::{Pid, Signal, kill_process_group};
--- a/crates/proxy/src/fleet/store.rs
+++ b/crates/proxy/src/fleet/store.rs
@@ -1,6 +1,6 @@
 //! A voter's disk: one sealed file, and a lock that keeps two processes from voting from one folder.
 
-use crate::fleet::sealed::Sealed;
+use crate::fleet::checksummed_file::Sealed;
 use anyhow::Result;
 use pumicebay_accord::{DurableState, Fault, planted};
 use std::fs::File;
--- a/crates/proxy/src/fleet/seat.rs
+++ b/crates/proxy/src/fleet/voter_actor.rs
@@ -1,10 +1,10 @@
 //! The voter's actor: it owns the decisions and the disk. What they say goes out once the disk has what they keep; a disk
 //! that fails silences the voter until it can be read and written again.
 
-use crate::fleet::door::{Event, Mailbox};
-use crate::fleet::me::{Me, draw};
+use crate::fleet::local_process::{Me, draw};
 use crate::fleet::outbound::Links;
 use crate::fleet::store::{Disk, Found};
+use crate::fleet::voter_handle::{Event, Mailbox};
 use crate::fleet::wire::{self, Frame, Role, Status};
 use anyhow::{Context, Result};
 use pumicebay_accord::{
--- a/crates/proxy/src/fleet/asker.rs
+++ b/crates/proxy/src/fleet/voter_client.rs
@@ -1,8 +1,8 @@
 //! Asks voters until one answers: the same ask, under the same number, at one after the other.
 
-use crate::fleet::door::{Door, Event};
-use crate::fleet::me::Me;
+use crate::fleet::local_process::Me;
 use crate::fleet::outbound::Links;
+use crate::fleet::voter_handle::{Door, Event};
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{Answer, Name, Operation, OperationId, OperationKind, Reply};
 use std::collections::HashMap;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::event_loop;
 use crate::fleet::carrier::{self, apply};
 use crate::fleet::replication::handle::Channels;
-use crate::fleet::{self, asker::Asker, replication};
+use crate::fleet::{self, replication, voter_client::Asker};
 use crate::listen::listen;
 use crate::messages;
 use crate::operator::{self, OperatorService};
@@ -175,7 +175,8 @@
         let has_carrier = config.fleet.as_ref().is_some_and(|fleet| fleet.carrier.is_some());
         let (carrier_status_sender, carrier_status) =
             has_carrier.then(|| watch::channel(carrier::actor::Told::default())).unzip();
-        let me = config.fleet.as_ref().map(|section| fleet::me::Me::new(&config.name, section.clone()));
+        let me =
+            config.fleet.as_ref().map(|section| fleet::local_process::Me::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
             let (maintenance, calls) = bans::channel();
@@ -221,7 +222,7 @@
             }
         }
         let fleet = me.as_ref().filter(|me| me.config.asks_voters(&config.name)).map(|me| {
-            let (prober, probes) = fleet::prober::door();
+            let (prober, probes) = fleet::probe_handle::door();
             dispatcher.use_prober(prober);
             let (asker, parts) = fleet::start(me, control.clone(), probes);
             actors.spawn(parts);
--- a/crates/proxy/tests/proxy/fleet.rs
+++ b/crates/proxy/tests/proxy/fleet.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use pumicebay::config::parse;
 use pumicebay::fleet::config::FleetConfig;
-use pumicebay::fleet::me::Me;
+use pumicebay::fleet::local_process::Me;
 use pumicebay::fleet::start_command;
 use pumicebay::fleet::store::{Disk, Found};
 use pumicebay::fleet::wire::{Frame, Hello, Link, Role};
