--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -8,7 +8,7 @@
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use pumicebay::fleet::wire::{Frame, Hello, Link, OrderAnswer, OrderCall, Role};
+use pumicebay::fleet::wire::{Frame, Hello, Link, MaintenanceAnswer, MaintenanceOrder, Role};
 use pumicebay_accord::ProcessId;
 use pumicebay_replication::{Stamp, Status};
 use serde_json::{Value as Json, json};
@@ -207,10 +207,10 @@
             let at = process.replication;
             asked.spawn(async move {
                 let wanted = |frame| match frame {
-                    Frame::ReplicationIs(status) => Some(*status),
+                    Frame::ReplicationStatus(status) => Some(*status),
                     _ => None,
                 };
-                ask(at, Frame::Replication, wanted).await
+                ask(at, Frame::ReplicationStatusRequest, wanted).await
             });
         }
         asked.join_all().await.into_iter().flatten().collect()
@@ -235,14 +235,18 @@
 
     /// An operator's order at this proxy: its stamp, if it was given.
     pub async fn order(&self, at: usize, order: &Order) -> Option<Stamp> {
-        let call = OrderCall { node: order.node.clone(), out: order.out, under: order.lease.clone() };
+        let call = MaintenanceOrder {
+            node: order.node.clone(),
+            out_of_service: order.out,
+            lease: order.lease.clone(),
+        };
         let wanted = |frame| match frame {
-            Frame::Ordered(answer) => Some(*answer),
+            Frame::MaintenanceAnswer(answer) => Some(*answer),
             _ => None,
         };
-        match ask(self.processes[at].replication, Frame::Order(Box::new(call)), wanted).await? {
-            OrderAnswer::Given(stamp) => Some(stamp),
-            OrderAnswer::Refused(_) => None,
+        match ask(self.processes[at].replication, Frame::MaintenanceOrder(Box::new(call)), wanted).await? {
+            MaintenanceAnswer::Applied(stamp) => Some(stamp),
+            MaintenanceAnswer::Refused(_) => None,
         }
     }
 
@@ -281,7 +285,7 @@
         let who = ProcessId { name: "rig".into(), incarnation: 1 };
         let stream = TcpStream::connect(at).await.ok()?;
         let (mut link, _) =
-            Link::dial(stream, &Hello::new("replicas", &who, Role::Command, None)).await.ok()?;
+            Link::initiate(stream, &Hello::new("replicas", &who, Role::Command, None)).await.ok()?;
         link.send(&frame).await.ok()?;
         loop {
             if let Some(answer) = wanted(link.next().await.ok()?) {
--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -6,9 +6,9 @@
 use super::witness::Witness;
 use anyhow::{Context, Result};
 use pumicebay::fleet::config::FleetConfig;
-use pumicebay::fleet::local_process::Me;
+use pumicebay::fleet::local_process::LocalProcess;
 use pumicebay::fleet::start_command;
-use pumicebay::fleet::voter_client::Asker;
+use pumicebay::fleet::voter_client::VoterClient;
 use pumicebay_accord::{OperationKind, Reply};
 use serde_json::json;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -42,7 +42,7 @@
         let section = json!({"fleet": {"name": "rig", "voters": voters, "spares": spares}});
         let config = FleetConfig::parse(&section, "")?.context("a section")?;
         let name = format!("client{number}");
-        let asker = start_command(&Me::new(&name, config.into()), &mut actors);
+        let asker = start_command(&LocalProcess::new(&name, config.into()), &mut actors);
         tasks.spawn(work(asker, name, witness.clone(), seen.clone()));
     }
     Ok(Clients { seen, tasks, _actors: actors })
@@ -61,7 +61,7 @@
 }
 
 /// Reads, and writes over what it read, in turns.
-async fn work(asker: Asker, who: String, witness: Witness, seen: Arc<Mutex<Seen>>) {
+async fn work(asker: VoterClient, who: String, witness: Witness, seen: Arc<Mutex<Seen>>) {
     for number in 0.. {
         let (mut began, mut text, mut over) = (Instant::now(), String::new(), 0);
         let record = |write: bool, began: Instant, text: &str, version: Option<u64>, over: u64| {
@@ -73,7 +73,7 @@
             }
             seen.operations.push(op);
         };
-        match asker.want(OperationKind::Read, PATIENCE).await {
+        match asker.submit(OperationKind::Read, PATIENCE).await {
             Reply::Record(read) => {
                 if let Some(entry) = read.0.values.get(VALUE) {
                     (text, over) = (entry.text.clone(), entry.version);
@@ -90,7 +90,7 @@
             expected_version: Some(over),
             fence: None,
         };
-        match asker.want(want, PATIENCE).await {
+        match asker.submit(want, PATIENCE).await {
             Reply::Written(version) => record(true, began, &text, Some(version), over),
             // Another was quicker.
             Reply::Refused(_) => {}
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -3,7 +3,7 @@
 
 use crate::control::{ControlCommand, NodeKind, PROBE_TIMEOUT};
 use crate::event_loop;
-use crate::fleet::probe_handle::Prober;
+use crate::fleet::probe_handle::ProbeHandle;
 use crate::log_limiter::LogLimiter;
 use crate::memory::MemoryMonitor;
 use crate::messages::{Answer, AttemptResult, ClientRequest, DiscoveredNode, Event, ListPart, Mailbox};
@@ -56,7 +56,7 @@
     unsent_attempts: Vec<(RequestId, usize, Node)>,
     unsent_probes: Vec<Node>,
     /// The prober of the fleet, if there is one: then one process probes on behalf of many.
-    prober: Option<Prober>,
+    prober: Option<ProbeHandle>,
 }
 
 /// A request that the balancer has not forgotten yet.
@@ -97,7 +97,7 @@
     }
 
     /// Lets the fleet decide which process probes a node.
-    pub fn use_prober(&mut self, prober: Prober) {
+    pub fn use_prober(&mut self, prober: ProbeHandle) {
         self.balance.host.prober = Some(prober);
     }
 
@@ -159,7 +159,7 @@
                 let host = &mut self.balance.host;
                 let sent = host.nodes.find_by_uid(&uid).is_some_and(|node| host.send_probe(node));
                 if let Some(prober) = host.prober.as_ref().filter(|_| !sent) {
-                    prober.probed(&uid, false);
+                    prober.probe_finished(&uid, false);
                 }
             }
             ControlCommand::ProbeResult(uid, answered) => {
@@ -221,7 +221,7 @@
                 match (&host.prober, host.nodes.get(node)) {
                     // The prober reports the result back to this process too, if its balancer asked for it.
                     (Some(prober), Some(known)) => {
-                        prober.probed(&known.uid, result.outcome == Outcome::Completed)
+                        prober.probe_finished(&known.uid, result.outcome == Outcome::Completed)
                     }
                     _ => self.balance.probe_finished(node, result.outcome),
                 }
@@ -420,7 +420,7 @@
 
     fn probe(&mut self, node: Node) {
         let sent = match (&self.prober, self.nodes.get(node)) {
-            (Some(prober), Some(known)) => prober.wanted(&known.uid),
+            (Some(prober), Some(known)) => prober.outcome_wanted(&known.uid),
             _ => self.send_probe(node),
         };
         if !sent {
--- a/crates/proxy/src/fleet/acceptor.rs
+++ b/crates/proxy/src/fleet/acceptor.rs
@@ -10,20 +10,20 @@
 use tokio::time::sleep;
 
 /// The pause after a connection could not be accepted.
-const NO_ROOM: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The pause before an address that can't be had is tried again.
-const AGAIN: Duration = Duration::from_millis(200);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Where links are taken, and how many at a time.
 pub struct Acceptor {
     /// What lines of the log begin with.
-    pub part: &'static str,
+    pub log_prefix: &'static str,
     /// The key of the configuration that names the address.
-    pub key: &'static str,
+    pub config_key: &'static str,
     /// Who calls there, for the log.
-    pub callers: &'static str,
-    pub at: SocketAddr,
-    pub most: usize,
+    pub peer_kind: &'static str,
+    pub address: SocketAddr,
+    pub max_links: usize,
 }
 
 impl Acceptor {
@@ -34,22 +34,22 @@
         F: Future<Output = ()> + Send + 'static,
     {
         let listener = self.listener().await;
-        tracing::info!("{}: {} call at {}", self.part, self.callers, self.at);
-        let room = Arc::new(Semaphore::new(self.most.min(Semaphore::MAX_PERMITS)));
-        for number in 1.. {
-            let place = room.clone().acquire_owned().await;
+        tracing::info!("{}: {} call at {}", self.log_prefix, self.peer_kind, self.address);
+        let permits = Arc::new(Semaphore::new(self.max_links.min(Semaphore::MAX_PERMITS)));
+        for connection_id in 1.. {
+            let permit = permits.clone().acquire_owned().await;
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!("{}: {error}", self.part);
-                    sleep(NO_ROOM).await;
+                    tracing::warn!("{}: {error}", self.log_prefix);
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let served = serve(stream, number);
+            let connection = serve(stream, connection_id);
             tokio::spawn(async move {
-                served.await;
-                drop(place);
+                connection.await;
+                drop(permit);
             });
         }
     }
@@ -57,14 +57,14 @@
     async fn listener(&self) -> TcpListener {
         let mut warned = false;
         loop {
-            match listen(self.key, self.at) {
+            match listen(self.config_key, self.address) {
                 Ok(listener) => return listener,
                 Err(error) if !std::mem::replace(&mut warned, true) => {
-                    tracing::warn!("{}: {error:#}", self.part);
+                    tracing::warn!("{}: {error:#}", self.log_prefix);
                 }
                 Err(_) => {}
             }
-            sleep(AGAIN).await;
+            sleep(BIND_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -7,8 +7,8 @@
 use crate::fleet::carrier::links::{Parent, dial};
 use crate::fleet::carrier::publish;
 use crate::fleet::drive::{self, drive};
-use crate::fleet::local_process::{Me, draw};
-use crate::fleet::voter_client::Asker;
+use crate::fleet::local_process::{LocalProcess, random_id};
+use crate::fleet::voter_client::VoterClient;
 use crate::fleet::wire::{CarrierStatus, Frame};
 use pumicebay_accord::{HeldLease, Reply};
 use pumicebay_carrier::{
@@ -99,7 +99,7 @@
     pub door: Door,
     pub layer: Layer,
     /// Of a control machine.
-    pub asker: Option<Asker>,
+    pub asker: Option<VoterClient>,
     /// To the disk, where there is one.
     pub keep: Option<watch::Sender<Option<Snapshot>>>,
     /// Gives the lease back.
@@ -108,7 +108,7 @@
 }
 
 struct Actor {
-    me: Me,
+    me: LocalProcess,
     config: Arc<CarrierConfig>,
     ways: Ways,
     node: TreeNode,
@@ -128,18 +128,18 @@
     started: Nanos,
 }
 
-fn terms(me: &Me, config: &CarrierConfig) -> TreeNodeConfig {
+fn terms(me: &LocalProcess, config: &CarrierConfig) -> TreeNodeConfig {
     let names = |of: &std::collections::BTreeMap<String, _>| -> Vec<String> {
-        of.keys().filter(|name| **name != me.who.name).cloned().collect()
+        of.keys().filter(|name| **name != me.id.name).cloned().collect()
     };
-    let part = config.part(&me.who.name);
+    let part = config.part(&me.id.name);
     let tiers = match part {
         Part::Control => Vec::new(),
         Part::Relay => vec![names(&config.control)],
         Part::Leaf => vec![names(&config.relays), names(&config.control)],
     };
     TreeNodeConfig {
-        member: Member { name: me.who.name.clone(), incarnation: me.who.incarnation },
+        member: Member { name: me.id.name.clone(), incarnation: me.id.incarnation },
         location: place(me, config),
         is_control: part == Part::Control,
         is_relay: part == Part::Relay,
@@ -154,19 +154,19 @@
     }
 }
 
-pub fn place(me: &Me, config: &CarrierConfig) -> Location {
+pub fn place(me: &LocalProcess, config: &CarrierConfig) -> Location {
     Location { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
 }
 
 /// Runs as long as the process lives.
 pub async fn run(
-    me: Me,
+    me: LocalProcess,
     config: Arc<CarrierConfig>,
     kept: Option<Snapshot>,
     ways: Ways,
     events: mpsc::Receiver<Event>,
 ) {
-    let random = oorandom::Rand64::new(u128::from(draw()));
+    let random = oorandom::Rand64::new(u128::from(random_id()));
     let mut acts = Acts { acts: VecDeque::new(), random };
     let started = me.clock.now();
     let node = TreeNode::start(started, terms(&me, &config), kept, &mut acts);
@@ -194,13 +194,13 @@
 impl drive::Actor for Actor {
     type Event = Event;
 
-    fn due(&self) -> Instant {
+    fn wake_at(&self) -> Instant {
         let publisher = self.publisher.as_ref().map_or(Nanos::MAX, |(publisher, _)| publisher.due());
         let due = self.node.due().min(publisher).min(self.now() + LOOK);
         Instant::now() + self.me.clock.until(due)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         // What comes of a dial that was given up counts no more.
         let dialled = self.parent.as_ref().map(|parent| parent.number);
@@ -244,7 +244,7 @@
             }
             Event::Offer(number, changes, link) => self.offered(number, changes, link),
             Event::Checked(number, changes, link, checked) => match (checked, &mut self.publisher) {
-                (Err(why), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(why))),
+                (Err(why), _) => _ = link.try_send(Frame::ChangeOutcome(number, ChangeOutcome::Refused(why))),
                 (Ok(()), Some((publisher, host))) => {
                     let number = host.waits(number, link);
                     publisher.propose(now, number, changes, host);
@@ -342,7 +342,7 @@
     }
 
     fn lease(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
-        let root = if held.is_some() { Some(self.me.who.name.clone()) } else { holder };
+        let root = if held.is_some() { Some(self.me.id.name.clone()) } else { holder };
         if root != self.root {
             tracing::info!("carrier: {} publishes", root.as_deref().unwrap_or("nobody that is known"));
             self.root = root;
@@ -401,14 +401,14 @@
 
     fn status(&self) -> Frame {
         let now = self.now();
-        Frame::CarrierIs(Box::new(CarrierStatus {
-            name: self.me.who.name.clone(),
+        Frame::CarrierStatus(Box::new(CarrierStatus {
+            name: self.me.id.name.clone(),
             publisher: self.root.clone(),
-            publishes: self.publisher.as_ref().map(|_| now.saturating_sub(self.since)),
-            holds: self.node.version(),
+            publishing_for: self.publisher.as_ref().map(|_| now.saturating_sub(self.since)),
+            version: self.node.version(),
             age: self.node.age(now),
-            sum: self.node.summary(now),
-            queue: self.publisher.as_ref().map_or(0, |(_, host)| host.waiting.len() as u64),
+            summary: self.node.summary(now),
+            queued_changes: self.publisher.as_ref().map_or(0, |(_, host)| host.waiting.len() as u64),
             children: self.node.child_count() as u64,
         }))
     }
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -3,9 +3,9 @@
 
 use crate::fleet::carrier::actor::scope;
 use crate::fleet::carrier::config::CarrierConfig;
-use crate::fleet::command_link::{ANSWERS, Called};
+use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::wire::{CARRIER, CarrierStatus, Frame};
+use crate::fleet::wire::{CarrierStatus, Frame, MIN_CARRIER_VERSION};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_carrier::{Change, ChangeOutcome, Exception, ExceptionKind, Version};
 use serde_json::{Value as Json, json};
@@ -24,16 +24,16 @@
 /// Not known, or not in force everywhere.
 const NOT_YET: u8 = 3;
 
-async fn call(fleet: &FleetConfig, at: SocketAddr) -> Result<Called> {
-    Called::call_speaking(fleet, at, CARRIER).await
+async fn call(fleet: &FleetConfig, at: SocketAddr) -> Result<CommandLink> {
+    CommandLink::connect_with_version(fleet, at, MIN_CARRIER_VERSION).await
 }
 
-async fn ask_status(called: &mut Called) -> Result<CarrierStatus> {
+async fn ask_status(called: &mut CommandLink) -> Result<CarrierStatus> {
     let wanted = |frame| match frame {
-        Frame::CarrierIs(status) => Some(*status),
+        Frame::CarrierStatus(status) => Some(*status),
         _ => None,
     };
-    called.ask(Frame::Carrier, ANSWERS, wanted).await
+    called.query(Frame::CarrierStatusRequest, ANSWER_TIMEOUT, wanted).await
 }
 
 fn carrier(fleet: &FleetConfig) -> Result<&CarrierConfig> {
@@ -44,7 +44,7 @@
 async fn publisher(
     fleet: &FleetConfig,
     patience: Duration,
-) -> Result<(Called, CarrierStatus), (Option<CarrierStatus>, String)> {
+) -> Result<(CommandLink, CarrierStatus), (Option<CarrierStatus>, String)> {
     let carrier = carrier(fleet).map_err(|error| (None, error.to_string()))?;
     let until = Instant::now() + patience;
     let (mut newest, mut why): (Option<CarrierStatus>, String) = (None, "no control machine answers".into());
@@ -68,7 +68,7 @@
                 }
                 Ok((_, status)) => {
                     why = "no control machine is known to publish".into();
-                    if newest.as_ref().is_none_or(|newest| newest.holds < status.holds) {
+                    if newest.as_ref().is_none_or(|newest| newest.version < status.version) {
                         newest = Some(status);
                     }
                 }
@@ -127,11 +127,12 @@
             Err(_) if offered => return Ok(ChangeOutcome::Unknown),
             Err((_, why)) => bail!("nothing was written: {why}"),
         };
-        let answer = called.ask(Frame::Offer(1, vec![change.clone()]), SETTLES, |frame| match frame {
-            Frame::Offered(1, outcome) => Some(Some(outcome)),
-            Frame::CarrierIs(_) => Some(None),
-            _ => None,
-        });
+        let answer =
+            called.query(Frame::SubmitChanges(1, vec![change.clone()]), SETTLES, |frame| match frame {
+                Frame::ChangeOutcome(1, outcome) => Some(Some(outcome)),
+                Frame::CarrierStatus(_) => Some(None),
+                _ => None,
+            });
         match answer.await {
             // Another publishes by now.
             Ok(None) => {}
@@ -158,7 +159,7 @@
         let left = until.saturating_duration_since(Instant::now());
         match publisher(fleet, left).await {
             Ok((mut called, mut status)) => loop {
-                let sum = &status.sum;
+                let sum = &status.summary;
                 let refused = |exception: &Exception| matches!(exception.kind, ExceptionKind::Refused { .. });
                 let all = gathered(&status) && sum.in_force >= version && sum.unnamed == 0;
                 if all && sum.exceptions.is_empty() {
@@ -185,7 +186,7 @@
 /// `pumicebay fleet changes`.
 pub async fn changes(fleet: &FleetConfig, as_json: bool) -> Result<ExitCode> {
     carrier(fleet)?;
-    let (status, published) = match publisher(fleet, ANSWERS).await {
+    let (status, published) = match publisher(fleet, ANSWER_TIMEOUT).await {
         Ok((_, status)) => (status, true),
         Err((Some(status), _)) => (status, false),
         Err((None, why)) => bail!("{why}"),
@@ -203,11 +204,20 @@
 }
 
 fn gathered(status: &CarrierStatus) -> bool {
-    status.publishes.is_some_and(|time| Duration::from_nanos(time) >= GATHERED)
+    status.publishing_for.is_some_and(|time| Duration::from_nanos(time) >= GATHERED)
 }
 
 fn shown(status: &CarrierStatus) -> Json {
-    let CarrierStatus { name, publisher, publishes, holds, age, sum, queue, children } = status;
+    let CarrierStatus {
+        name,
+        publisher,
+        publishing_for: publishes,
+        version: holds,
+        age,
+        summary: sum,
+        queued_changes: queue,
+        children,
+    } = status;
     let exception = |exception: &Exception| {
         let why = match &exception.kind {
             ExceptionKind::Refused { scope, resource, version, reason } => {
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -1,6 +1,6 @@
 //! The section `fleet.carrier` of the configuration. Every message names the key.
 
-use crate::fleet::config::addresses;
+use crate::fleet::config::parse_addresses;
 use crate::validation::check_value;
 use anyhow::{Context, Result, bail, ensure};
 use serde_json::Value as Json;
@@ -65,13 +65,13 @@
             check_value(json, &format!("/fleet/carrier/{key}"), &wanted, fits)?;
             Ok(carrier.get(key).and_then(Json::as_u64).unwrap_or(default) as usize)
         };
-        let control = addresses(carrier, "fleet.carrier", "control")?;
+        let control = parse_addresses(carrier, "fleet.carrier", "control")?;
         ensure!(
             (1..=MOST_CONTROL).contains(&control.len()),
             "fleet.carrier.control: expected 1 to {MOST_CONTROL}, found {}",
             control.len()
         );
-        let relays = addresses(carrier, "fleet.carrier", "relays")?;
+        let relays = parse_addresses(carrier, "fleet.carrier", "relays")?;
         if let Some(twice) = relays.keys().find(|relay| control.contains_key(*relay)) {
             bail!("fleet.carrier.relays: {twice} is among the control machines");
         }
--- a/crates/proxy/src/fleet/carrier/disk.rs
+++ b/crates/proxy/src/fleet/carrier/disk.rs
@@ -1,24 +1,24 @@
 //! The last good set on disk, where the process has a folder for it. None of it keeps a process from serving.
 
 use crate::fleet::carrier::door::{Door, Event};
-use crate::fleet::checksummed_file::Sealed;
+use crate::fleet::checksummed_file::ChecksummedFile;
 use anyhow::{Context, Result};
 use pumicebay_carrier::Snapshot;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-const FILE: Sealed = Sealed {
+const FILE: ChecksummedFile = ChecksummedFile {
     magic: b"pumicebc",
     version: 1,
-    foreign: "no file of the carrier",
-    name: "carrier",
-    lock: "carrier.lock",
+    wrong_magic_message: "no file of the carrier",
+    file_name: "carrier",
+    lock_name: "carrier.lock",
 };
 
 /// What was kept there, if anything; why not, if it can't be read.
 pub fn read(folder: &Path) -> Result<Option<Snapshot>> {
     let Some(bytes) = FILE.read(folder)? else { return Ok(None) };
-    decode(&bytes).map(Some).with_context(|| folder.join(FILE.name).display().to_string())
+    decode(&bytes).map(Some).with_context(|| folder.join(FILE.file_name).display().to_string())
 }
 
 /// Writes what comes, the newest only, as long as the process lives.
@@ -27,7 +27,7 @@
         let door = door.clone();
         async move { _ = door.say(Event::Kept(kept.version)).await }
     };
-    FILE.keep_newest("carrier", folder, newest, written).await;
+    FILE.persist_latest("carrier", folder, newest, written).await;
 }
 
 pub fn encode(kept: &Snapshot) -> Result<Vec<u8>> {
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::acceptor::Acceptor;
 use crate::fleet::carrier::door::{Door, Event};
-use crate::fleet::local_process::Me;
-use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::wire::{Frame, Hello, Link, MIN_CARRIER_VERSION, Role};
 use anyhow::{Context, Result, ensure};
 use pumicebay_carrier::{ChildId, ChildMessage, ParentMessage};
 use std::net::SocketAddr;
@@ -21,9 +21,15 @@
 const SPARE: usize = 256;
 
 /// Accepts as long as the process lives.
-pub async fn accept(me: Me, door: Door, at: SocketAddr, children: usize) {
+pub async fn accept(me: LocalProcess, door: Door, at: SocketAddr, children: usize) {
     let most = children.saturating_add(SPARE);
-    let acceptor = Acceptor { part: "carrier", key: "fleet.carrier.listen", callers: "children", at, most };
+    let acceptor = Acceptor {
+        log_prefix: "carrier",
+        config_key: "fleet.carrier.listen",
+        peer_kind: "children",
+        address: at,
+        max_links: most,
+    };
     let serve = |stream, number| {
         let (me, door) = (me.clone(), door.clone());
         async move {
@@ -35,14 +41,18 @@
     acceptor.run(serve).await;
 }
 
-fn hello(me: &Me) -> Hello {
-    Hello::new(&me.config.name, &me.who, Role::Proxy, None)
+fn hello(me: &LocalProcess) -> Hello {
+    Hello::new(&me.config.name, &me.id, Role::Proxy, None)
 }
 
-async fn serve(me: &Me, door: &Door, stream: TcpStream, number: ChildId) -> Result<()> {
-    let (mut link, other) = Link::take(stream, async || hello(me)).await?;
-    let name = other.who.to_string();
-    ensure!(link.speaks() >= CARRIER, "{name} speaks links up to {}, not {CARRIER}", link.speaks());
+async fn serve(me: &LocalProcess, door: &Door, stream: TcpStream, number: ChildId) -> Result<()> {
+    let (mut link, other) = Link::accept(stream, async || hello(me)).await?;
+    let name = other.id.to_string();
+    ensure!(
+        link.version() >= MIN_CARRIER_VERSION,
+        "{name} speaks links up to {}, not {MIN_CARRIER_VERSION}",
+        link.version()
+    );
     if other.role == Role::Command {
         // Commands come and go.
         if let Err(error) = command(door, &mut link).await {
@@ -64,13 +74,13 @@
     number: ChildId,
     mut mailbox: mpsc::Receiver<ParentMessage>,
 ) -> Result<()> {
-    let said = |down| Frame::Down(Box::new(down));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        let Frame::Up(up) = frame else { continue };
+    let said = |down| Frame::ToChild(Box::new(down));
+    while let Some(frame) = link.next_while_sending(&mut mailbox, said).await? {
+        let Frame::ToParent(up) = frame else { continue };
         if let ChildMessage::Subscribe { attachment, .. } = &*up {
             let who = &attachment.member;
-            let same = who.name == other.who.name && who.incarnation == other.who.incarnation;
-            ensure!(same, "subscribes as {}, and said hello as {}", who.name, other.who);
+            let same = who.name == other.id.name && who.incarnation == other.id.incarnation;
+            ensure!(same, "subscribes as {}, and said hello as {}", who.name, other.id);
         }
         door.say(Event::ChildSaid(number, *up)).await;
     }
@@ -79,12 +89,12 @@
 
 async fn command(door: &Door, link: &mut Link) -> Result<()> {
     let (answers, mut answered) = mpsc::channel(ANSWERS);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+    while let Some(frame) = link.next_while_sending(&mut answered, |frame| frame).await? {
         match frame {
-            Frame::Offer(number, changes) => {
+            Frame::SubmitChanges(number, changes) => {
                 door.say(Event::Offer(number, changes, answers.clone())).await;
             }
-            Frame::Carrier => _ = door.say(Event::Status(answers.clone())).await,
+            Frame::CarrierStatusRequest => _ = door.say(Event::Status(answers.clone())).await,
             _ => {}
         }
     }
@@ -107,7 +117,14 @@
 }
 
 /// Dials; what comes of it, and that it ended, is said under this number. `first` is the dial after a link that was up.
-pub fn dial(me: &Me, door: &Door, number: u64, name: &str, at: Option<SocketAddr>, first: bool) -> Parent {
+pub fn dial(
+    me: &LocalProcess,
+    door: &Door,
+    number: u64,
+    name: &str,
+    at: Option<SocketAddr>,
+    first: bool,
+) -> Parent {
     let (ups, mailbox) = mpsc::channel(UPS);
     let (me, door, parent) = (me.clone(), door.clone(), name.to_string());
     let task = tokio::spawn(async move {
@@ -125,7 +142,7 @@
 }
 
 async fn parent_link(
-    me: &Me,
+    me: &LocalProcess,
     door: &Door,
     number: u64,
     name: &str,
@@ -135,14 +152,14 @@
 ) -> Result<()> {
     let at = at.context("fleet.carrier has no such control machine or relay")?;
     let (mut link, other) = Link::connect(at, &hello(me)).await?;
-    ensure!(other.who.name == name, "at {at} is {}", other.who);
-    link.ensure_speaks(CARRIER)?;
+    ensure!(other.id.name == name, "at {at} is {}", other.id);
+    link.ensure_version(MIN_CARRIER_VERSION)?;
     door.say(Event::ParentUp(number)).await;
     *up = true;
-    tracing::info!("carrier: parent is {}", other.who);
-    let said = |up| Frame::Up(Box::new(up));
-    while let Some(frame) = link.hear(&mut mailbox, said).await? {
-        if let Frame::Down(down) = frame {
+    tracing::info!("carrier: parent is {}", other.id);
+    let said = |up| Frame::ToParent(Box::new(up));
+    while let Some(frame) = link.next_while_sending(&mut mailbox, said).await? {
+        if let Frame::ToChild(down) = frame {
             door.say(Event::ParentSaid(number, *down)).await;
         }
     }
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -27,8 +27,8 @@
 use crate::fleet::carrier::apply::{Laid, Layer};
 use crate::fleet::carrier::config::CarrierConfig;
 use crate::fleet::carrier::door::Door;
-use crate::fleet::local_process::Me;
-use crate::fleet::voter_client::Asker;
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::voter_client::VoterClient;
 use pumicebay_carrier::{Location, Snapshot};
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -66,9 +66,9 @@
 /// Takes its part: keeps a link to a parent, takes children if it is to, publishes if it is its turn, and tells how old what
 /// it has is. Gives the way to it, and what has to run as long as it does.
 pub fn start(
-    me: &Me,
+    me: &LocalProcess,
     config: Arc<CarrierConfig>,
-    asker: Option<Asker>,
+    asker: Option<VoterClient>,
     layer: Layer,
     kept: Option<Snapshot>,
     tell: watch::Sender<Told>,
@@ -81,14 +81,14 @@
         actors.spawn(disk::run(folder, newest, door.clone()));
         keep
     });
-    if let Some(at) = config.listens(&me.who.name) {
+    if let Some(at) = config.listens(&me.id.name) {
         actors.spawn(links::accept(me.clone(), door.clone(), at, config.children));
     }
-    let asker = asker.filter(|_| config.part(&me.who.name) == config::Part::Control);
+    let asker = asker.filter(|_| config.part(&me.id.name) == config::Part::Control);
     if let Some(asker) = asker.clone() {
         actors.spawn(publish::want(asker, door.clone(), given));
     }
     let ways = Ways { door: door.clone(), layer, asker, keep, give_back, tell };
     actors.spawn(actor::run(me.clone(), config, kept, ways, events));
-    (door, super::watched(actors))
+    (door, super::watch_actors(actors))
 }
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -1,8 +1,8 @@
 //! What a publisher asks for, carried out: reads and writes of the record under the lease, and answers to commands.
 
 use crate::fleet::carrier::door::{Door, Event};
-use crate::fleet::lease::Lease;
-use crate::fleet::voter_client::Asker;
+use crate::fleet::lease::LeaseHandle;
+use crate::fleet::voter_client::VoterClient;
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{HeldLease, OperationKind, Reply, SharedRecord, Token};
 use pumicebay_carrier::{ChangeOutcome, PublisherHost, Resource, Version, WriteOutcome};
@@ -27,7 +27,7 @@
 
 /// The host of one publisher, for as long as its lease.
 pub struct Host {
-    asker: Asker,
+    asker: VoterClient,
     door: Door,
     /// Of the publisher: answers to an earlier one count no more.
     pub number: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Host {
-    pub fn new(asker: Asker, door: Door, number: u64, token: Token) -> Host {
+    pub fn new(asker: VoterClient, door: Door, number: u64, token: Token) -> Host {
         Host { asker, door, number, token, acts: Vec::new(), waiting: BTreeMap::new(), last: 0 }
     }
 
@@ -53,7 +53,7 @@
     /// Whoever still waits is told that it is not known.
     pub fn end(&mut self) {
         for (command, link) in std::mem::take(&mut self.waiting).into_values() {
-            let _ = link.try_send(Frame::Offered(command, ChangeOutcome::Unknown));
+            let _ = link.try_send(Frame::ChangeOutcome(command, ChangeOutcome::Unknown));
         }
     }
 }
@@ -62,7 +62,7 @@
     fn read_record(&mut self) {
         let (asker, door, number) = (self.asker.clone(), self.door.clone(), self.number);
         tokio::spawn(async move {
-            let reply = asker.want(OperationKind::Read, PATIENCE).await;
+            let reply = asker.submit(OperationKind::Read, PATIENCE).await;
             door.say(Event::Read(number, reply)).await;
         });
     }
@@ -72,7 +72,7 @@
         let fence = Some((NAME.into(), self.token));
         let want = OperationKind::Put { name: NAME.into(), text, expected_version: Some(version), fence };
         tokio::spawn(async move {
-            let reply = asker.want(want, PATIENCE).await;
+            let reply = asker.submit(want, PATIENCE).await;
             door.say(Event::Written(number, reply)).await;
         });
     }
@@ -83,7 +83,7 @@
 
     fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
         if let Some((command, link)) = self.waiting.remove(&number) {
-            let _ = link.try_send(Frame::Offered(command, outcome));
+            let _ = link.try_send(Frame::ChangeOutcome(command, outcome));
         }
     }
 
@@ -111,9 +111,9 @@
 
 /// Wants the lease as long as the process lives, and says who has it. `given` has a word in it each time it is to be given
 /// back.
-pub async fn want(asker: Asker, door: Door, mut given: mpsc::Receiver<()>) {
+pub async fn want(asker: VoterClient, door: Door, mut given: mpsc::Receiver<()>) {
     loop {
-        let mut lease = Lease::want(asker.clone(), NAME, LEASE);
+        let mut lease = LeaseHandle::acquire(asker.clone(), NAME, LEASE);
         let (mut held, mut holder) = (lease.held.clone(), lease.holder.clone());
         let mut told: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
@@ -132,7 +132,7 @@
                     if asked.is_none() {
                         return;
                     }
-                    lease.give_back().await;
+                    lease.release().await;
                     door.say(Event::Lease(None, None)).await;
                     sleep(AFTER_GIVING_BACK).await;
                     break;
--- a/crates/proxy/src/fleet/command.rs
+++ b/crates/proxy/src/fleet/command.rs
@@ -1,12 +1,12 @@
 //! `pumicebay fleet ...`: what operators ask of a fleet. Each command reads a configuration's section `fleet` alone.
 
 use crate::fleet::carrier::command as carrier;
-use crate::fleet::command_link::{ANSWERS, Called};
+use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::local_process::{FleetClock, Me, draw, incarnation};
+use crate::fleet::local_process::{FleetClock, LocalProcess, new_incarnation, random_id};
 use crate::fleet::replication::command as replication;
-use crate::fleet::voter_client::Asker;
-use crate::fleet::wire::{Frame, Hello, Status};
+use crate::fleet::voter_client::VoterClient;
+use crate::fleet::wire::{Frame, Hello, VoterStatus};
 use crate::fleet::{run, start_command, store};
 use anyhow::{Context, Result, bail, ensure};
 use lexopt::prelude::*;
@@ -55,12 +55,12 @@
 FILE is by default what $PROXY_CONFIG names.";
 
 /// How long a command waits for a majority.
-const PATIENCE: Duration = Duration::from_secs(5);
+const QUORUM_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
-struct Call {
+struct Arguments {
     command: Option<String>,
-    words: Vec<String>,
+    operands: Vec<String>,
     file: Option<String>,
     json: bool,
     lease: Option<String>,
@@ -73,110 +73,114 @@
 
 /// The arguments after `fleet`.
 pub fn main(mut args: lexopt::Parser, runtime: &tokio::runtime::Runtime) -> Result<ExitCode> {
-    let mut call = Call::default();
+    let mut arguments = Arguments::default();
     while let Some(arg) = args.next()? {
         match arg {
-            Long("config") => call.file = Some(args.value()?.string()?),
-            Long("json") => call.json = true,
-            Long("lease") => call.lease = Some(args.value()?.string()?),
-            Long("time") => call.time = Some(args.value()?.parse().context("--time")?),
-            Long("give-up") => call.give_up = Some(args.value()?.parse().context("--give-up")?),
-            Long("from") => call.from = Some(args.value()?.into()),
-            Long("wait") => call.wait = Some(args.value()?.parse().context("--wait")?),
-            Long("version") => call.version = Some(args.value()?.parse().context("--version")?),
-            Short('h') | Long("help") => call.command = Some("help".into()),
-            Value(word) if call.command.is_none() => call.command = Some(word.string()?),
+            Long("config") => arguments.file = Some(args.value()?.string()?),
+            Long("json") => arguments.json = true,
+            Long("lease") => arguments.lease = Some(args.value()?.string()?),
+            Long("time") => arguments.time = Some(args.value()?.parse().context("--time")?),
+            Long("give-up") => arguments.give_up = Some(args.value()?.parse().context("--give-up")?),
+            Long("from") => arguments.from = Some(args.value()?.into()),
+            Long("wait") => arguments.wait = Some(args.value()?.parse().context("--wait")?),
+            Long("version") => arguments.version = Some(args.value()?.parse().context("--version")?),
+            Short('h') | Long("help") => arguments.command = Some("help".into()),
+            Value(word) if arguments.command.is_none() => arguments.command = Some(word.string()?),
             Value(word) => {
-                call.words.push(word.string()?);
+                arguments.operands.push(word.string()?);
                 // What follows the first word of a command to run belongs to that command.
-                if matches!(call.command.as_deref(), Some("run" | "guard")) {
+                if matches!(arguments.command.as_deref(), Some("run" | "guard")) {
                     let rest = args.raw_args()?.map(|word| word.into_string());
-                    call.words
+                    arguments
+                        .operands
                         .extend(rest.collect::<Result<Vec<_>, _>>().map_err(|w| anyhow::anyhow!("{w:?}"))?);
                 }
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    let command = call.command.as_deref().context("no command; see pumicebay fleet help")?;
+    let command = arguments.command.as_deref().context("no command; see pumicebay fleet help")?;
     if command == "help" {
         println!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     }
     if command == "guard" {
-        let (program, arguments) = call.words.split_first().context("guard: no command")?;
+        let (program, arguments) = arguments.operands.split_first().context("guard: no command")?;
         return runtime.block_on(run::guard(program, arguments));
     }
-    let file = call.file.clone().or_else(|| std::env::var("PROXY_CONFIG").ok());
+    let file = arguments.file.clone().or_else(|| std::env::var("PROXY_CONFIG").ok());
     let file = file.context("no configuration: neither --config nor $PROXY_CONFIG is given")?;
     let text = std::fs::read_to_string(&file).with_context(|| format!("configuration {file}"))?;
     let config: Json = serde_json::from_str(&text).with_context(|| format!("configuration {file}"))?;
     let config = FleetConfig::parse(&config, "").with_context(|| format!("configuration {file}"))?;
     let config = Arc::new(config.context("fleet: missing; this proxy is in no fleet")?);
-    runtime.block_on(call.carry_out(command, config))
+    runtime.block_on(arguments.execute(command, config))
 }
 
-impl Call {
-    fn waits(&self) -> Result<Option<Duration>> {
-        self.wait.map(|wait| seconds("--wait", wait)).transpose()
+impl Arguments {
+    fn wait_time(&self) -> Result<Option<Duration>> {
+        self.wait.map(|wait| parse_seconds("--wait", wait)).transpose()
     }
 
-    async fn carry_out(&self, command: &str, config: Arc<FleetConfig>) -> Result<ExitCode> {
-        match (command, &self.words[..]) {
+    async fn execute(&self, command: &str, config: Arc<FleetConfig>) -> Result<ExitCode> {
+        match (command, &self.operands[..]) {
             ("status", []) => return status(&config, self.json).await,
-            ("found", []) => return found(&config, self.from.as_deref(), self.wait).await,
+            ("found", []) => return bootstrap(&config, self.from.as_deref(), self.wait).await,
             ("trust", [name]) => return trust(&config, name).await,
-            ("drain", [node]) => return replication::order(config, node, true, self.waits()?).await,
-            ("undrain", [node]) => return replication::order(config, node, false, self.waits()?).await,
+            ("drain", [node]) => return replication::order(config, node, true, self.wait_time()?).await,
+            ("undrain", [node]) => return replication::order(config, node, false, self.wait_time()?).await,
             ("orders", []) => return replication::orders(config, self.json).await,
             ("changes", []) => return carrier::changes(&config, self.json).await,
             ("set", [scope, name, file]) => {
-                return carrier::change(&config, scope, name, Some(file), self.waits()?).await;
+                return carrier::change(&config, scope, name, Some(file), self.wait_time()?).await;
             }
             ("unset", [scope, name]) => {
-                return carrier::change(&config, scope, name, None, self.waits()?).await;
+                return carrier::change(&config, scope, name, None, self.wait_time()?).await;
             }
             _ => {}
         }
-        let who = ProcessId { name: format!("command-{:08x}", draw() as u32), incarnation: incarnation() };
+        let id =
+            ProcessId { name: format!("command-{:08x}", random_id() as u32), incarnation: new_incarnation() };
         let clock = FleetClock::new(config.clock_ppm);
-        let me = Me { who, config, clock };
+        let local = LocalProcess { id, config, clock };
         let mut actors = JoinSet::new();
-        let asker = start_command(&me, &mut actors);
-        match (command, &self.words[..]) {
+        let voters = start_command(&local, &mut actors);
+        match (command, &self.operands[..]) {
             ("run", [program, arguments @ ..]) => {
                 let lease = self.lease.as_deref().context("run: --lease NAME is missing")?;
-                let time = seconds("--time", self.time.unwrap_or(10.0))?;
-                let give_up = self.give_up.map(|give_up| seconds("--give-up", give_up)).transpose()?;
-                run::run(asker, lease, time, give_up, program, arguments).await
+                let time = parse_seconds("--time", self.time.unwrap_or(10.0))?;
+                let give_up = self.give_up.map(|give_up| parse_seconds("--give-up", give_up)).transpose()?;
+                run::run(voters, lease, time, give_up, program, arguments).await
             }
             ("run", []) => bail!("run: no command; it follows --"),
-            ("take-away", [name]) => done(asker.want(OperationKind::TakeAway(name.clone()), PATIENCE).await),
+            ("take-away", [name]) => {
+                print_reply(voters.submit(OperationKind::TakeAway(name.clone()), QUORUM_TIMEOUT).await)
+            }
             ("get", [name]) => {
-                let record = read(&asker).await?;
+                let record = read(&voters).await?;
                 let entry = record.0.values.get(name).with_context(|| format!("no value {name:?}"))?;
                 println!("{} {}", entry.version, entry.text);
                 Ok(ExitCode::SUCCESS)
             }
             ("put", [name, text]) => {
                 let (name, text) = (name.clone(), text.clone());
-                let want = OperationKind::Put { name, text, expected_version: self.version, fence: None };
-                done(asker.want(want, PATIENCE).await)
+                let kind = OperationKind::Put { name, text, expected_version: self.version, fence: None };
+                print_reply(voters.submit(kind, QUORUM_TIMEOUT).await)
             }
-            ("replace", [out]) => replace(&asker, out, out).await,
-            ("replace", [out, new]) => replace(&asker, out, new).await,
+            ("replace", [replaced]) => replace(&voters, replaced, replaced).await,
+            ("replace", [replaced, new]) => replace(&voters, replaced, new).await,
             (command, words) => bail!("{command:?} with {} words; see pumicebay fleet help", words.len()),
         }
     }
 }
 
-fn seconds(key: &str, value: f64) -> Result<Duration> {
+fn parse_seconds(key: &str, value: f64) -> Result<Duration> {
     let time = Duration::try_from_secs_f64(value).ok().filter(|time| *time >= Duration::from_millis(100));
     time.filter(|time| *time <= Duration::from_secs(86_400))
         .with_context(|| format!("{key}: expected 0.1 to 86400 seconds"))
 }
 
-fn done(reply: Reply) -> Result<ExitCode> {
+fn print_reply(reply: Reply) -> Result<ExitCode> {
     match reply {
         Reply::Done => Ok(ExitCode::SUCCESS),
         Reply::Written(version) => {
@@ -191,142 +195,157 @@
     }
 }
 
-async fn read(asker: &Asker) -> Result<SharedRecord> {
-    match asker.want(OperationKind::Read, PATIENCE).await {
+async fn read(voters: &VoterClient) -> Result<SharedRecord> {
+    match voters.submit(OperationKind::Read, QUORUM_TIMEOUT).await {
         Reply::Record(record) => Ok(record),
         Reply::Unknown => bail!("no majority of the voters answered in time; see pumicebay fleet status"),
         other => bail!("unexpected answer {other:?}"),
     }
 }
 
-async fn found(config: &FleetConfig, from: Option<&Path>, wait: Option<f64>) -> Result<ExitCode> {
-    let survived = from.map(|file| survivor(file, &config.name)).transpose()?;
-    let wait = wait.map(|wait| seconds("--wait", wait)).transpose()?;
-    ensure!(wait.is_none() || survived.is_some(), "--wait: only with --from");
-    let (mut called, mut voters) = (Vec::new(), Vec::new());
-    for (name, at) in &config.voters {
-        let one = Called::call(config, *at).await.with_context(|| format!("voter {name} at {at}"))?;
-        let disk = one
+async fn bootstrap(config: &FleetConfig, from: Option<&Path>, wait: Option<f64>) -> Result<ExitCode> {
+    let survivor_record = from.map(|file| survivor(file, &config.name)).transpose()?;
+    let wait = wait.map(|wait| parse_seconds("--wait", wait)).transpose()?;
+    ensure!(wait.is_none() || survivor_record.is_some(), "--wait: only with --from");
+    let (mut links, mut voters) = (Vec::new(), Vec::new());
+    for (name, address) in &config.voters {
+        let link = CommandLink::connect(config, *address)
+            .await
+            .with_context(|| format!("voter {name} at {address}"))?;
+        let disk = link
             .hello
             .voter
             .as_ref()
             .with_context(|| format!("{name} does not vote, or its disk is not open"))?;
-        ensure!(one.hello.who.name == *name, "at {at} is {}, not {name}", one.hello.who);
+        ensure!(link.hello.id.name == *name, "at {address} is {}, not {name}", link.hello.id);
         ensure!(disk.empty, "{name} has a record, founded at {}: the fleet is founded already", disk.founded);
         voters.push(Member { name: name.clone(), store: disk.store });
-        called.push(one);
+        links.push(link);
     }
     let founded = SystemTime::now().duration_since(UNIX_EPOCH)?.as_millis() as u64;
-    let record = match survived {
+    let record = match survivor_record {
         None => Record::bootstrap(founded, voters),
-        Some(survived) => {
+        Some(survivor_record) => {
             // All voters are empty now: nobody renews a lease of the record before, whose holders stop in their time.
-            let wait =
-                wait.unwrap_or_else(|| Duration::from_nanos(max_lease_wait(&survived, config.drift_ppm)));
+            let wait = wait
+                .unwrap_or_else(|| Duration::from_nanos(max_lease_wait(&survivor_record, config.drift_ppm)));
             eprintln!(
                 "pumicebay: version {} goes on in {:.1} s: what was agreed after it is lost",
-                survived.version,
+                survivor_record.version,
                 wait.as_secs_f64()
             );
             sleep(wait).await;
-            Record::bootstrap_from(founded, voters, &survived)
+            Record::bootstrap_from(founded, voters, &survivor_record)
         }
     };
-    for one in &mut called {
-        let taken = one
-            .ask(Frame::Found(record.clone()), ANSWERS, taken)
+    for link in &mut links {
+        let accepted = link
+            .query(Frame::Bootstrap(record.clone()), ANSWER_TIMEOUT, accepted)
             .await
-            .with_context(|| one_name(&one.hello))?;
-        ensure!(taken, "{} took another founding; empty all folders and begin again", one_name(&one.hello));
+            .with_context(|| voter_label(&link.hello))?;
+        ensure!(
+            accepted,
+            "{} took another founding; empty all folders and begin again",
+            voter_label(&link.hello)
+        );
     }
-    println!("founded {} with {} voters", config.name, called.len());
+    println!("founded {} with {} voters", config.name, links.len());
     Ok(ExitCode::SUCCESS)
 }
 
 /// The record of a voter that survived, from its file or one that was set aside.
 fn survivor(file: &Path, fleet: &str) -> Result<Record> {
     let bytes = std::fs::read(file).with_context(|| format!("--from {}", file.display()))?;
-    let kept = store::decode(&bytes).with_context(|| format!("--from {}", file.display()))?;
-    ensure!(kept.fleet == fleet, "--from {}: of fleet {:?}, not {fleet:?}", file.display(), kept.fleet);
-    ensure!(!kept.is_empty(), "--from {}: has no record", file.display());
-    Ok((*kept.record.0).clone())
+    let state = store::decode(&bytes).with_context(|| format!("--from {}", file.display()))?;
+    ensure!(state.fleet == fleet, "--from {}: of fleet {:?}, not {fleet:?}", file.display(), state.fleet);
+    ensure!(!state.is_empty(), "--from {}: has no record", file.display());
+    Ok((*state.record.0).clone())
 }
 
 /// An operator's word for a voter that waits for others who are gone for good.
 async fn trust(config: &FleetConfig, name: &str) -> Result<ExitCode> {
-    let taken = Called::call(config, config.called(name)?)
+    let accepted = CommandLink::connect(config, config.voter_address(name)?)
         .await?
-        .ask(Frame::Trust, ANSWERS, taken)
+        .query(Frame::TrustDisk, ANSWER_TIMEOUT, accepted)
         .await
         .with_context(|| format!("voter {name}"))?;
-    ensure!(taken, "{name} has nothing to be trusted with: see pumicebay fleet status");
+    ensure!(accepted, "{name} has nothing to be trusted with: see pumicebay fleet status");
     Ok(ExitCode::SUCCESS)
 }
 
-fn taken(frame: Frame) -> Option<bool> {
+fn accepted(frame: Frame) -> Option<bool> {
     match frame {
-        Frame::Taken(taken) => Some(taken),
+        Frame::Accepted(accepted) => Some(accepted),
         _ => None,
     }
 }
 
-fn one_name(hello: &Hello) -> String {
-    format!("voter {}", hello.who.name)
+fn voter_label(hello: &Hello) -> String {
+    format!("voter {}", hello.id.name)
 }
 
-async fn replace(asker: &Asker, out: &str, new: &str) -> Result<ExitCode> {
-    let config = &asker.me.config;
-    let at = config.called(new)?;
-    let hello = Called::call(config, at).await.with_context(|| format!("{new} at {at}"))?.hello;
+async fn replace(voters: &VoterClient, replaced: &str, new: &str) -> Result<ExitCode> {
+    let config = &voters.local.config;
+    let address = config.voter_address(new)?;
+    let hello =
+        CommandLink::connect(config, address).await.with_context(|| format!("{new} at {address}"))?.hello;
     let disk = hello.voter.with_context(|| format!("{new} does not vote, or its disk is not open"))?;
-    let record = read(asker).await?;
+    let record = read(voters).await?;
     // Asked again after an answer that was lost.
     if record.0.is_voter(disk.store) {
         return Ok(ExitCode::SUCCESS);
     }
-    let old = record.0.voter_named(out).with_context(|| format!("{out} is no voter"))?;
+    let old = record.0.voter_named(replaced).with_context(|| format!("{replaced} is no voter"))?;
     ensure!(disk.empty || disk.store == old.store, "{new} has voted before: empty its folder first");
     let voter = Member { name: new.into(), store: disk.store };
-    done(asker.want(OperationKind::ReplaceVoter { replaced: out.into(), voter }, PATIENCE).await)
+    print_reply(
+        voters.submit(OperationKind::ReplaceVoter { replaced: replaced.into(), voter }, QUORUM_TIMEOUT).await,
+    )
 }
 
 async fn status(config: &FleetConfig, as_json: bool) -> Result<ExitCode> {
     let mut calls = JoinSet::new();
-    for (name, at) in config.callable() {
+    for (name, address) in config.potential_voters() {
         let (config, name) = (config.clone(), name.clone());
         calls.spawn(async move {
-            let asked = async {
-                let wanted = |frame| match frame {
-                    Frame::StatusIs(status) => Some(*status),
+            let query = async {
+                let extract = |frame| match frame {
+                    Frame::Status(status) => Some(*status),
                     _ => None,
                 };
-                Called::call(&config, at).await?.ask(Frame::Status, ANSWERS, wanted).await
+                CommandLink::connect(&config, address)
+                    .await?
+                    .query(Frame::StatusRequest, ANSWER_TIMEOUT, extract)
+                    .await
             };
-            (name, asked.await)
+            (name, query.await)
         });
     }
-    let all: BTreeMap<String, Result<Status>> = calls.join_all().await.into_iter().collect();
-    let there: Vec<&Status> = all.values().flatten().collect();
+    let all: BTreeMap<String, Result<VoterStatus>> = calls.join_all().await.into_iter().collect();
+    let reachable: Vec<&VoterStatus> = all.values().flatten().collect();
     // Agreed is what a majority of the voters has accepted alike; until then the newest is shown, and said to be so.
-    let newest = there.iter().max_by_key(|status| (status.record.0.founded, status.record.0.version));
+    let newest = reachable.iter().max_by_key(|status| (status.record.0.founded, status.record.0.version));
     let record = newest.map(|status| status.record.clone()).unwrap_or_default();
-    let same = |status: &&&Status| status.record == record && status.seated && status.trouble.is_none();
-    let agreed = record.0.has_quorum(&there.iter().filter(same).map(|status| status.disk.store).collect());
-    let shown = shown(&all, &record, agreed);
+    let holds_record = |status: &&&VoterStatus| {
+        status.record == record && status.is_current_voter && status.disk_error.is_none()
+    };
+    let agreed =
+        record.0.has_quorum(&reachable.iter().filter(holds_record).map(|status| status.disk.store).collect());
+    let status_json = status_json(&all, &record, agreed);
     if as_json {
-        println!("{shown:#}");
+        println!("{status_json:#}");
     } else {
-        print!("{}", words(&shown));
+        print!("{}", status_text(&status_json));
     }
     Ok(if agreed { ExitCode::SUCCESS } else { ExitCode::from(3) })
 }
 
-fn shown(all: &BTreeMap<String, Result<Status>>, record: &SharedRecord, agreed: bool) -> Json {
+fn status_json(all: &BTreeMap<String, Result<VoterStatus>>, record: &SharedRecord, agreed: bool) -> Json {
     let voters = all.iter().map(|(name, status)| match status {
         Ok(status) => json!({
-            "name": name, "standing": format!("{:?}", status.standing), "seated": status.seated,
-            "trouble": status.trouble, "store": format!("{:016x}", status.disk.store),
-            "written": status.disk.written, "version": status.record.0.version,
+            "name": name, "standing": format!("{:?}", status.voting_state), "seated": status.is_current_voter,
+            "trouble": status.disk_error, "store": format!("{:016x}", status.disk.store),
+            "written": status.disk.write_count, "version": status.record.0.version,
         }),
         Err(error) => json!({"name": name, "standing": "unreachable", "trouble": format!("{error:#}")}),
     });
@@ -334,17 +353,23 @@
     let rank =
         |seen: &PeerState| matches!(seen, PeerState::Up) as u8 * 2 + matches!(seen, PeerState::Silent) as u8;
     let mut present: BTreeMap<&String, (u64, u8, &PeerState, u64)> = BTreeMap::new();
-    for (name, life, seen, ago) in all.values().flatten().flat_map(|status| &status.present) {
-        let this = (*life, rank(seen), seen, *ago);
+    for (name, incarnation, seen, silent_for) in all.values().flatten().flat_map(|status| &status.peers) {
+        let this = (*incarnation, rank(seen), seen, *silent_for);
         let best = present.entry(name).or_insert(this);
         if (this.0, this.1, u64::MAX - this.3) > (best.0, best.1, u64::MAX - best.3) {
             *best = this;
         }
     }
     let left = |name: &String| {
-        let said =
-            |status: &Status| status.left.iter().find(|(lease, _)| lease == name).map(|(_, left)| *left);
-        all.values().flatten().filter(|status| status.record == *record).filter_map(said).min().unwrap_or(0)
+        let reported = |status: &VoterStatus| {
+            status.remaining_leases.iter().find(|(lease, _)| lease == name).map(|(_, left)| *left)
+        };
+        all.values()
+            .flatten()
+            .filter(|status| status.record == *record)
+            .filter_map(reported)
+            .min()
+            .unwrap_or(0)
     };
     let lease = |(name, lease): (&String, &Lease)| {
         json!({
@@ -356,8 +381,8 @@
         "agreed": agreed, "founded": record.0.founded, "version": record.0.version, "bytes": record.0.encoded_size(),
         "seats": record.0.voters.iter().map(|member| &member.name).collect::<Vec<_>>(),
         "voters": voters.collect::<Vec<_>>(),
-        "proxies": present.iter().map(|(name, (life, _, seen, ago))| {
-            json!({"name": name, "incarnation": life, "seen": format!("{seen:?}"), "heard_s": *ago as f64 / 1e9})
+        "proxies": present.iter().map(|(name, (incarnation, _, seen, silent_for))| {
+            json!({"name": name, "incarnation": incarnation, "seen": format!("{seen:?}"), "heard_s": *silent_for as f64 / 1e9})
         }).collect::<Vec<_>>(),
         "leases": record.0.leases.iter().map(lease).collect::<Vec<_>>(),
         "values": record.0.values.iter().map(|(name, entry)| {
@@ -366,26 +391,29 @@
     })
 }
 
-fn words(shown: &Json) -> String {
+fn status_text(status_json: &Json) -> String {
     let text = |json: &Json| match json {
         Json::String(text) => text.clone(),
         Json::Null => "-".into(),
         Json::Number(number) if number.is_f64() => format!("{:.1}", number.as_f64().unwrap_or(0.0)),
         other => other.to_string(),
     };
-    let agreed = match shown["agreed"].as_bool() {
+    let agreed = match status_json["agreed"].as_bool() {
         Some(true) => "agreed",
         _ => "NOT AGREED: no majority of the seats has it alike; shown is the newest seen",
     };
-    let mut lines =
-        format!("record {} of {} bytes, {agreed}\n", text(&shown["version"]), text(&shown["bytes"]));
+    let mut lines = format!(
+        "record {} of {} bytes, {agreed}\n",
+        text(&status_json["version"]),
+        text(&status_json["bytes"])
+    );
     for (what, keys) in [
         ("voters", &["name", "standing", "seated", "version", "trouble"][..]),
         ("leases", &["name", "holder", "token", "left_s", "taken_away"]),
         ("values", &["name", "version", "text"]),
         ("proxies", &["name", "incarnation", "seen", "heard_s"]),
     ] {
-        let rows = shown[what].as_array().map_or(&[][..], Vec::as_slice);
+        let rows = status_json[what].as_array().map_or(&[][..], Vec::as_slice);
         if rows.is_empty() {
             continue;
         }
--- a/crates/proxy/src/fleet/command_link.rs
+++ b/crates/proxy/src/fleet/command_link.rs
@@ -1,8 +1,8 @@
 //! A command's link to one process of the fleet.
 
 use crate::fleet::config::FleetConfig;
-use crate::fleet::local_process::incarnation;
-use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
+use crate::fleet::local_process::new_incarnation;
+use crate::fleet::wire::{Frame, HEARTBEAT_INTERVAL, Hello, Link, Role};
 use anyhow::{Context, Result};
 use pumicebay_accord::ProcessId;
 use std::net::SocketAddr;
@@ -10,48 +10,52 @@
 use tokio::time::{Instant, MissedTickBehavior, interval_at, timeout_at};
 
 /// How long a process may take to answer what it knows at once.
-pub const ANSWERS: Duration = Duration::from_secs(2);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub struct Called {
+pub struct CommandLink {
     link: Link,
     /// What the other end said of itself.
     pub hello: Hello,
 }
 
-impl Called {
-    pub async fn call(fleet: &FleetConfig, at: SocketAddr) -> Result<Called> {
-        let who = ProcessId { name: "command".into(), incarnation: incarnation() };
-        let own = Hello::new(&fleet.name, &who, Role::Command, None);
-        let (link, hello) = Link::connect(at, &own).await?;
-        Ok(Called { link, hello })
+impl CommandLink {
+    pub async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<CommandLink> {
+        let id = ProcessId { name: "command".into(), incarnation: new_incarnation() };
+        let own = Hello::new(&fleet.name, &id, Role::Command, None);
+        let (link, hello) = Link::connect(address, &own).await?;
+        Ok(CommandLink { link, hello })
     }
 
     /// The same, for frames that there are since this version of links.
-    pub async fn call_speaking(fleet: &FleetConfig, at: SocketAddr, version: u16) -> Result<Called> {
-        let called = Called::call(fleet, at).await?;
-        called.link.ensure_speaks(version)?;
-        Ok(called)
+    pub async fn connect_with_version(
+        fleet: &FleetConfig,
+        address: SocketAddr,
+        version: u16,
+    ) -> Result<CommandLink> {
+        let command_link = CommandLink::connect(fleet, address).await?;
+        command_link.link.ensure_version(version)?;
+        Ok(command_link)
     }
 
     /// Sends a frame and gives the first that is wanted of what comes back; the link is kept up meanwhile.
-    pub async fn ask<T>(
+    pub async fn query<T>(
         &mut self,
         frame: Frame,
-        patience: Duration,
-        wanted: impl Fn(Frame) -> Option<T>,
+        timeout: Duration,
+        extract: impl Fn(Frame) -> Option<T>,
     ) -> Result<T> {
         self.link.send(&frame).await?;
-        let until = Instant::now() + patience;
-        let mut beat = interval_at(Instant::now() + BEAT, BEAT);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let deadline = Instant::now() + timeout;
+        let mut heartbeat = interval_at(Instant::now() + HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL);
+        heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                frame = timeout_at(until, self.link.next()) => {
-                    if let Some(answer) = wanted(frame.context("no answer in time")??) {
+                frame = timeout_at(deadline, self.link.next()) => {
+                    if let Some(answer) = extract(frame.context("no answer in time")??) {
                         return Ok(answer);
                     }
                 }
-                _ = beat.tick() => self.link.send(&Frame::Beat(None)).await?,
+                _ = heartbeat.tick() => self.link.send(&Frame::Heartbeat(None)).await?,
             }
         }
     }
--- a/crates/proxy/src/fleet/config.rs
+++ b/crates/proxy/src/fleet/config.rs
@@ -26,10 +26,10 @@
     "replication",
 ];
 /// A quartz clock is good to some 100 millionths; a stepped or virtual one is worse.
-const DRIFT_PPM: u64 = 10_000;
-const MOST_DRIFT_PPM: u64 = 500_000;
-const ASKS: u64 = 1024;
-const LINKS: u64 = 1024;
+const DEFAULT_DRIFT_PPM: u64 = 10_000;
+const MAX_DRIFT_PPM: u64 = 500_000;
+const DEFAULT_MAX_PENDING: u64 = 1024;
+const DEFAULT_MAX_LINKS: u64 = 1024;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
@@ -48,10 +48,10 @@
     /// How much faster or slower than real time any clock of the fleet may run, in millionths; the same everywhere.
     pub drift_ppm: u64,
     /// Whether a voter that comes back hears one more of the others before it votes.
-    pub cautious: bool,
+    pub require_extra_confirmation: bool,
     /// Asks that wait at a voter, and links to it, at the most.
-    pub asks: usize,
-    pub links: usize,
+    pub max_pending: usize,
+    pub max_links: usize,
     /// For rigs: how much faster this process's fleet clock runs, in millionths.
     pub clock_ppm: i64,
     /// How changes of configuration reach this process, if they do.
@@ -78,22 +78,22 @@
         check_value(json, "/fleet/cautious", "true or false", Json::is_boolean)?;
         check_value(json, "/fleet/clock-ppm", "millionths", Json::is_i64)?;
         let text = |key: &str| fleet.get(key).and_then(Json::as_str);
-        let number = |key: &str, default: u64, most: u64| -> Result<u64> {
-            let fits = |value: &Json| value.as_u64().is_some_and(|value| value >= 1 && value <= most);
-            check_value(json, &format!("/fleet/{key}"), &format!("a number from 1 to {most}"), fits)?;
+        let number = |key: &str, default: u64, max: u64| -> Result<u64> {
+            let fits = |value: &Json| value.as_u64().is_some_and(|value| value >= 1 && value <= max);
+            check_value(json, &format!("/fleet/{key}"), &format!("a number from 1 to {max}"), fits)?;
             Ok(fleet.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
         let fleet_name = text("name").context("fleet.name: missing")?;
         ensure!((1..=100).contains(&fleet_name.len()), "fleet.name: expected 1 to 100 bytes");
-        let voters = addresses(fleet, "fleet", "voters")?;
+        let voters = parse_addresses(fleet, "fleet", "voters")?;
         ensure!(
             voters.len() == 3 || voters.len() == 5,
             "fleet.voters: expected three or five, found {}",
             voters.len()
         );
-        let spares = addresses(fleet, "fleet", "spares")?;
-        if let Some(twice) = spares.keys().find(|spare| voters.contains_key(*spare)) {
-            bail!("fleet.spares: {twice} is among the voters");
+        let spares = parse_addresses(fleet, "fleet", "spares")?;
+        if let Some(duplicate) = spares.keys().find(|spare| voters.contains_key(*spare)) {
+            bail!("fleet.spares: {duplicate} is among the voters");
         }
         let folder = text("folder").map(PathBuf::from);
         let may_vote = voters.contains_key(name) || spares.contains_key(name);
@@ -101,15 +101,18 @@
             folder.is_some() || !may_vote,
             "fleet.folder: missing, and {name} is among the voters or spares"
         );
-        let listen = text("listen").map(|at| {
-            at.parse().with_context(|| format!("fleet.listen: expected ADDRESS:PORT, found {at:?}"))
+        let listen = text("listen").map(|address| {
+            address.parse().with_context(|| format!("fleet.listen: expected ADDRESS:PORT, found {address:?}"))
         });
         let carrier = CarrierConfig::parse(json, name)?;
         if let Some(carrier) = &carrier {
-            let taken = |at: SocketAddr| voters.values().chain(spares.values()).any(|other| *other == at);
-            let mut all = carrier.control.iter().chain(&carrier.relays);
-            if let Some((other, at)) = all.find(|(_, at)| taken(**at)) {
-                bail!("fleet.carrier: {other} takes children at {at}, where a voter or spare takes links");
+            let in_use =
+                |address: SocketAddr| voters.values().chain(spares.values()).any(|other| *other == address);
+            let mut listeners = carrier.control.iter().chain(&carrier.relays);
+            if let Some((other, address)) = listeners.find(|(_, address)| in_use(**address)) {
+                bail!(
+                    "fleet.carrier: {other} takes children at {address}, where a voter or spare takes links"
+                );
             }
         }
         Ok(Some(FleetConfig {
@@ -119,10 +122,10 @@
             voters,
             spares,
             folder,
-            drift_ppm: number("drift-ppm", DRIFT_PPM, MOST_DRIFT_PPM)?,
-            cautious: fleet.get("cautious").and_then(Json::as_bool).unwrap_or(false),
-            asks: number("asks", ASKS, 1 << 20)? as usize,
-            links: number("links", LINKS, 1 << 16)? as usize,
+            drift_ppm: number("drift-ppm", DEFAULT_DRIFT_PPM, MAX_DRIFT_PPM)?,
+            require_extra_confirmation: fleet.get("cautious").and_then(Json::as_bool).unwrap_or(false),
+            max_pending: number("asks", DEFAULT_MAX_PENDING, 1 << 20)? as usize,
+            max_links: number("links", DEFAULT_MAX_LINKS, 1 << 16)? as usize,
             clock_ppm: fleet.get("clock-ppm").and_then(Json::as_i64).unwrap_or(0),
             carrier: carrier.map(Arc::new),
             replication: ReplicationConfig::parse(json, name)?.map(Arc::new),
@@ -130,32 +133,32 @@
     }
 
     /// Whether a process of this name keeps links to the voters: with a carrier, those at its edges do not.
-    pub fn asks_voters(&self, name: &str) -> bool {
-        let edge = |carrier: &Arc<CarrierConfig>| carrier.part(name) != Part::Control;
-        self.called(name).is_ok() || !self.carrier.as_ref().is_some_and(edge)
+    pub fn connects_to_voters(&self, name: &str) -> bool {
+        let not_control = |carrier: &Arc<CarrierConfig>| carrier.part(name) != Part::Control;
+        self.voter_address(name).is_ok() || !self.carrier.as_ref().is_some_and(not_control)
     }
 
     /// Where a process of this name takes links; only who may vote does.
-    pub fn listens(&self, name: &str) -> Option<SocketAddr> {
-        let called = self.called(name).ok()?;
-        Some(self.listen.unwrap_or(called))
+    pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
+        let address = self.voter_address(name).ok()?;
+        Some(self.listen.unwrap_or(address))
     }
 
     /// All that may vote, and where each is called.
-    pub fn callable(&self) -> impl Iterator<Item = (&String, SocketAddr)> {
-        self.voters.iter().chain(&self.spares).map(|(name, at)| (name, *at))
+    pub fn potential_voters(&self) -> impl Iterator<Item = (&String, SocketAddr)> {
+        self.voters.iter().chain(&self.spares).map(|(name, address)| (name, *address))
     }
 
     /// Where this one of them is called.
-    pub fn called(&self, name: &str) -> Result<SocketAddr> {
-        let at = self.voters.get(name).or_else(|| self.spares.get(name));
-        at.copied().with_context(|| format!("{name} is neither among fleet.voters nor fleet.spares"))
+    pub fn voter_address(&self, name: &str) -> Result<SocketAddr> {
+        let address = self.voters.get(name).or_else(|| self.spares.get(name));
+        address.copied().with_context(|| format!("{name} is neither among fleet.voters nor fleet.spares"))
     }
 
     pub fn summary(&self, name: &str) -> String {
-        let role = match self.listens(name) {
+        let role = match self.listen_address(name) {
             Some(_) => "may vote",
-            None if self.asks_voters(name) => "asks",
+            None if self.connects_to_voters(name) => "asks",
             None => "has no links to voters",
         };
         let carrier =
@@ -168,7 +171,7 @@
 }
 
 /// Names and addresses under `key` of the section that messages call `section`.
-pub fn addresses(json: &Json, section: &str, key: &str) -> Result<BTreeMap<String, SocketAddr>> {
+pub fn parse_addresses(json: &Json, section: &str, key: &str) -> Result<BTreeMap<String, SocketAddr>> {
     let all = json.get(key).unwrap_or(&Json::Null);
     if all.is_null() {
         return Ok(BTreeMap::new());
@@ -178,11 +181,11 @@
     object
         .iter()
         .filter(|(name, _)| !name.starts_with('#'))
-        .map(|(name, at)| {
-            let parsed = at.as_str().and_then(|at| at.parse().ok());
-            let at = parsed
-                .with_context(|| format!("{section}.{key}.{name}: expected ADDRESS:PORT, found {at}"))?;
-            Ok((name.clone(), at))
+        .map(|(name, address)| {
+            let parsed = address.as_str().and_then(|address| address.parse().ok());
+            let address = parsed
+                .with_context(|| format!("{section}.{key}.{name}: expected ADDRESS:PORT, found {address}"))?;
+            Ok((name.clone(), address))
         })
         .collect()
 }
--- a/crates/proxy/src/fleet/inbound.rs
+++ b/crates/proxy/src/fleet/inbound.rs
@@ -1,9 +1,9 @@
 //! Who calls a voter: other voters, proxies, commands. Each link is a task; one that does not read, or says nothing, ends.
 
 use crate::fleet::acceptor::Acceptor;
-use crate::fleet::local_process::Me;
-use crate::fleet::voter_handle::{Door, Event};
-use crate::fleet::wire::{BEAT, Frame, Hello, Link, Role};
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::voter_handle::{VoterEvent, VoterHandle};
+use crate::fleet::wire::{Frame, HEARTBEAT_INTERVAL, Hello, Link, Role};
 use anyhow::{Context, Result};
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
@@ -11,16 +11,22 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 /// Answers that wait on a link.
-const ANSWERS: usize = 64;
+const ANSWER_QUEUE: usize = 64;
 
 /// Accepts as long as the process lives.
-pub async fn accept(me: Me, door: Door, at: SocketAddr) {
-    let most = me.config.links;
-    let acceptor = Acceptor { part: "fleet", key: "fleet.listen", callers: "voters and askers", at, most };
+pub async fn accept(local: LocalProcess, voter: VoterHandle, address: SocketAddr) {
+    let max_links = local.config.max_links;
+    let acceptor = Acceptor {
+        log_prefix: "fleet",
+        config_key: "fleet.listen",
+        peer_kind: "voters and askers",
+        address,
+        max_links,
+    };
     let serve = |stream, _| {
-        let (me, door) = (me.clone(), door.clone());
+        let (local, voter) = (local.clone(), voter.clone());
         async move {
-            if let Err(error) = serve(&me, &door, stream).await {
+            if let Err(error) = serve(&local, &voter, stream).await {
                 tracing::debug!("fleet: a link ends: {error:#}");
             }
         }
@@ -28,53 +34,58 @@
     acceptor.run(serve).await;
 }
 
-async fn serve(me: &Me, door: &Door, stream: TcpStream) -> Result<()> {
-    let own = async || Hello::new(&me.config.name, &me.who, Role::Proxy, door.disk());
-    let (mut link, hello) = Link::take(stream, own).await?;
-    let who = hello.who.clone();
-    door.post(Event::Heard(hello.who, hello.role, hello.voter));
-    let ended = talk(door, &mut link, &who, hello.role).await;
-    door.post(Event::Lost(who, ended.is_ok()));
+async fn serve(local: &LocalProcess, voter: &VoterHandle, stream: TcpStream) -> Result<()> {
+    let own = async || Hello::new(&local.config.name, &local.id, Role::Proxy, voter.disk_summary());
+    let (mut link, hello) = Link::accept(stream, own).await?;
+    let peer = hello.id.clone();
+    voter.try_send(VoterEvent::PeerHeard(hello.id, hello.role, hello.voter));
+    let ended = serve_frames(voter, &mut link, &peer, hello.role).await;
+    voter.try_send(VoterEvent::LinkLost(peer, ended.is_ok()));
     ended
 }
 
-async fn talk(door: &Door, link: &mut Link, who: &pumicebay_accord::ProcessId, role: Role) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(ANSWERS);
-    let mut passed = door.passed();
-    let mut beat = interval(BEAT);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn serve_frames(
+    voter: &VoterHandle,
+    link: &mut Link,
+    peer: &pumicebay_accord::ProcessId,
+    role: Role,
+) -> Result<()> {
+    let (answers, mut answered) = mpsc::channel(ANSWER_QUEUE);
+    let mut broadcasts = voter.subscribe();
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             frame = link.next() => match frame? {
-                Frame::Beat(disk) => door.post(Event::Heard(who.clone(), role, disk)),
-                Frame::Vote(to, from, message) => door.post(Event::Vote(to, from, message)),
-                Frame::Ask(ask) => door.post(Event::Ask(ask, answers.clone())),
-                Frame::Found(record) => {
-                    let done = door.ask(|done| Event::Found(record, done)).await.unwrap_or(false);
-                    link.send(&Frame::Taken(done)).await?;
+                Frame::Heartbeat(disk) => voter.try_send(VoterEvent::PeerHeard(peer.clone(), role, disk)),
+                Frame::VoterMessage(to, from, message) => voter.try_send(VoterEvent::Message(to, from, message)),
+                Frame::Submit(operation) => voter.try_send(VoterEvent::Submit(operation, answers.clone())),
+                Frame::Bootstrap(record) => {
+                    let accepted = voter.query(|accepted| VoterEvent::Bootstrap(record, accepted)).await.unwrap_or(false);
+                    link.send(&Frame::Accepted(accepted)).await?;
                 }
-                Frame::Trust => {
-                    let done = door.ask(Event::Trust).await.unwrap_or(false);
-                    link.send(&Frame::Taken(done)).await?;
+                Frame::TrustDisk => {
+                    let accepted = voter.query(VoterEvent::TrustDisk).await.unwrap_or(false);
+                    link.send(&Frame::Accepted(accepted)).await?;
                 }
-                Frame::Status => {
-                    let status = door.ask(Event::Status).await.context("the voter has ended")?;
-                    link.send(&Frame::StatusIs(Box::new(status))).await?;
+                Frame::StatusRequest => {
+                    let status = voter.query(VoterEvent::Status).await.context("the voter has ended")?;
+                    link.send(&Frame::Status(Box::new(status))).await?;
                 }
-                frame @ (Frame::News(_) | Frame::Wanted(..)) => door.pass_on(frame),
+                frame @ (Frame::ProbeOutcome(_) | Frame::ProbeRequest(..)) => voter.broadcast(frame),
                 Frame::Bye => return Ok(()),
                 // Answers to nobody here, and what goes to the carrier's own address.
-                Frame::Answer(_) | Frame::Taken(_) | Frame::StatusIs(_) => {}
-                Frame::Up(_) | Frame::Down(_) | Frame::Offer(..) | Frame::Offered(..) => {}
-                Frame::Carrier | Frame::CarrierIs(_) => {}
-                Frame::Replicate(_) | Frame::Order(_) | Frame::Ordered(_) => {}
-                Frame::Replication | Frame::ReplicationIs(_) => {}
+                Frame::Answer(_) | Frame::Accepted(_) | Frame::Status(_) => {}
+                Frame::ToParent(_) | Frame::ToChild(_) | Frame::SubmitChanges(..) | Frame::ChangeOutcome(..) => {}
+                Frame::CarrierStatusRequest | Frame::CarrierStatus(_) => {}
+                Frame::Replication(_) | Frame::MaintenanceOrder(_) | Frame::MaintenanceAnswer(_) => {}
+                Frame::ReplicationStatusRequest | Frame::ReplicationStatus(_) => {}
             },
             Some(answer) = answered.recv() => link.send(&answer).await?,
-            frame = passed.recv(), if role == Role::Proxy => if let Ok(frame) = frame {
+            frame = broadcasts.recv(), if role == Role::Proxy => if let Ok(frame) = frame {
                 link.send(&frame).await?;
             },
-            _ = beat.tick() => link.send(&Frame::Beat(door.disk())).await?,
+            _ = heartbeat.tick() => link.send(&Frame::Heartbeat(voter.disk_summary())).await?,
         }
     }
 }
--- a/crates/proxy/src/fleet/local_process.rs
+++ b/crates/proxy/src/fleet/local_process.rs
@@ -25,38 +25,38 @@
     }
 
     /// How long until then, at the least.
-    pub fn until(self, at: Nanos) -> Duration {
-        Duration::from_nanos(at.saturating_sub(self.now()))
+    pub fn until(self, time: Nanos) -> Duration {
+        Duration::from_nanos(time.saturating_sub(self.now()))
     }
 }
 
 /// A number that nobody else draws.
-pub fn draw() -> u64 {
+pub fn random_id() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::hash::RandomState::new().build_hasher().finish().max(1)
 }
 
 /// Unix time by the machine's clock.
-pub fn unix() -> Duration {
+pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
 /// A number that is higher at each start, as long as the machine's clock does not go back.
-pub fn incarnation() -> u64 {
-    unix().as_micros() as u64
+pub fn new_incarnation() -> u64 {
+    unix_time().as_micros() as u64
 }
 
 /// Who this process is to the others.
 #[derive(Clone, Debug)]
-pub struct Me {
-    pub who: ProcessId,
+pub struct LocalProcess {
+    pub id: ProcessId,
     pub config: Arc<FleetConfig>,
     pub clock: FleetClock,
 }
 
-impl Me {
-    pub fn new(name: &str, config: Arc<FleetConfig>) -> Me {
+impl LocalProcess {
+    pub fn new(name: &str, config: Arc<FleetConfig>) -> LocalProcess {
         let clock = FleetClock::new(config.clock_ppm);
-        Me { who: ProcessId { name: name.into(), incarnation: incarnation() }, config, clock }
+        LocalProcess { id: ProcessId { name: name.into(), incarnation: new_incarnation() }, config, clock }
     }
 }
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -46,36 +46,37 @@
 pub mod wire;
 
 use crate::control::ControlHandle;
-use crate::fleet::local_process::Me;
-use crate::fleet::voter_client::Asker;
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::voter_client::VoterClient;
 use tokio::task::JoinSet;
 
 /// Takes its part in the fleet: votes if it is to, and keeps links to the voters. Gives the way to ask them, and what has
 /// to run as long as it does. Nothing that fails here keeps a proxy from serving: what can't be opened is tried again.
 pub fn start(
-    me: &Me,
-    desk: ControlHandle,
-    probes: probe_handle::Mailbox,
-) -> (Asker, impl Future<Output = ()> + use<>) {
+    local: &LocalProcess,
+    control: ControlHandle,
+    probes: probe_handle::ProbeMailbox,
+) -> (VoterClient, impl Future<Output = ()> + use<>) {
     let mut actors = JoinSet::new();
-    let (door, mailbox) = voter_handle::door();
-    let listens = me.config.listens(&me.who.name);
-    let own = listens.map(|_| door);
-    let (links, answered, news) = outbound::start(me, wire::Role::Proxy, own.as_ref(), &mut actors);
-    if let (Some(at), Some(door)) = (listens, own.clone()) {
-        actors.spawn(inbound::accept(me.clone(), door, at));
-        actors.spawn(voter_actor::run(me.clone(), links.clone(), mailbox));
+    let (voter, mailbox) = voter_handle::channel();
+    let listen_address = local.config.listen_address(&local.id.name);
+    let own_voter = listen_address.map(|_| voter);
+    let (links, answers, probe_frames) =
+        outbound::start(local, wire::Role::Proxy, own_voter.as_ref(), &mut actors);
+    if let (Some(address), Some(voter)) = (listen_address, own_voter.clone()) {
+        actors.spawn(inbound::accept(local.clone(), voter, address));
+        actors.spawn(voter_actor::run(local.clone(), links.clone(), mailbox));
     }
-    let asker = voter_client::start(me, links.clone(), answered, own.clone(), &mut actors);
-    actors.spawn(probes::run(asker.clone(), links, own, desk, probes, news));
-    (asker, watched(actors))
+    let voters = voter_client::start(local, links.clone(), answers, own_voter.clone(), &mut actors);
+    actors.spawn(probes::run(voters.clone(), links, own_voter, control, probes, probe_frames));
+    (voters, watch_actors(actors))
 }
 
 /// The fleet's actors are a set of their own: one that ends, or panics, is reported, and the proxy serves on, as it does
 /// where the whole fleet is gone. They end with this future.
-async fn watched(mut actors: JoinSet<()>) {
-    while let Some(ended) = actors.join_next().await {
-        match ended {
+async fn watch_actors(mut actors: JoinSet<()>) {
+    while let Some(result) = actors.join_next().await {
+        match result {
             Ok(()) => tracing::error!("fleet: a part of it has ended; serving goes on"),
             Err(error) => tracing::error!("fleet: a part of it has ended: {error}; serving goes on"),
         }
@@ -84,7 +85,7 @@
 }
 
 /// Links for a command, which votes nowhere.
-pub fn start_command(me: &Me, actors: &mut JoinSet<()>) -> Asker {
-    let (links, answered, _) = outbound::start(me, wire::Role::Command, None, actors);
-    voter_client::start(me, links, answered, None, actors)
+pub fn start_command(local: &LocalProcess, actors: &mut JoinSet<()>) -> VoterClient {
+    let (links, answers, _) = outbound::start(local, wire::Role::Command, None, actors);
+    voter_client::start(local, links, answers, None, actors)
 }
--- a/crates/proxy/src/fleet/probe_handle.rs
+++ b/crates/proxy/src/fleet/probe_handle.rs
@@ -3,34 +3,34 @@
 use pumicebay_accord::Name;
 use tokio::sync::mpsc;
 
-const MAILBOX: usize = 256;
+const MAILBOX_CAPACITY: usize = 256;
 
 /// What the module says.
-pub enum Event {
-    Wanted(Name),
-    Probed(Name, bool),
+pub enum ProbeEvent {
+    OutcomeWanted(Name),
+    ProbeFinished(Name, bool),
 }
 
 /// The module's way to the actor.
 #[derive(Clone)]
-pub struct Prober(mpsc::Sender<Event>);
+pub struct ProbeHandle(mpsc::Sender<ProbeEvent>);
 
-impl Prober {
+impl ProbeHandle {
     /// The decisions want the outcome of a probe; it comes by `ControlHandle::probe_result`. False where there is no room to ask.
-    pub fn wanted(&self, uid: &str) -> bool {
-        self.0.try_send(Event::Wanted(uid.into())).is_ok()
+    pub fn outcome_wanted(&self, uid: &str) -> bool {
+        self.0.try_send(ProbeEvent::OutcomeWanted(uid.into())).is_ok()
     }
 
     /// A probe that `ControlHandle::probe` asked for has come to this.
-    pub fn probed(&self, uid: &str, answered: bool) {
-        let _ = self.0.try_send(Event::Probed(uid.into(), answered));
+    pub fn probe_finished(&self, uid: &str, answered: bool) {
+        let _ = self.0.try_send(ProbeEvent::ProbeFinished(uid.into(), answered));
     }
 }
 
 /// The actor's end.
-pub struct Mailbox(pub mpsc::Receiver<Event>);
+pub struct ProbeMailbox(pub mpsc::Receiver<ProbeEvent>);
 
-pub fn door() -> (Prober, Mailbox) {
-    let (events, mailbox) = mpsc::channel(MAILBOX);
-    (Prober(events), Mailbox(mailbox))
+pub fn channel() -> (ProbeHandle, ProbeMailbox) {
+    let (events, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
+    (ProbeHandle(events), ProbeMailbox(mailbox))
 }
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -2,117 +2,125 @@
 //! fleet, in which one process probes for all. The choices are `pumicebay_accord::ProbeCoordinator`'s.
 
 use crate::control::ControlHandle;
-use crate::fleet::lease::Lease;
-use crate::fleet::outbound::Links;
-use crate::fleet::probe_handle::{Event, Mailbox};
-use crate::fleet::voter_client::Asker;
-use crate::fleet::voter_handle::Door;
-use crate::fleet::wire::{Frame, News};
+use crate::fleet::lease::LeaseHandle;
+use crate::fleet::outbound::VoterLinks;
+use crate::fleet::probe_handle::{ProbeEvent, ProbeMailbox};
+use crate::fleet::voter_client::VoterClient;
+use crate::fleet::voter_handle::VoterHandle;
+use crate::fleet::wire::{Frame, ProbeOutcome};
 use pumicebay_accord::{Name, ProbeCoordinator, ProbeHost, Token};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::sync::{broadcast, mpsc};
 use tokio::time::{MissedTickBehavior, interval};
 
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// The lease on a zone's probes.
-const LEASE: Duration = Duration::from_secs(6);
+const LEASE_DURATION: Duration = Duration::from_secs(6);
 /// How many voters are told: they pass it on to all, and one of them may be cut off.
-const VOTERS: usize = 2;
+const MAX_RELAYING_VOTERS: usize = 2;
 /// Numbers of news that were heard lately.
-const LATELY: usize = 64;
+const MAX_RECENT_OUTCOMES: usize = 64;
 
 /// What the choices ask for.
-struct Acts {
-    asker: Asker,
-    links: Links,
-    own: Option<Door>,
+struct ProbeActions {
+    voters: VoterClient,
+    links: VoterLinks,
+    own_voter: Option<VoterHandle>,
     random: oorandom::Rand64,
-    probe: Vec<Name>,
-    answer: Vec<(Name, bool)>,
+    to_probe: Vec<Name>,
+    outcomes: Vec<(Name, bool)>,
 }
 
-impl ProbeHost for Acts {
+impl ProbeHost for ProbeActions {
     fn probe(&mut self, node: &str) {
-        self.probe.push(node.into());
+        self.to_probe.push(node.into());
     }
     fn deliver_outcome(&mut self, node: &str, answered: bool) {
-        self.answer.push((node.into(), answered));
+        self.outcomes.push((node.into(), answered));
     }
     fn publish_outcome(&mut self, token: Token, node: &str, answered: bool) {
-        let (zone, number) = (self.asker.me.config.zone.clone(), self.asker.number());
-        self.spread(&Frame::News(News { zone, token, number, node: node.into(), answered }));
+        let (zone, number) = (self.voters.local.config.zone.clone(), self.voters.next_number());
+        self.send_to_voters(&Frame::ProbeOutcome(ProbeOutcome {
+            zone,
+            token,
+            number,
+            node: node.into(),
+            answered,
+        }));
     }
     fn request_probe(&mut self, node: &str) {
-        self.spread(&Frame::Wanted(self.asker.me.config.zone.clone(), node.into()));
+        self.send_to_voters(&Frame::ProbeRequest(self.voters.local.config.zone.clone(), node.into()));
     }
     fn random(&mut self) -> f64 {
         self.random.rand_float()
     }
 }
 
-impl Acts {
-    fn spread(&self, frame: &Frame) {
-        let mut told = 0;
-        if let Some(own) = &self.own {
-            own.pass_on(frame.clone());
-            told += 1;
+impl ProbeActions {
+    fn send_to_voters(&self, frame: &Frame) {
+        let mut sent = 0;
+        if let Some(own_voter) = &self.own_voter {
+            own_voter.broadcast(frame.clone());
+            sent += 1;
         }
-        for voter in self.links.up() {
-            if told == VOTERS {
+        for voter in self.links.connected() {
+            if sent == MAX_RELAYING_VOTERS {
                 return;
             }
-            told += usize::from(self.links.send(voter, frame.clone()));
+            sent += usize::from(self.links.send(voter, frame.clone()));
         }
     }
 }
 
 /// Runs as long as the process lives.
 pub async fn run(
-    asker: Asker,
-    links: Links,
-    own: Option<Door>,
-    desk: ControlHandle,
-    Mailbox(mut mailbox): Mailbox,
-    mut news: mpsc::Receiver<Frame>,
+    voters: VoterClient,
+    links: VoterLinks,
+    own_voter: Option<VoterHandle>,
+    control: ControlHandle,
+    ProbeMailbox(mut mailbox): ProbeMailbox,
+    mut probe_frames: mpsc::Receiver<Frame>,
 ) {
-    let zone = asker.me.config.zone.clone();
+    let zone = voters.local.config.zone.clone();
     let name = format!("probes/{zone}");
-    let clock = asker.me.clock;
+    let clock = voters.local.clock;
     // What this process's own voter is given to pass on.
-    let mut passed = own.as_ref().map(Door::passed);
-    let random = oorandom::Rand64::new(u128::from(crate::fleet::local_process::draw()));
-    let mut acts = Acts { asker, links, own, random, probe: Vec::new(), answer: Vec::new() };
-    let (mut watch, mut lease, mut lately) = (ProbeCoordinator::default(), None::<Lease>, VecDeque::new());
-    let mut tick = interval(TICK);
+    let mut broadcasts = own_voter.as_ref().map(VoterHandle::subscribe);
+    let random = oorandom::Rand64::new(u128::from(crate::fleet::local_process::random_id()));
+    let mut actions =
+        ProbeActions { voters, links, own_voter, random, to_probe: Vec::new(), outcomes: Vec::new() };
+    let (mut coordinator, mut lease, mut recent) =
+        (ProbeCoordinator::default(), None::<LeaseHandle>, VecDeque::new());
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
             event = mailbox.recv() => match event {
-                Some(Event::Wanted(uid)) => {
-                    watch.outcome_wanted(clock.now(), &uid, &mut acts);
+                Some(ProbeEvent::OutcomeWanted(uid)) => {
+                    coordinator.outcome_wanted(clock.now(), &uid, &mut actions);
                     None
                 }
-                Some(Event::Probed(uid, answered)) => {
-                    watch.probe_finished(clock.now(), &uid, answered, &mut acts);
+                Some(ProbeEvent::ProbeFinished(uid, answered)) => {
+                    coordinator.probe_finished(clock.now(), &uid, answered, &mut actions);
                     None
                 }
                 None => return,
             },
-            Some(frame) = news.recv() => Some(frame),
-            Some(frame) = next(&mut passed) => Some(frame),
+            Some(frame) = probe_frames.recv() => Some(frame),
+            Some(frame) = next_broadcast(&mut broadcasts) => Some(frame),
             _ = tick.tick() => {
                 let held = lease.as_ref().and_then(|lease| *lease.held.borrow());
                 // A lease that can't outlast a probe is none: the next holder may probe already.
                 let held =
                     held.filter(|held| clock.now() + crate::control::PROBE_TIMEOUT.as_nanos() as u64 <= held.valid_until);
-                watch.set_lease_token(held.map(|held| held.token));
-                watch.tick(clock.now(), &mut acts);
+                coordinator.set_lease_token(held.map(|held| held.token));
+                coordinator.tick(clock.now(), &mut actions);
                 // Nobody probes while nothing is down, and nobody keeps a lease for it.
-                match (&mut lease, watch.lease_needed()) {
-                    (None, true) => lease = Some(Lease::want(acts.asker.clone(), &name, LEASE)),
+                match (&mut lease, coordinator.lease_needed()) {
+                    (None, true) => lease = Some(LeaseHandle::acquire(actions.voters.clone(), &name, LEASE_DURATION)),
                     (Some(held), false) => {
-                        held.give_back().await;
+                        held.release().await;
                         lease = None;
                     }
                     _ => {}
@@ -121,29 +129,39 @@
             }
         };
         match frame {
-            Some(Frame::News(news)) if news.zone == zone && !lately.contains(&(news.token, news.number)) => {
-                lately.push_back((news.token, news.number));
-                while lately.len() > LATELY {
-                    lately.pop_front();
+            Some(Frame::ProbeOutcome(outcome))
+                if outcome.zone == zone && !recent.contains(&(outcome.token, outcome.number)) =>
+            {
+                recent.push_back((outcome.token, outcome.number));
+                while recent.len() > MAX_RECENT_OUTCOMES {
+                    recent.pop_front();
                 }
-                watch.outcome_received(clock.now(), news.token, &news.node, news.answered, &mut acts);
+                coordinator.outcome_received(
+                    clock.now(),
+                    outcome.token,
+                    &outcome.node,
+                    outcome.answered,
+                    &mut actions,
+                );
+            }
+            Some(Frame::ProbeRequest(probe_zone, node)) if probe_zone == zone => {
+                coordinator.probe_requested(clock.now(), &node)
             }
-            Some(Frame::Wanted(of, node)) if of == zone => watch.probe_requested(clock.now(), &node),
             _ => {}
         }
-        for uid in acts.probe.drain(..) {
-            desk.probe(uid).await;
+        for uid in actions.to_probe.drain(..) {
+            control.probe(uid).await;
         }
-        for (uid, answered) in acts.answer.drain(..) {
-            desk.probe_result(uid, answered).await;
+        for (uid, answered) in actions.outcomes.drain(..) {
+            control.probe_result(uid, answered).await;
         }
     }
 }
 
-async fn next(passed: &mut Option<broadcast::Receiver<Frame>>) -> Option<Frame> {
-    match passed {
-        Some(passed) => loop {
-            match passed.recv().await {
+async fn next_broadcast(broadcasts: &mut Option<broadcast::Receiver<Frame>>) -> Option<Frame> {
+    match broadcasts {
+        Some(broadcasts) => loop {
+            match broadcasts.recv().await {
                 Ok(frame) => return Some(frame),
                 // Some are lost where there are too many; the next come.
                 Err(broadcast::error::RecvError::Lagged(_)) => {}
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -1,7 +1,7 @@
 //! The replica's actor: it owns the replica and drives it with the fleet's clock and the machine's.
 
 use crate::fleet::drive::{self, drive};
-use crate::fleet::local_process::{Me, draw, unix};
+use crate::fleet::local_process::{LocalProcess, random_id, unix_time};
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, Order, Ordered};
 use crate::fleet::replication::{Parts, disk, links};
@@ -30,7 +30,7 @@
 }
 
 struct Actor {
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     handle: Handle,
     replica: Replica,
@@ -43,20 +43,20 @@
 }
 
 /// By both clocks.
-fn now(me: &Me) -> Now {
-    Now { monotonic: me.clock.now(), unix: unix().as_nanos() as u64 }
+fn now(me: &LocalProcess) -> Now {
+    Now { monotonic: me.clock.now(), unix: unix_time().as_nanos() as u64 }
 }
 
 /// Runs as long as the process lives.
 pub async fn run(
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     parts: Parts,
     keep: Option<watch::Sender<Option<Snapshot>>>,
 ) {
     let kept = match config.folder.clone() {
         Some(folder) => {
-            let name = me.who.name.clone();
+            let name = me.id.name.clone();
             spawn_blocking(move || disk::read(&folder, &name)).await.ok().flatten()
         }
         None => None,
@@ -66,10 +66,10 @@
         let age = now.unix.saturating_sub(kept.as_of) as f64 / 1e9;
         tracing::info!("replication: starts with {} orders as of {age:.1} s ago", kept.entries.len());
     }
-    let mut acts = ActionQueue::new(draw());
+    let mut acts = ActionQueue::new(random_id());
     let terms = ReplicaConfig {
-        id: ReplicaId { name: me.who.name.clone(), incarnation: draw() },
-        peers: config.peers.keys().filter(|name| **name != me.who.name).cloned().collect(),
+        id: ReplicaId { name: me.id.name.clone(), incarnation: random_id() },
+        peers: config.peers.keys().filter(|name| **name != me.id.name).cloned().collect(),
         target_links: config.links,
         retention: config.retention.as_nanos() as u64,
         max_clock_skew: MOST_AHEAD,
@@ -97,12 +97,12 @@
 impl drive::Actor for Actor {
     type Event = Event;
 
-    fn due(&self) -> Instant {
+    fn wake_at(&self) -> Instant {
         let due = self.replica.next_deadline().min(self.me.clock.now() + LOOK);
         Instant::now() + self.me.clock.until(due)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = now(&self.me);
         match event {
             Event::LinkUp { link, peer, dialled, mailbox } => {
@@ -121,7 +121,7 @@
             Event::Kept(kept) => self.kept(now, &kept),
             Event::Give { order, answer, on_disk } => self.give(now, order, answer, on_disk),
             Event::Status { answer } => {
-                let status = Frame::ReplicationIs(Box::new(self.status(now)));
+                let status = Frame::ReplicationStatus(Box::new(self.status(now)));
                 let _ = answer.try_send(status);
             }
             Event::Show { answer } => _ = answer.send(self.status(now)),
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -1,10 +1,10 @@
 //! `pumicebay fleet drain`, `undrain` and `orders`: what operators order of all proxies of a group, and what each knows of
 //! it. Any proxy of the group takes an order; that it holds at the others is asked of each of them.
 
-use crate::fleet::command_link::{ANSWERS, Called};
+use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::replication::config::ReplicationConfig;
-use crate::fleet::wire::{Frame, OrderAnswer, OrderCall, REPLICATION};
+use crate::fleet::wire::{Frame, MIN_REPLICATION_VERSION, MaintenanceAnswer, MaintenanceOrder};
 use anyhow::{Context, Result, bail};
 use pumicebay_accord::Token;
 use pumicebay_replication::{Stamp, Status};
@@ -37,7 +37,7 @@
     out: bool,
     wait: Option<Duration>,
 ) -> Result<ExitCode> {
-    let call = OrderCall { node: node.into(), out, under: held()? };
+    let call = MaintenanceOrder { node: node.into(), out_of_service: out, lease: held()? };
     let stamp = give(&fleet, &call).await?;
     println!("{} {}", if out { "out" } else { "back" }, named(&stamp));
     let Some(wait) = wait else { return Ok(ExitCode::SUCCESS) };
@@ -75,23 +75,28 @@
 }
 
 /// The first proxy that can be reached takes the order.
-async fn give(fleet: &FleetConfig, call: &OrderCall) -> Result<Stamp> {
+async fn give(fleet: &FleetConfig, call: &MaintenanceOrder) -> Result<Stamp> {
     let mut why = "no proxy of the group answers".to_string();
     for (name, at) in &section(fleet)?.peers {
-        let mut called = match Called::call_speaking(fleet, *at, REPLICATION).await {
+        let mut called = match CommandLink::connect_with_version(fleet, *at, MIN_REPLICATION_VERSION).await {
             Ok(called) => called,
             Err(error) => {
                 why = format!("{name}: {error:#}");
                 continue;
             }
         };
-        let answer = called.ask(Frame::Order(Box::new(call.clone())), ANSWERS, |frame| match frame {
-            Frame::Ordered(answer) => Some(*answer),
-            _ => None,
-        });
+        let answer =
+            called.query(
+                Frame::MaintenanceOrder(Box::new(call.clone())),
+                ANSWER_TIMEOUT,
+                |frame| match frame {
+                    Frame::MaintenanceAnswer(answer) => Some(*answer),
+                    _ => None,
+                },
+            );
         return match answer.await {
-            Ok(OrderAnswer::Given(stamp)) => Ok(stamp),
-            Ok(OrderAnswer::Refused(why)) => bail!("refused: {why}"),
+            Ok(MaintenanceAnswer::Applied(stamp)) => Ok(stamp),
+            Ok(MaintenanceAnswer::Refused(why)) => bail!("refused: {why}"),
             Err(error) => bail!("{name} did not answer, whether it was given is not known: {error:#}"),
         };
     }
@@ -108,11 +113,12 @@
             let _place = room.acquire().await;
             let status = async {
                 let wanted = |frame| match frame {
-                    Frame::ReplicationIs(status) => Some(*status),
+                    Frame::ReplicationStatus(status) => Some(*status),
                     _ => None,
                 };
-                let mut called = Called::call_speaking(&fleet, at, REPLICATION).await?;
-                called.ask(Frame::Replication, ANSWERS, wanted).await
+                let mut called =
+                    CommandLink::connect_with_version(&fleet, at, MIN_REPLICATION_VERSION).await?;
+                called.query(Frame::ReplicationStatusRequest, ANSWER_TIMEOUT, wanted).await
             };
             (name, status.await)
         });
--- a/crates/proxy/src/fleet/replication/config.rs
+++ b/crates/proxy/src/fleet/replication/config.rs
@@ -1,6 +1,6 @@
 //! The section `fleet.replication` of the configuration. Every message names the key.
 
-use crate::fleet::config::addresses;
+use crate::fleet::config::parse_addresses;
 use crate::validation::check_value;
 use anyhow::{Context, Result, ensure};
 use serde_json::Value as Json;
@@ -59,7 +59,7 @@
             check_value(json, &format!("/fleet/replication/{key}"), &wanted, fits)?;
             Ok(section.get(key).and_then(Json::as_u64).unwrap_or(default))
         };
-        let peers = addresses(section, "fleet.replication", "peers")?;
+        let peers = parse_addresses(section, "fleet.replication", "peers")?;
         ensure!(
             (2..=MOST_PEERS).contains(&peers.len()),
             "fleet.replication.peers: expected 2 to {MOST_PEERS}, found {}",
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -1,18 +1,18 @@
 //! The replica's copy on disk, where the process has a folder for it. None of it keeps a process from serving.
 
-use crate::fleet::checksummed_file::Sealed;
+use crate::fleet::checksummed_file::ChecksummedFile;
 use crate::fleet::replication::handle::{Event, Handle};
 use anyhow::{Context, Result};
 use pumicebay_replication::Snapshot;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-const FILE: Sealed = Sealed {
+const FILE: ChecksummedFile = ChecksummedFile {
     magic: b"pumicebr",
     version: 1,
-    foreign: "no file of replication",
-    name: "replica",
-    lock: "replica.lock",
+    wrong_magic_message: "no file of replication",
+    file_name: "replica",
+    lock_name: "replica.lock",
 };
 
 /// The copy that was kept there. One that can't be read, or that is another process's, is set aside with a line in the
@@ -32,7 +32,7 @@
 }
 
 fn whose(bytes: &[u8], name: &str) -> Result<Snapshot> {
-    let kept: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
+    let kept: Snapshot = FILE.decode(bytes).with_context(|| FILE.file_name.to_string())?;
     anyhow::ensure!(kept.name == name, "it is {}'s", kept.name);
     Ok(kept)
 }
@@ -43,5 +43,5 @@
         let handle = handle.clone();
         async move { _ = handle.say(Event::Kept(Box::new(kept))).await }
     };
-    FILE.keep_newest("replication", folder, newest, written).await;
+    FILE.persist_latest("replication", folder, newest, written).await;
 }
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -3,10 +3,12 @@
 
 use crate::bans::{Maintenance, MaintenanceResult};
 use crate::fleet::acceptor::Acceptor;
-use crate::fleet::local_process::Me;
+use crate::fleet::local_process::LocalProcess;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle};
-use crate::fleet::wire::{Frame, Hello, Link, OrderAnswer, OrderCall, REPLICATION, Role};
+use crate::fleet::wire::{
+    Frame, Hello, Link, MIN_REPLICATION_VERSION, MaintenanceAnswer, MaintenanceOrder, Role,
+};
 use anyhow::{Context, Result, ensure};
 use pumicebay_replication::{LinkId, Message};
 use std::net::SocketAddr;
@@ -23,14 +25,20 @@
 
 /// Accepts as long as the process lives.
 pub async fn accept(
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     handle: Handle,
     maintenance: Maintenance,
     at: SocketAddr,
 ) {
     let key = "fleet.replication.listen";
-    let acceptor = Acceptor { part: "replication", key, callers: "peers", at, most: MOST_TAKEN };
+    let acceptor = Acceptor {
+        log_prefix: "replication",
+        config_key: key,
+        peer_kind: "peers",
+        address: at,
+        max_links: MOST_TAKEN,
+    };
     let serve = |stream, _| {
         let (me, config) = (me.clone(), config.clone());
         let (handle, maintenance) = (handle.clone(), maintenance.clone());
@@ -43,20 +51,24 @@
     acceptor.run(serve).await;
 }
 
-fn hello(me: &Me) -> Hello {
-    Hello::new(&me.config.name, &me.who, Role::Proxy, None)
+fn hello(me: &LocalProcess) -> Hello {
+    Hello::new(&me.config.name, &me.id, Role::Proxy, None)
 }
 
 async fn serve(
-    me: &Me,
+    me: &LocalProcess,
     config: &ReplicationConfig,
     handle: &Handle,
     maintenance: &Maintenance,
     stream: TcpStream,
 ) -> Result<()> {
-    let (link, other) = Link::take(stream, async || hello(me)).await?;
-    let name = other.who.name.clone();
-    ensure!(link.speaks() >= REPLICATION, "{name} speaks links up to {}, not {REPLICATION}", link.speaks());
+    let (link, other) = Link::accept(stream, async || hello(me)).await?;
+    let name = other.id.name.clone();
+    ensure!(
+        link.version() >= MIN_REPLICATION_VERSION,
+        "{name} speaks links up to {}, not {MIN_REPLICATION_VERSION}",
+        link.version()
+    );
     if other.role == Role::Command {
         // Commands come and go.
         if let Err(error) = command(handle, maintenance, link).await {
@@ -64,13 +76,13 @@
         }
         return Ok(());
     }
-    ensure!(name != me.who.name, "{name} calls itself: two processes of one name, or a copied configuration");
+    ensure!(name != me.id.name, "{name} calls itself: two processes of one name, or a copied configuration");
     ensure!(config.peers.contains_key(&name), "{name} is not among fleet.replication.peers");
     talk(handle, link, &name, false).await.with_context(|| format!("peer {name}"))
 }
 
 /// Dials a peer; that it came to nothing is said too.
-pub fn dial(me: &Me, config: &ReplicationConfig, handle: &Handle, peer: &str) {
+pub fn dial(me: &LocalProcess, config: &ReplicationConfig, handle: &Handle, peer: &str) {
     let (me, handle, peer) = (me.clone(), handle.clone(), peer.to_string());
     let at = config.peers.get(&peer).copied();
     tokio::spawn(async move {
@@ -88,11 +100,11 @@
     });
 }
 
-async fn dialled(me: &Me, peer: &str, at: Option<SocketAddr>) -> Result<Link> {
+async fn dialled(me: &LocalProcess, peer: &str, at: Option<SocketAddr>) -> Result<Link> {
     let at = at.context("fleet.replication.peers has no such process")?;
     let (link, other) = Link::connect(at, &hello(me)).await?;
-    ensure!(other.who.name == peer, "at {at} is {}", other.who);
-    link.ensure_speaks(REPLICATION)?;
+    ensure!(other.id.name == peer, "at {at} is {}", other.id);
+    link.ensure_version(MIN_REPLICATION_VERSION)?;
     Ok(link)
 }
 
@@ -112,9 +124,9 @@
     number: LinkId,
     to_send: &mut mpsc::Receiver<Message>,
 ) -> Result<()> {
-    let said = |message| Frame::Replicate(Box::new(message));
-    while let Some(frame) = link.hear(to_send, said).await? {
-        if let Frame::Replicate(message) = frame {
+    let said = |message| Frame::Replication(Box::new(message));
+    while let Some(frame) = link.next_while_sending(to_send, said).await? {
+        if let Frame::Replication(message) = frame {
             handle.say(Event::Heard { link: number, message: *message }).await;
         }
     }
@@ -124,12 +136,14 @@
 /// What a command asks for.
 async fn command(handle: &Handle, maintenance: &Maintenance, mut link: Link) -> Result<()> {
     let (answers, mut answered) = mpsc::channel(ANSWERS);
-    while let Some(frame) = link.hear(&mut answered, |frame| frame).await? {
+    while let Some(frame) = link.next_while_sending(&mut answered, |frame| frame).await? {
         match frame {
-            Frame::Replication => _ = handle.say(Event::Status { answer: answers.clone() }).await,
-            Frame::Order(call) => {
+            Frame::ReplicationStatusRequest => {
+                _ = handle.say(Event::Status { answer: answers.clone() }).await
+            }
+            Frame::MaintenanceOrder(call) => {
                 let answer = ordered(maintenance, *call).await;
-                link.send(&Frame::Ordered(Box::new(answer))).await?;
+                link.send(&Frame::MaintenanceAnswer(Box::new(answer))).await?;
             }
             _ => {}
         }
@@ -138,10 +152,10 @@
 }
 
 /// A command's order goes the way of an operator's call at this proxy.
-async fn ordered(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
-    let OrderCall { node, out, under } = call;
+async fn ordered(maintenance: &Maintenance, call: MaintenanceOrder) -> MaintenanceAnswer {
+    let MaintenanceOrder { node, out_of_service: out, lease: under } = call;
     match maintenance.set_service(node.clone(), out, under).await {
-        MaintenanceResult::Replicated(stamp) => OrderAnswer::Given(stamp),
-        other => OrderAnswer::Refused(other.message(&node, out)),
+        MaintenanceResult::Replicated(stamp) => MaintenanceAnswer::Applied(stamp),
+        other => MaintenanceAnswer::Refused(other.message(&node, out)),
     }
 }
--- a/crates/proxy/src/fleet/replication/mod.rs
+++ b/crates/proxy/src/fleet/replication/mod.rs
@@ -19,7 +19,7 @@
 pub mod links;
 
 use crate::bans::Maintenance;
-use crate::fleet::local_process::Me;
+use crate::fleet::local_process::LocalProcess;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, Ordered};
 use std::sync::Arc;
@@ -38,17 +38,21 @@
 
 /// Takes its part: keeps links to peers, takes theirs, and keeps its copy on disk. Gives what has to run as long as it
 /// does.
-pub fn start(me: &Me, config: Arc<ReplicationConfig>, parts: Parts) -> impl Future<Output = ()> + use<> {
+pub fn start(
+    me: &LocalProcess,
+    config: Arc<ReplicationConfig>,
+    parts: Parts,
+) -> impl Future<Output = ()> + use<> {
     let mut actors = JoinSet::new();
     let keep = config.folder.clone().map(|folder| {
         let (keep, newest) = watch::channel(None);
         actors.spawn(disk::run(folder, newest, parts.handle.clone()));
         keep
     });
-    if let Some(at) = config.listens(&me.who.name) {
+    if let Some(at) = config.listens(&me.id.name) {
         let maintenance = parts.maintenance.clone();
         actors.spawn(links::accept(me.clone(), config.clone(), parts.handle.clone(), maintenance, at));
     }
     actors.spawn(actor::run(me.clone(), config, parts, keep));
-    super::watched(actors)
+    super::watch_actors(actors)
 }
--- a/crates/proxy/src/fleet/store.rs
+++ b/crates/proxy/src/fleet/store.rs
@@ -1,53 +1,58 @@
 //! A voter's disk: one sealed file, and a lock that keeps two processes from voting from one folder.
 
-use crate::fleet::checksummed_file::Sealed;
+use crate::fleet::checksummed_file::ChecksummedFile;
 use anyhow::Result;
 use pumicebay_accord::{DurableState, Fault, planted};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-const FILE: Sealed =
-    Sealed { magic: b"pumicebv", version: 1, foreign: "no voter's file", name: "voter", lock: "lock" };
+const FILE: ChecksummedFile = ChecksummedFile {
+    magic: b"pumicebv",
+    version: 1,
+    wrong_magic_message: "no voter's file",
+    file_name: "voter",
+    lock_name: "lock",
+};
 
 /// What is in a voter's folder.
 #[derive(Debug)]
-pub enum Found {
-    Nothing,
-    Whole(Box<DurableState>),
+pub enum DiskContents {
+    Empty,
+    Valid(Box<DurableState>),
     /// Why it can't be trusted.
-    Spoilt(String),
+    Corrupt(String),
 }
 
 /// A voter's folder, locked.
 #[derive(Debug)]
-pub struct Disk {
+pub struct VoterDisk {
     folder: PathBuf,
     _lock: File,
 }
 
-impl Disk {
+impl VoterDisk {
     /// `None` while another process has it.
-    pub fn open(folder: &Path) -> Result<Option<Disk>> {
+    pub fn open(folder: &Path) -> Result<Option<VoterDisk>> {
         let lock = FILE.lock(folder)?;
-        Ok(lock.map(|lock| Disk { folder: folder.into(), _lock: lock }))
+        Ok(lock.map(|lock| VoterDisk { folder: folder.into(), _lock: lock }))
     }
 
     /// Only a file that can't be read at all is an error: it may be whole.
-    pub fn read(&self, fleet: &str) -> Result<Found> {
-        let Some(bytes) = FILE.read(&self.folder)? else { return Ok(Found::Nothing) };
+    pub fn read(&self, fleet: &str) -> Result<DiskContents> {
+        let Some(bytes) = FILE.read(&self.folder)? else { return Ok(DiskContents::Empty) };
         Ok(match decode(&bytes) {
-            Ok(kept) if kept.fleet != fleet => Found::Spoilt(format!("of fleet {:?}", kept.fleet)),
-            Ok(kept) => Found::Whole(Box::new(kept)),
-            Err(why) => Found::Spoilt(format!("{why:#}")),
+            Ok(state) if state.fleet != fleet => DiskContents::Corrupt(format!("of fleet {:?}", state.fleet)),
+            Ok(state) => DiskContents::Valid(Box::new(state)),
+            Err(error) => DiskContents::Corrupt(format!("{error:#}")),
         })
     }
 
     /// Returns once it would survive a loss of power.
-    pub fn write(&self, kept: &DurableState) -> Result<()> {
+    pub fn write(&self, state: &DurableState) -> Result<()> {
         if planted(Fault::AnswerBeforeSync) {
             return Ok(());
         }
-        FILE.write(&self.folder, &FILE.encode(kept)?)
+        FILE.write(&self.folder, &FILE.encode(state)?)
     }
 
     /// Puts away what must not vote again; one such file is kept to be looked at.
--- a/crates/proxy/src/fleet/voter_actor.rs
+++ b/crates/proxy/src/fleet/voter_actor.rs
@@ -1,11 +1,11 @@
 //! The voter's actor: it owns the decisions and the disk. What they say goes out once the disk has what they keep; a disk
 //! that fails silences the voter until it can be read and written again.
 
-use crate::fleet::local_process::{Me, draw};
-use crate::fleet::outbound::Links;
-use crate::fleet::store::{Disk, Found};
-use crate::fleet::voter_handle::{Event, Mailbox};
-use crate::fleet::wire::{self, Frame, Role, Status};
+use crate::fleet::local_process::{LocalProcess, random_id};
+use crate::fleet::outbound::VoterLinks;
+use crate::fleet::store::{DiskContents, VoterDisk};
+use crate::fleet::voter_handle::{VoterEvent, VoterMailbox};
+use crate::fleet::wire::{self, Frame, Role, VoterStatus};
 use anyhow::{Context, Result};
 use pumicebay_accord::{
     Answer, DurableState, Effects, Name, Nanos, OperationId, SharedRecord, StoreId, Voter, VoterConfig,
@@ -19,198 +19,215 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
 /// Events taken together before the disk is synced once for all.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 /// How long one round of the voters may take, and how long an ask waits for one.
-const ROUND: Nanos = 250_000_000;
-const ASK: Nanos = 2_000_000_000;
+const ROUND_TIMEOUT: Nanos = 250_000_000;
+const OPERATION_TIMEOUT: Nanos = 2_000_000_000;
 /// The pause before a disk that failed, or that another process has, is tried again.
-const AGAIN: Duration = Duration::from_millis(500);
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-struct Seat {
-    me: Me,
-    links: Links,
-    tell: watch::Sender<Option<wire::Disk>>,
+struct VoterActor {
+    local: LocalProcess,
+    links: VoterLinks,
+    disk_sender: watch::Sender<Option<wire::DiskSummary>>,
     /// The voter and its disk, while there is one that works.
-    open: Option<(Voter, Arc<Disk>)>,
-    trouble: Option<String>,
+    open: Option<(Voter, Arc<VoterDisk>)>,
+    disk_error: Option<String>,
     /// What the decisions asked for since the disk was synced last.
-    acts: Effects,
+    effects: Effects,
     random: oorandom::Rand64,
     /// Which voter has which store, by what they said last.
-    stores: BTreeMap<StoreId, Name>,
+    voter_by_store: BTreeMap<StoreId, Name>,
     /// Where answers go.
-    askers: HashMap<OperationId, mpsc::Sender<Frame>>,
+    reply_links: HashMap<OperationId, mpsc::Sender<Frame>>,
 }
 
 /// Runs the voter as long as the process lives.
-pub async fn run(me: Me, links: Links, mailbox: Mailbox) {
-    let Mailbox(mut events, tell) = mailbox;
-    let random = oorandom::Rand64::new(u128::from(draw()));
-    let (acts, stores, askers) = (Effects::default(), BTreeMap::new(), HashMap::new());
-    let mut seat = Seat { me, links, tell, open: None, trouble: None, acts, random, stores, askers };
-    let mut again = interval(AGAIN);
-    again.set_missed_tick_behavior(MissedTickBehavior::Delay);
+pub async fn run(local: LocalProcess, links: VoterLinks, mailbox: VoterMailbox) {
+    let VoterMailbox(mut events, disk_sender) = mailbox;
+    let random = oorandom::Rand64::new(u128::from(random_id()));
+    let (effects, voter_by_store, reply_links) = (Effects::default(), BTreeMap::new(), HashMap::new());
+    let mut actor = VoterActor {
+        local,
+        links,
+        disk_sender,
+        open: None,
+        disk_error: None,
+        effects,
+        random,
+        voter_by_store,
+        reply_links,
+    };
+    let mut reopen = interval(OPEN_RETRY_DELAY);
+    reopen.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let wait = seat.acts.wake_at.map_or(AGAIN, |at| seat.me.clock.until(at));
+        let wait = actor.effects.wake_at.map_or(OPEN_RETRY_DELAY, |at| actor.local.clock.until(at));
         tokio::select! {
             event = events.recv() => match event {
                 Some(event) => {
-                    seat.take(event);
-                    for _ in 1..BATCH {
+                    actor.handle_event(event);
+                    for _ in 1..MAX_BATCH {
                         let Ok(event) = events.try_recv() else { break };
-                        seat.take(event);
+                        actor.handle_event(event);
                     }
                 }
                 None => return,
             },
-            () = sleep_until(Instant::now() + wait) => seat.woke(),
-            _ = again.tick() => match seat.open {
-                Some(_) => seat.woke(),
-                None => seat.try_open().await,
+            () = sleep_until(Instant::now() + wait) => actor.timer_fired(),
+            _ = reopen.tick() => match actor.open {
+                Some(_) => actor.timer_fired(),
+                None => actor.try_open().await,
             },
         }
-        if let Err(error) = seat.flush().await {
-            seat.fail(&error);
+        if let Err(error) = actor.flush().await {
+            actor.fail(&error);
         }
     }
 }
 
-impl Seat {
-    fn terms(&self) -> VoterConfig {
-        let config = &self.me.config;
+impl VoterActor {
+    fn config_for_voter(&self) -> VoterConfig {
+        let config = &self.local.config;
         VoterConfig {
             drift_ppm: config.drift_ppm,
-            round_timeout: ROUND,
-            operation_timeout: ASK,
-            max_pending: config.asks,
-            eligible_voters: config.callable().map(|(name, _)| name.clone()).collect(),
-            require_extra_confirmation: config.cautious,
+            round_timeout: ROUND_TIMEOUT,
+            operation_timeout: OPERATION_TIMEOUT,
+            max_pending: config.max_pending,
+            eligible_voters: config.potential_voters().map(|(name, _)| name.clone()).collect(),
+            require_extra_confirmation: config.require_extra_confirmation,
         }
     }
 
     async fn try_open(&mut self) {
-        let config = self.me.config.clone();
+        let config = self.local.config.clone();
         let Some(folder) = config.folder.clone() else { return };
         let name = config.name.clone();
-        let opened = spawn_blocking(move || open(&folder, &name)).await.context("opening").flatten();
+        let opened = spawn_blocking(move || open_folder(&folder, &name)).await.context("opening").flatten();
         match opened {
-            Ok(Some((disk, kept))) => {
-                let (terms, now) = (self.terms(), self.me.clock.now());
-                let voter = Voter::start(now, &self.me.who.name, kept, terms, &mut self.acts);
+            Ok(Some((disk, state))) => {
+                let (config_for_voter, now) = (self.config_for_voter(), self.local.clock.now());
+                let voter =
+                    Voter::start(now, &self.local.id.name, state, config_for_voter, &mut self.effects);
                 self.open = Some((voter, Arc::new(disk)));
-                self.trouble = None;
+                self.disk_error = None;
             }
-            Ok(None) => self.trouble = Some("another process has the folder".into()),
+            Ok(None) => self.disk_error = Some("another process has the folder".into()),
             Err(error) => self.fail(&error),
         }
     }
 
     /// Silences the voter until its disk works; what it was about to say is lost with what it was about to keep.
     fn fail(&mut self, error: &anyhow::Error) {
-        let trouble = format!("{error:#}");
-        if self.trouble.as_ref() != Some(&trouble) {
-            tracing::error!("fleet: the voter's disk: {trouble}");
+        let disk_error = format!("{error:#}");
+        if self.disk_error.as_ref() != Some(&disk_error) {
+            tracing::error!("fleet: the voter's disk: {disk_error}");
         }
-        self.trouble = Some(trouble);
+        self.disk_error = Some(disk_error);
         self.open = None;
-        self.acts = Effects::default();
-        self.askers.clear();
+        self.effects = Effects::default();
+        self.reply_links.clear();
     }
 
-    fn take(&mut self, event: Event) {
-        let now = self.me.clock.now();
+    fn handle_event(&mut self, event: VoterEvent) {
+        let now = self.local.clock.now();
         match event {
-            Event::Status(answer) => {
+            VoterEvent::Status(answer) => {
                 let _ = answer.send(self.status(now));
                 return;
             }
-            Event::Heard(ref who, _, Some(ref disk)) => {
-                self.stores.retain(|_, name| *name != who.name);
-                self.stores.insert(disk.store, who.name.clone());
+            VoterEvent::PeerHeard(ref peer, _, Some(ref disk)) => {
+                self.voter_by_store.retain(|_, name| *name != peer.name);
+                self.voter_by_store.insert(disk.store, peer.name.clone());
             }
             _ => {}
         }
         let Some((voter, _)) = &mut self.open else {
-            if let Event::Ask(ask, link) = event {
-                let busy = Answer { id: ask.id, reply: pumicebay_accord::Reply::Busy };
+            if let VoterEvent::Submit(operation, link) = event {
+                let busy = Answer { id: operation.id, reply: pumicebay_accord::Reply::Busy };
                 let _ = link.try_send(Frame::Answer(busy));
             }
             return;
         };
-        let acts = &mut self.acts;
-        acts.random = self.random.rand_float();
+        let effects = &mut self.effects;
+        effects.random = self.random.rand_float();
         match event {
-            Event::Heard(who, role, disk) => {
+            VoterEvent::PeerHeard(peer, role, disk) => {
                 if role == Role::Proxy {
                     let store = disk.as_ref().map(|disk| (disk.store, disk.empty));
-                    voter.presence.heard_from(now, &who.name, who.incarnation, store);
+                    voter.presence.heard_from(now, &peer.name, peer.incarnation, store);
                 }
                 if let Some(disk) = disk {
-                    let own = voter.durable_state().store;
-                    let knows = disk.known.iter().find(|(store, _)| *store == own).map_or(0, |(_, n)| *n);
-                    voter.hello_received(now, disk.store, disk.written, knows, acts);
+                    let own_store = voter.durable_state().store;
+                    let known_write_count = disk
+                        .known_write_counts
+                        .iter()
+                        .find(|(store, _)| *store == own_store)
+                        .map_or(0, |(_, n)| *n);
+                    voter.hello_received(now, disk.store, disk.write_count, known_write_count, effects);
                 }
             }
-            Event::Lost(who, in_order) => voter.presence.link_lost(&who.name, who.incarnation, in_order),
-            Event::Vote(to, from, message) if to == voter.durable_state().store => {
-                voter.message_received(now, from, message, acts)
+            VoterEvent::LinkLost(peer, in_order) => {
+                voter.presence.link_lost(&peer.name, peer.incarnation, in_order)
+            }
+            VoterEvent::Message(to, from, message) if to == voter.durable_state().store => {
+                voter.message_received(now, from, message, effects)
             }
-            Event::Vote(..) => {}
-            Event::Ask(ask, link) => {
-                self.askers.insert(ask.id.clone(), link);
-                voter.submit(now, ask, acts);
+            VoterEvent::Message(..) => {}
+            VoterEvent::Submit(operation, link) => {
+                self.reply_links.insert(operation.id.clone(), link);
+                voter.submit(now, operation, effects);
             }
-            Event::Found(record, done) => {
-                let _ = done.send(voter.bootstrap(now, record, acts));
+            VoterEvent::Bootstrap(record, reply_sender) => {
+                let _ = reply_sender.send(voter.bootstrap(now, record, effects));
             }
-            Event::Trust(done) => {
-                let _ = done.send(voter.trust_disk(now, acts));
+            VoterEvent::TrustDisk(reply_sender) => {
+                let _ = reply_sender.send(voter.trust_disk(now, effects));
             }
-            Event::Status(_) => {}
+            VoterEvent::Status(_) => {}
         }
-        acts.deliver_to_self(now, voter);
+        effects.deliver_to_self(now, voter);
     }
 
-    fn woke(&mut self) {
-        let now = self.me.clock.now();
-        self.acts.wake_at = None;
-        self.acts.random = self.random.rand_float();
+    fn timer_fired(&mut self) {
+        let now = self.local.clock.now();
+        self.effects.wake_at = None;
+        self.effects.random = self.random.rand_float();
         if let Some((voter, _)) = &mut self.open {
-            voter.timer_fired(now, &mut self.acts);
-            self.acts.deliver_to_self(now, voter);
+            voter.timer_fired(now, &mut self.effects);
+            self.effects.deliver_to_self(now, voter);
         }
     }
 
     /// Syncs what is to be kept, and only then lets out what was said.
     async fn flush(&mut self) -> Result<()> {
         let Some((voter, disk)) = &self.open else { return Ok(()) };
-        let own = voter.durable_state().store;
-        self.acts.committed.clear();
-        if let Some(kept) = self.acts.to_persist.drain(..).next_back() {
+        let own_store = voter.durable_state().store;
+        self.effects.committed.clear();
+        if let Some(state) = self.effects.to_persist.drain(..).next_back() {
             let disk = disk.clone();
-            spawn_blocking(move || disk.write(&kept)).await.context("writing").flatten()?;
+            spawn_blocking(move || disk.write(&state)).await.context("writing").flatten()?;
         }
-        let said = said(voter.durable_state());
-        self.tell.send_if_modified(|now| now.replace(said.clone()).as_ref() != Some(&said));
-        for (to, message) in self.acts.messages.drain(..) {
-            if let Some(name) = self.stores.get(&to) {
-                self.links.send(name, Frame::Vote(to, own, message));
+        let summary = disk_summary(voter.durable_state());
+        self.disk_sender.send_if_modified(|now| now.replace(summary.clone()).as_ref() != Some(&summary));
+        for (to, message) in self.effects.messages.drain(..) {
+            if let Some(name) = self.voter_by_store.get(&to) {
+                self.links.send(name, Frame::VoterMessage(to, own_store, message));
             }
         }
-        for answer in self.acts.answers.drain(..) {
-            if let Some(link) = self.askers.remove(&answer.id) {
+        for answer in self.effects.answers.drain(..) {
+            if let Some(link) = self.reply_links.remove(&answer.id) {
                 // A link that is full is lost anyhow.
                 let _ = link.try_send(Frame::Answer(answer));
             }
         }
-        if let Some(standing) = self.acts.voting_state.take() {
-            let DurableState { incarnation, write_count: written, accepted, .. } = voter.durable_state();
+        if let Some(voting_state) = self.effects.voting_state.take() {
+            let DurableState { incarnation, write_count, accepted, .. } = voter.durable_state();
             tracing::info!(
-                "fleet: voter {standing:?}, store {own:016x} opened {incarnation} times, written {written}, \
+                "fleet: voter {voting_state:?}, store {own_store:016x} opened {incarnation} times, written {write_count}, \
                  accepted round {}",
                 accepted.round
             );
-            if standing == VotingState::Behind {
+            if voting_state == VotingState::Behind {
                 // The others take this voter in again under a new store.
                 disk.set_aside()?;
                 self.open = None;
@@ -219,69 +236,75 @@
         Ok(())
     }
 
-    fn status(&self, now: Nanos) -> Status {
+    fn status(&self, now: Nanos) -> VoterStatus {
         let Some((voter, _)) = &self.open else {
-            return Status {
-                name: self.me.who.name.clone(),
+            return VoterStatus {
+                name: self.local.id.name.clone(),
                 disk: self
-                    .tell
+                    .disk_sender
                     .borrow()
                     .clone()
-                    .unwrap_or_else(|| said(&DurableState::empty(&self.me.config.name, 0))),
-                standing: VotingState::Empty,
-                seated: false,
-                trouble: Some(self.trouble.clone().unwrap_or_else(|| "its disk is being opened".into())),
+                    .unwrap_or_else(|| disk_summary(&DurableState::empty(&self.local.config.name, 0))),
+                voting_state: VotingState::Empty,
+                is_current_voter: false,
+                disk_error: Some(
+                    self.disk_error.clone().unwrap_or_else(|| "its disk is being opened".into()),
+                ),
                 record: SharedRecord::default(),
-                left: Vec::new(),
-                present: Vec::new(),
+                remaining_leases: Vec::new(),
+                peers: Vec::new(),
             };
         };
-        let kept = voter.durable_state();
-        Status {
-            name: self.me.who.name.clone(),
-            disk: said(kept),
-            standing: voter.voting_state(),
-            seated: voter.is_current_voter(),
-            trouble: self.trouble.clone(),
-            record: kept.record.clone(),
-            left: kept
+        let state = voter.durable_state();
+        VoterStatus {
+            name: self.local.id.name.clone(),
+            disk: disk_summary(state),
+            voting_state: voter.voting_state(),
+            is_current_voter: voter.is_current_voter(),
+            disk_error: self.disk_error.clone(),
+            record: state.record.clone(),
+            remaining_leases: state
                 .record
                 .0
                 .leases
                 .keys()
                 .map(|name| (name.clone(), voter.remaining(now, name)))
                 .collect(),
-            present: voter
+            peers: voter
                 .presence
                 .peers(now)
-                .map(|(name, life, seen, ago)| (name.clone(), life, seen, ago))
+                .map(|(name, incarnation, seen, silent_for)| (name.clone(), incarnation, seen, silent_for))
                 .collect(),
         }
     }
 }
 
 /// What a voter tells others of its disk.
-fn said(kept: &DurableState) -> wire::Disk {
-    wire::Disk {
-        store: kept.store,
-        empty: kept.is_empty(),
-        written: kept.write_count,
-        founded: kept.record.0.founded,
-        known: kept.known_write_counts.iter().map(|(store, written)| (*store, *written)).collect(),
+fn disk_summary(state: &DurableState) -> wire::DiskSummary {
+    wire::DiskSummary {
+        store: state.store,
+        empty: state.is_empty(),
+        write_count: state.write_count,
+        founded: state.record.0.founded,
+        known_write_counts: state
+            .known_write_counts
+            .iter()
+            .map(|(store, written)| (*store, *written))
+            .collect(),
     }
 }
 
 /// Opens a voter's folder: what it has, or a new store where that is nothing or can't be trusted.
-fn open(folder: &std::path::Path, fleet: &str) -> Result<Option<(Disk, DurableState)>> {
-    let Some(disk) = Disk::open(folder)? else { return Ok(None) };
-    let kept = match disk.read(fleet)? {
-        Found::Whole(kept) => *kept,
-        Found::Nothing => DurableState::empty(fleet, draw()),
-        Found::Spoilt(why) => {
+fn open_folder(folder: &std::path::Path, fleet: &str) -> Result<Option<(VoterDisk, DurableState)>> {
+    let Some(disk) = VoterDisk::open(folder)? else { return Ok(None) };
+    let state = match disk.read(fleet)? {
+        DiskContents::Valid(state) => *state,
+        DiskContents::Empty => DurableState::empty(fleet, random_id()),
+        DiskContents::Corrupt(why) => {
             tracing::error!("fleet: the voter's file is set aside, it must not vote from it: {why}");
             disk.set_aside()?;
-            DurableState::empty(fleet, draw())
+            DurableState::empty(fleet, random_id())
         }
     };
-    Ok(Some((disk, kept)))
+    Ok(Some((disk, state)))
 }
--- a/crates/proxy/src/fleet/voter_client.rs
+++ b/crates/proxy/src/fleet/voter_client.rs
@@ -1,8 +1,8 @@
 //! Asks voters until one answers: the same ask, under the same number, at one after the other.
 
-use crate::fleet::local_process::Me;
-use crate::fleet::outbound::Links;
-use crate::fleet::voter_handle::{Door, Event};
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::outbound::VoterLinks;
+use crate::fleet::voter_handle::{VoterEvent, VoterHandle};
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{Answer, Name, Operation, OperationId, OperationKind, Reply};
 use std::collections::HashMap;
@@ -13,164 +13,174 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-const MAILBOX: usize = 256;
+const MAILBOX_CAPACITY: usize = 256;
 /// How long one voter has before the next is asked, and after one that had too much to do.
-const PATIENCE: Duration = Duration::from_millis(600);
-const BUSY: Duration = Duration::from_millis(50);
-const LOOK: Duration = Duration::from_millis(25);
+const VOTER_TIMEOUT: Duration = Duration::from_millis(600);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-struct Order {
-    ask: Operation,
-    until: Instant,
-    done: oneshot::Sender<Reply>,
+struct Submission {
+    operation: Operation,
+    deadline: Instant,
+    reply_sender: oneshot::Sender<Reply>,
 }
 
 /// The way to ask.
 #[derive(Clone)]
-pub struct Asker {
-    pub me: Me,
-    orders: mpsc::Sender<Order>,
-    last: Arc<AtomicU64>,
+pub struct VoterClient {
+    pub local: LocalProcess,
+    submissions: mpsc::Sender<Submission>,
+    last_number: Arc<AtomicU64>,
 }
 
-impl Asker {
+impl VoterClient {
     /// A number higher than any before in this process.
-    pub fn number(&self) -> u64 {
-        self.last.fetch_add(1, Ordering::Relaxed) + 1
+    pub fn next_number(&self) -> u64 {
+        self.last_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// `Unknown` where nobody answered in time: it may have been done.
-    pub async fn ask(&self, ask: Operation, patience: Duration) -> Reply {
-        let (done, answer) = oneshot::channel();
-        let order = Order { ask, until: Instant::now() + patience, done };
-        if self.orders.send(order).await.is_err() {
+    pub async fn submit_operation(&self, operation: Operation, timeout: Duration) -> Reply {
+        let (reply_sender, answer) = oneshot::channel();
+        let submission = Submission { operation, deadline: Instant::now() + timeout, reply_sender };
+        if self.submissions.send(submission).await.is_err() {
             return Reply::Unknown;
         }
         answer.await.unwrap_or(Reply::Unknown)
     }
 
-    pub async fn want(&self, want: OperationKind, patience: Duration) -> Reply {
-        let id = OperationId { process: self.me.who.clone(), number: self.number() };
-        self.ask(Operation { id, kind: want }, patience).await
+    pub async fn submit(&self, kind: OperationKind, timeout: Duration) -> Reply {
+        let id = OperationId { process: self.local.id.clone(), number: self.next_number() };
+        self.submit_operation(Operation { id, kind }, timeout).await
     }
 }
 
-struct Open {
-    order: Order,
-    asked: Option<Name>,
-    next: Instant,
+struct Pending {
+    submission: Submission,
+    last_voter: Option<Name>,
+    retry_at: Instant,
 }
 
 struct Actor {
     name: Name,
-    links: Links,
-    own: Option<Door>,
-    own_answers: mpsc::Sender<Frame>,
-    open: HashMap<OperationId, Open>,
+    links: VoterLinks,
+    own_voter: Option<VoterHandle>,
+    own_voter_answers: mpsc::Sender<Frame>,
+    pending: HashMap<OperationId, Pending>,
     /// Who answered last: the first to be asked next.
-    good: Option<Name>,
+    preferred: Option<Name>,
 }
 
 pub fn start(
-    me: &Me,
-    links: Links,
-    mut answered: mpsc::Receiver<Answer>,
-    own: Option<Door>,
+    local: &LocalProcess,
+    links: VoterLinks,
+    mut answers: mpsc::Receiver<Answer>,
+    own_voter: Option<VoterHandle>,
     actors: &mut JoinSet<()>,
-) -> Asker {
-    let (orders, mut ordered) = mpsc::channel::<Order>(MAILBOX);
-    let (own_answers, mut own_answered) = mpsc::channel(MAILBOX);
-    let name = me.who.name.clone();
-    let mut actor = Actor { name, links, own, own_answers, open: HashMap::new(), good: None };
+) -> VoterClient {
+    let (submissions, mut submitted) = mpsc::channel::<Submission>(MAILBOX_CAPACITY);
+    let (own_voter_answers, mut own_voter_answered) = mpsc::channel(MAILBOX_CAPACITY);
+    let name = local.id.name.clone();
+    let mut actor =
+        Actor { name, links, own_voter, own_voter_answers, pending: HashMap::new(), preferred: None };
     actors.spawn(async move {
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut check = interval(CHECK_INTERVAL);
+        check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let idle = actor.open.is_empty();
+            let idle = actor.pending.is_empty();
             tokio::select! {
-                order = ordered.recv() => match order {
-                    Some(order) => {
-                        let id = order.ask.id.clone();
-                        actor.open.insert(id.clone(), Open { order, asked: None, next: Instant::now() });
-                        actor.try_next(&id);
+                submission = submitted.recv() => match submission {
+                    Some(submission) => {
+                        let id = submission.operation.id.clone();
+                        actor.pending.insert(id.clone(), Pending { submission, last_voter: None, retry_at: Instant::now() });
+                        actor.send_to_next_voter(&id);
                     }
                     None => return,
                 },
-                Some(answer) = answered.recv() => actor.answered(answer),
-                Some(frame) = own_answered.recv() => if let Frame::Answer(answer) = frame {
-                    actor.answered(answer);
+                Some(answer) = answers.recv() => actor.answer_received(answer),
+                Some(frame) = own_voter_answered.recv() => if let Frame::Answer(answer) = frame {
+                    actor.answer_received(answer);
                 },
-                _ = look.tick(), if !idle => actor.look(),
+                _ = check.tick(), if !idle => actor.expire_and_retry(),
             }
         }
     });
-    Asker { me: me.clone(), orders, last: Arc::default() }
+    VoterClient { local: local.clone(), submissions, last_number: Arc::default() }
 }
 
 impl Actor {
-    fn answered(&mut self, answer: Answer) {
-        let Some(open) = self.open.get_mut(&answer.id) else { return };
+    fn answer_received(&mut self, answer: Answer) {
+        let Some(pending) = self.pending.get_mut(&answer.id) else { return };
         if matches!(answer.reply, Reply::Busy | Reply::Unknown) {
             // Another may know; this one does not.
-            open.next = Instant::now() + BUSY;
+            pending.retry_at = Instant::now() + BUSY_RETRY_DELAY;
             return;
         }
-        if let Some(open) = self.open.remove(&answer.id) {
-            self.good = open.asked;
-            let _ = open.order.done.send(answer.reply);
+        if let Some(pending) = self.pending.remove(&answer.id) {
+            self.preferred = pending.last_voter;
+            let _ = pending.submission.reply_sender.send(answer.reply);
         }
     }
 
-    fn look(&mut self) {
+    fn expire_and_retry(&mut self) {
         let now = Instant::now();
-        let over = |open: &Open| open.order.until <= now || open.order.done.is_closed();
+        let finished = |pending: &Pending| {
+            pending.submission.deadline <= now || pending.submission.reply_sender.is_closed()
+        };
         let ended: Vec<OperationId> =
-            self.open.iter().filter(|(_, open)| over(open)).map(|(id, _)| id.clone()).collect();
+            self.pending.iter().filter(|(_, pending)| finished(pending)).map(|(id, _)| id.clone()).collect();
         for id in &ended {
-            let Some(open) = self.open.remove(id) else { continue };
-            self.mistrust(open.asked);
-            let _ = open.order.done.send(Reply::Unknown);
+            let Some(pending) = self.pending.remove(id) else { continue };
+            self.demote(pending.last_voter);
+            let _ = pending.submission.reply_sender.send(Reply::Unknown);
         }
-        let due: Vec<OperationId> =
-            self.open.iter().filter(|(_, open)| open.next <= now).map(|(id, _)| id.clone()).collect();
-        due.iter().for_each(|id| self.try_next(id));
+        let due: Vec<OperationId> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.retry_at <= now)
+            .map(|(id, _)| id.clone())
+            .collect();
+        due.iter().for_each(|id| self.send_to_next_voter(id));
     }
 
     /// Who did not answer is not asked first again: with asks that wait no longer than one voter has for its answer, it
     /// would be the only one ever asked.
-    fn mistrust(&mut self, asked: Option<Name>) {
-        if asked.is_some() && (self.good.is_none() || self.good == asked) {
-            let next = self.links.up().find(|name| Some(*name) > asked.as_ref()).cloned();
-            self.good = next.or_else(|| self.links.up().next().cloned());
+    fn demote(&mut self, last_voter: Option<Name>) {
+        if last_voter.is_some() && (self.preferred.is_none() || self.preferred == last_voter) {
+            let next = self.links.connected().find(|name| Some(*name) > last_voter.as_ref()).cloned();
+            self.preferred = next.or_else(|| self.links.connected().next().cloned());
         }
     }
 
     /// Asks who answered last, or the next after whom it was asked last.
-    fn try_next(&mut self, id: &OperationId) {
-        if let Some(asked) = self.open.get(id).and_then(|open| open.asked.clone()) {
-            self.mistrust(Some(asked));
+    fn send_to_next_voter(&mut self, id: &OperationId) {
+        if let Some(last_voter) = self.pending.get(id).and_then(|pending| pending.last_voter.clone()) {
+            self.demote(Some(last_voter));
         }
-        let Some(open) = self.open.get_mut(id) else { return };
-        let mut all: Vec<&Name> = self.links.up().collect();
-        if self.own.is_some() {
-            all.push(&self.name);
+        let Some(pending) = self.pending.get_mut(id) else { return };
+        let mut voters: Vec<&Name> = self.links.connected().collect();
+        if self.own_voter.is_some() {
+            voters.push(&self.name);
         }
-        all.sort();
-        let good = self.good.as_ref().and_then(|good| all.iter().position(|name| *name == good));
-        let at = match &open.asked {
-            None => good.unwrap_or(0),
-            Some(last) => all.iter().position(|name| *name > last).unwrap_or(0),
+        voters.sort();
+        let preferred =
+            self.preferred.as_ref().and_then(|preferred| voters.iter().position(|name| *name == preferred));
+        let index = match &pending.last_voter {
+            None => preferred.unwrap_or(0),
+            Some(last) => voters.iter().position(|name| *name > last).unwrap_or(0),
         };
-        let Some(&to) = all.get(at) else {
-            open.next = Instant::now() + BUSY;
+        let Some(&voter) = voters.get(index) else {
+            pending.retry_at = Instant::now() + BUSY_RETRY_DELAY;
             return;
         };
-        let ask = open.order.ask.clone();
-        match &self.own {
-            Some(own) if *to == self.name => own.post(Event::Ask(ask, self.own_answers.clone())),
-            _ => _ = self.links.send(to, Frame::Ask(ask)),
+        let operation = pending.submission.operation.clone();
+        match &self.own_voter {
+            Some(own_voter) if *voter == self.name => {
+                own_voter.try_send(VoterEvent::Submit(operation, self.own_voter_answers.clone()))
+            }
+            _ => _ = self.links.send(voter, Frame::Submit(operation)),
         }
-        open.asked = Some(to.clone());
-        open.next = Instant::now() + PATIENCE;
+        pending.last_voter = Some(voter.clone());
+        pending.retry_at = Instant::now() + VOTER_TIMEOUT;
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::event_loop;
 use crate::fleet::carrier::{self, apply};
 use crate::fleet::replication::handle::Channels;
-use crate::fleet::{self, replication, voter_client::Asker};
+use crate::fleet::{self, replication, voter_client::VoterClient};
 use crate::listen::listen;
 use crate::messages;
 use crate::operator::{self, OperatorService};
@@ -59,7 +59,7 @@
     /// The address of the operator interface, if it is enabled.
     pub operator: Option<SocketAddr>,
     /// Sends commands to the fleet's voters, if the proxy is part of a fleet.
-    pub fleet: Option<Asker>,
+    pub fleet: Option<VoterClient>,
     /// Handle of the carrier actor, if there is one.
     carrier: Option<carrier::door::Door>,
     phases: Phases,
@@ -175,8 +175,10 @@
         let has_carrier = config.fleet.as_ref().is_some_and(|fleet| fleet.carrier.is_some());
         let (carrier_status_sender, carrier_status) =
             has_carrier.then(|| watch::channel(carrier::actor::Told::default())).unzip();
-        let me =
-            config.fleet.as_ref().map(|section| fleet::local_process::Me::new(&config.name, section.clone()));
+        let me = config
+            .fleet
+            .as_ref()
+            .map(|section| fleet::local_process::LocalProcess::new(&config.name, section.clone()));
         let replicated = me.as_ref().and_then(|me| me.config.replication.clone());
         if operator.is_some() || replicated.is_some() {
             let (maintenance, calls) = bans::channel();
@@ -221,8 +223,8 @@
                 actors.spawn(operator::accept(operator, listener));
             }
         }
-        let fleet = me.as_ref().filter(|me| me.config.asks_voters(&config.name)).map(|me| {
-            let (prober, probes) = fleet::probe_handle::door();
+        let fleet = me.as_ref().filter(|me| me.config.connects_to_voters(&config.name)).map(|me| {
+            let (prober, probes) = fleet::probe_handle::channel();
             dispatcher.use_prober(prober);
             let (asker, parts) = fleet::start(me, control.clone(), probes);
             actors.spawn(parts);
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -186,7 +186,7 @@
         version: Version::default(),
         digest: 0,
     };
-    let up = postcard::to_stdvec(&Frame::Up(Box::new(up))).unwrap();
+    let up = postcard::to_stdvec(&Frame::ToParent(Box::new(up))).unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
     for bytes in [framed(&[99, 1, 2]), vec![255; 8], framed(&[]), framed(&up), framed(&up)[..9].to_vec()] {
         let mut stream = TcpStream::connect(c1.as_str().unwrap()).await.unwrap();
--- a/crates/proxy/tests/proxy/fleet.rs
+++ b/crates/proxy/tests/proxy/fleet.rs
@@ -5,9 +5,9 @@
 use expect_test::expect;
 use pumicebay::config::parse;
 use pumicebay::fleet::config::FleetConfig;
-use pumicebay::fleet::local_process::Me;
+use pumicebay::fleet::local_process::LocalProcess;
 use pumicebay::fleet::start_command;
-use pumicebay::fleet::store::{Disk, Found};
+use pumicebay::fleet::store::{DiskContents, VoterDisk};
 use pumicebay::fleet::wire::{Frame, Hello, Link, Role};
 use pumicebay_accord::{
     Answer, Ballot, DurableState, Member, Message, OperationKind, ProcessId, Record, Reply, SharedRecord,
@@ -37,17 +37,17 @@
 #[test]
 fn a_voters_file_is_whole_or_known_not_to_be() {
     let folder = Folder::new("voter");
-    let disk = Disk::open(&folder.0).unwrap().unwrap();
-    assert!(matches!(disk.read("harbour").unwrap(), Found::Nothing));
+    let disk = VoterDisk::open(&folder.0).unwrap().unwrap();
+    assert!(matches!(disk.read("harbour").unwrap(), DiskContents::Empty));
     disk.write(&kept()).unwrap();
-    assert!(matches!(disk.read("harbour").unwrap(), Found::Whole(read) if *read == kept()));
-    assert!(matches!(disk.read("other").unwrap(), Found::Spoilt(_)));
-    assert!(Disk::open(&folder.0).unwrap().is_none(), "another has it");
+    assert!(matches!(disk.read("harbour").unwrap(), DiskContents::Valid(read) if *read == kept()));
+    assert!(matches!(disk.read("other").unwrap(), DiskContents::Corrupt(_)));
+    assert!(VoterDisk::open(&folder.0).unwrap().is_none(), "another has it");
     let file = folder.0.join("voter");
     let whole = std::fs::read(&file).unwrap();
     let spoilt = |bytes: &[u8]| {
         std::fs::write(&file, bytes).unwrap();
-        assert!(matches!(disk.read("harbour").unwrap(), Found::Spoilt(_)), "{bytes:?}");
+        assert!(matches!(disk.read("harbour").unwrap(), DiskContents::Corrupt(_)), "{bytes:?}");
     };
     for at in 0..whole.len() {
         spoilt(&whole[..at]);
@@ -60,7 +60,7 @@
     let mut later = whole.clone();
     later[8] = 2;
     std::fs::write(&file, later).unwrap();
-    let Found::Spoilt(why) = disk.read("harbour").unwrap() else { panic!("read") };
+    let DiskContents::Corrupt(why) = disk.read("harbour").unwrap() else { panic!("read") };
     expect!["of version 2, this program reads 1"].assert_eq(&why);
 }
 
@@ -73,9 +73,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (taken, _) = listener.accept().await.unwrap();
-    let (one, two) = tokio::join!(Link::dial(stream, &dials), Link::take(taken, async || takes));
+    let (one, two) = tokio::join!(Link::initiate(stream, &dials), Link::accept(taken, async || takes));
     let words = |met: anyhow::Result<(Link, Hello)>| match met {
-        Ok((_, hello)) => format!("met {}", hello.who),
+        Ok((_, hello)) => format!("met {}", hello.id),
         Err(error) => format!("{error:#}"),
     };
     (words(one), words(two))
@@ -88,13 +88,13 @@
     let (one, two) = met(hello("harbour", "a"), hello("yard", "b")).await;
     expect![[r#"refused: a#1 is: of fleet "harbour", not "yard"; a#1 is: of fleet "harbour", not "yard""#]]
         .assert_eq(&format!("{one}; {two}"));
-    let later = hello("harbour", "a").speaking(7, 9);
+    let later = hello("harbour", "a").with_versions(7, 9);
     let (one, _) = met(later, hello("harbour", "b")).await;
     expect!["refused: a#1 is: speaks links 7 to 9, not 1 to 3"].assert_eq(&one);
     // One that speaks more, and this too, is understood; and one of before the carrier, whoever dials.
-    let (one, _) = met(hello("harbour", "a").speaking(1, 9), hello("harbour", "b")).await;
+    let (one, _) = met(hello("harbour", "a").with_versions(1, 9), hello("harbour", "b")).await;
     expect!["met b#1"].assert_eq(&one);
-    let before = hello("harbour", "a").speaking(1, 1);
+    let before = hello("harbour", "a").with_versions(1, 1);
     let (one, two) = met(before.clone(), hello("harbour", "b")).await;
     expect!["met b#1, met a#1"].assert_eq(&format!("{one}, {two}"));
     let (one, two) = met(hello("harbour", "b"), before).await;
@@ -106,11 +106,11 @@
 #[tokio::test]
 async fn a_link_of_version_1_carries_what_it_always_did() {
     let first = [
-        Frame::Beat(None),
-        Frame::Vote(1, 2, Message::Prepare(Ballot { round: 3, store: 1, incarnation: 2 }, 4)),
-        Frame::Trust,
-        Frame::Taken(true),
-        Frame::Status,
+        Frame::Heartbeat(None),
+        Frame::VoterMessage(1, 2, Message::Prepare(Ballot { round: 3, store: 1, incarnation: 2 }, 4)),
+        Frame::TrustDisk,
+        Frame::Accepted(true),
+        Frame::StatusRequest,
         Frame::Bye,
     ];
     let numbers: Vec<u8> = first.iter().map(|frame| postcard::to_stdvec(frame).unwrap()[0]).collect();
@@ -118,10 +118,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (taken, _) = listener.accept().await.unwrap();
-    let (dials, takes) = (hello("harbour", "a").speaking(1, 1), hello("harbour", "b"));
-    let (one, two) = tokio::join!(Link::dial(stream, &dials), Link::take(taken, async || takes));
+    let (dials, takes) = (hello("harbour", "a").with_versions(1, 1), hello("harbour", "b"));
+    let (one, two) = tokio::join!(Link::initiate(stream, &dials), Link::accept(taken, async || takes));
     let (mut one, mut two) = (one.unwrap().0, two.unwrap().0);
-    assert_eq!(two.speaks(), 1);
+    assert_eq!(two.version(), 1);
     for frame in first {
         one.send(&frame).await.unwrap();
         assert_eq!(two.next().await.unwrap(), frame);
@@ -145,7 +145,7 @@
         let (taken, _) = listener.accept().await.unwrap();
         stream.write_all(bytes).await.unwrap();
         stream.shutdown().await.unwrap();
-        let ended = Link::take(taken, async || hello("harbour", "b")).await.err().unwrap();
+        let ended = Link::accept(taken, async || hello("harbour", "b")).await.err().unwrap();
         let ended = format!("{ended:#}");
         assert!(ended.contains(why) || ended.contains("bytes remaining"), "{why}: {ended}");
     }
@@ -153,10 +153,10 @@
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (taken, _) = listener.accept().await.unwrap();
     let (dials, takes) = (hello("harbour", "a"), hello("harbour", "b"));
-    let (one, two) = tokio::join!(Link::dial(stream, &dials), Link::take(taken, async || takes));
+    let (one, two) = tokio::join!(Link::initiate(stream, &dials), Link::accept(taken, async || takes));
     let (mut one, mut two) = (one.unwrap().0, two.unwrap().0);
-    one.send(&Frame::Beat(None)).await.unwrap();
-    assert_eq!(two.next().await.unwrap(), Frame::Beat(None));
+    one.send(&Frame::Heartbeat(None)).await.unwrap();
+    assert_eq!(two.next().await.unwrap(), Frame::Heartbeat(None));
     assert_eq!(format!("{:#}", two.next().await.unwrap_err()), "silent: deadline has elapsed");
 }
 
@@ -244,11 +244,11 @@
         called.insert(name.into(), json!(listener.local_addr().unwrap().to_string()));
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let mut link = Link::take(stream, async || hello("harbour", name)).await.unwrap().0;
+            let mut link = Link::accept(stream, async || hello("harbour", name)).await.unwrap().0;
             while let Ok(frame) = link.next().await {
                 let said = match frame {
-                    Frame::Ask(ask) if answers => Frame::Answer(Answer { id: ask.id, reply: Reply::Done }),
-                    _ => Frame::Beat(None),
+                    Frame::Submit(ask) if answers => Frame::Answer(Answer { id: ask.id, reply: Reply::Done }),
+                    _ => Frame::Heartbeat(None),
                 };
                 link.send(&said).await.unwrap();
             }
@@ -257,11 +257,11 @@
     let config =
         FleetConfig::parse(&json!({"fleet": {"name": "harbour", "voters": called}}), "").unwrap().unwrap();
     let mut actors = JoinSet::new();
-    let asker = start_command(&Me::new("h", config.into()), &mut actors);
+    let asker = start_command(&LocalProcess::new("h", config.into()), &mut actors);
     let patience = Duration::from_millis(500);
     let mut replies = Vec::new();
     for _ in 0..4 {
-        replies.push(asker.want(OperationKind::TakeAway("l".into()), patience).await);
+        replies.push(asker.submit(OperationKind::TakeAway("l".into()), patience).await);
     }
     assert!(replies[1..].contains(&Reply::Done), "{replies:?}");
     assert_eq!(replies[3], Reply::Done, "and then who answers is");
@@ -274,14 +274,14 @@
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (taken, _) = listener.accept().await.unwrap();
     let (dials, takes) = (hello("harbour", "a"), hello("harbour", "b"));
-    let (one, two) = tokio::join!(Link::dial(stream, &dials), Link::take(taken, async || takes));
+    let (one, two) = tokio::join!(Link::initiate(stream, &dials), Link::accept(taken, async || takes));
     let (mut one, _two) = (one.unwrap().0, two.unwrap().0);
     for _ in 0..30 {
         if let Ok(ended) = timeout(Duration::from_millis(200), one.next()).await {
             assert_eq!(format!("{:#}", ended.unwrap_err()), "silent: deadline has elapsed");
             return;
         }
-        one.send(&Frame::Beat(None)).await.unwrap();
+        one.send(&Frame::Heartbeat(None)).await.unwrap();
     }
     panic!("still up after six seconds of silence");
 }
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -232,8 +232,8 @@
     let group = Group::start("absurd").await;
     let address = group.section["replication"]["peers"]["p1"].as_str().unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
-    let took =
-        postcard::to_stdvec(&Frame::Replicate(Box::new(Message::Ack { number: 9, accepted: true }))).unwrap();
+    let took = postcard::to_stdvec(&Frame::Replication(Box::new(Message::Ack { number: 9, accepted: true })))
+        .unwrap();
     for (name, bytes) in [
         ("p2", framed(&[99, 1, 2])),
         ("p2", vec![255; 8]),
