--- a/crates/lab/tests/fleet_lost.rs
+++ b/crates/lab/tests/fleet_lost.rs
@@ -132,7 +132,7 @@
     std::fs::remove_dir_all(fleet.disk(3)).unwrap();
     proxies.push(fleet.start(3));
     let wrong = fleet.run(&["found", "--from", fleet.config().to_str().unwrap()]);
-    assert!(String::from_utf8_lossy(&wrong.stderr).contains("no voter's file"), "{wrong:?}");
+    assert!(String::from_utf8_lossy(&wrong.stderr).contains("not a voter's file"), "{wrong:?}");
     let began = Instant::now();
     fleet.until(&["found", "--from", file.to_str().unwrap()], ok);
     assert!(began.elapsed() >= Duration::from_secs(1), "founded before a lease of a second has ended");
--- a/crates/proxy/src/fleet/acceptor.rs
+++ b/crates/proxy/src/fleet/acceptor.rs
@@ -1,5 +1,5 @@
-//! Takes links as long as the process lives. An address that another process still has is tried again, and where there is
-//! no room the next caller waits in the kernel's queue.
+//! Accepts connections for as long as the process runs. Binding is retried while another process still holds
+//! the address. At the connection limit, further connections wait in the kernel's accept queue.
 
 use crate::listen::listen;
 use std::net::SocketAddr;
@@ -9,39 +9,42 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// The pause after a connection could not be accepted.
+/// The delay after a failed `accept`.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The pause before an address that can't be had is tried again.
+/// The delay between two attempts to bind the address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Where links are taken, and how many at a time.
+/// A listener that serves a limited number of connections at the same time.
 pub struct Acceptor {
-    /// What lines of the log begin with.
+    /// The prefix of log lines.
     pub log_prefix: &'static str,
-    /// The key of the configuration that names the address.
+    /// The configuration key of the address, for error messages.
     pub config_key: &'static str,
-    /// Who calls there, for the log.
+    /// The kind of peers that connect, for the log.
     pub peer_kind: &'static str,
+    /// The address to listen on.
     pub address: SocketAddr,
+    /// The maximum number of open connections.
     pub max_links: usize,
 }
 
 impl Acceptor {
-    /// Serves each connection as a task of its own, under a number that no other has.
+    /// Accepts connections and runs `serve` for each in its own task, with a connection id that is unique to
+    /// this acceptor. Never returns.
     pub async fn run<S, F>(self, serve: S)
     where
         S: Fn(TcpStream, u64) -> F,
         F: Future<Output = ()> + Send + 'static,
     {
         let listener = self.listener().await;
-        tracing::info!("{}: {} call at {}", self.log_prefix, self.peer_kind, self.address);
+        tracing::info!("{}: listening for {} on {}", self.log_prefix, self.peer_kind, self.address);
         let permits = Arc::new(Semaphore::new(self.max_links.min(Semaphore::MAX_PERMITS)));
         for connection_id in 1.. {
             let permit = permits.clone().acquire_owned().await;
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!("{}: {error}", self.log_prefix);
+                    tracing::warn!("{}: accepting a connection failed: {error}", self.log_prefix);
                     sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
@@ -54,13 +57,14 @@
         }
     }
 
+    /// Binds the address, with retries. Only the first failure is logged.
     async fn listener(&self) -> TcpListener {
         let mut warned = false;
         loop {
             match listen(self.config_key, self.address) {
                 Ok(listener) => return listener,
                 Err(error) if !std::mem::replace(&mut warned, true) => {
-                    tracing::warn!("{}: {error:#}", self.log_prefix);
+                    tracing::warn!("{}: listening failed, retrying: {error:#}", self.log_prefix);
                 }
                 Err(_) => {}
             }
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -114,7 +114,7 @@
 pub async fn want(asker: VoterClient, door: Door, mut given: mpsc::Receiver<()>) {
     loop {
         let mut lease = LeaseHandle::acquire(asker.clone(), NAME, LEASE);
-        let (mut held, mut holder) = (lease.held.clone(), lease.holder.clone());
+        let (mut held, mut holder) = (lease.held.clone(), lease.other_holder.clone());
         let mut told: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
             let now = (*held.borrow_and_update(), holder.borrow_and_update().clone());
--- a/crates/proxy/src/fleet/checksummed_file.rs
+++ b/crates/proxy/src/fleet/checksummed_file.rs
@@ -1,5 +1,6 @@
-//! Files of this program's own: what a file is, its version, its length and a checksum stand before its body. A file is
-//! written whole beside the old one, synced, put in its place, and its folder synced: it is there whole or not at all.
+//! Files with a header that holds a magic, a format version, the length and a checksum of the body. Writes
+//! are atomic: the new file is written next to the old one, synced and renamed over it, and the folder is
+//! synced.
 
 use anyhow::{Context, Result, bail, ensure};
 use serde::Serialize;
@@ -12,27 +13,30 @@
 use tokio::task::spawn_blocking;
 use tokio::time::sleep;
 
+/// The length of the magic.
 const MAGIC_BYTES: usize = 8;
+/// The length of the header: the magic, then version, body length and CRC-32 as little-endian `u32`.
 const HEADER_BYTES: usize = MAGIC_BYTES + 12;
-/// The pause before a disk that failed, or that another process has, is tried again.
+/// The delay before a write is retried after the disk failed or while another process has the lock.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A kind of file.
+/// A kind of file: its format and its names.
 #[derive(Clone, Copy, Debug)]
 pub struct ChecksummedFile {
-    /// What its files begin with.
+    /// The first bytes of the file.
     pub magic: &'static [u8; MAGIC_BYTES],
-    /// Of its body.
+    /// The format version of the body.
     pub version: u32,
-    /// What is said of a file that is none of its kind.
+    /// The error message for a file with another magic.
     pub wrong_magic_message: &'static str,
-    /// The name of the file, and of the one that keeps two processes from writing it.
+    /// The name of the file in its folder.
     pub file_name: &'static str,
+    /// The name of the lock file, which prevents two processes from writing the file.
     pub lock_name: &'static str,
 }
 
 impl ChecksummedFile {
-    /// The bytes of a file.
+    /// Encodes a body together with its header.
     pub fn encode(&self, body: &impl Serialize) -> Result<Vec<u8>> {
         let body = postcard::to_stdvec(body)?;
         let mut bytes = self.magic.to_vec();
@@ -43,7 +47,8 @@
         Ok(bytes)
     }
 
-    /// What a file says, or why it can't be trusted.
+    /// Decodes a file. Returns an error if the magic, version, length or checksum is wrong, or the body can't
+    /// be decoded.
     pub fn decode<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T> {
         ensure!(bytes.len() >= HEADER_BYTES && bytes.starts_with(self.magic), self.wrong_magic_message);
         let header_field = |index: usize| {
@@ -52,21 +57,21 @@
         let body = &bytes[HEADER_BYTES..];
         ensure!(
             header_field(0) == self.version,
-            "of version {}, this program reads {}",
+            "format version {} is not supported, expected {}",
             header_field(0),
             self.version
         );
         ensure!(
             header_field(1) as usize == body.len(),
-            "{} bytes where {} were written",
+            "the body has {} bytes, expected {}",
             body.len(),
             header_field(1)
         );
-        ensure!(header_field(2) == crc32fast::hash(body), "its checksum is wrong");
-        postcard::from_bytes(body).context("can't be read")
+        ensure!(header_field(2) == crc32fast::hash(body), "the checksum is wrong");
+        postcard::from_bytes(body).context("the body can't be decoded")
     }
 
-    /// The bytes of the file in this folder; `None` where there is none.
+    /// Reads the file in `folder`; `None` if it does not exist.
     pub fn read(&self, folder: &Path) -> Result<Option<Vec<u8>>> {
         let path = folder.join(self.file_name);
         match std::fs::read(&path) {
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Returns once it would survive a loss of power.
+    /// Replaces the file in `folder` atomically. When it returns, the file survives a power failure.
     pub fn write(&self, folder: &Path, bytes: &[u8]) -> Result<()> {
         let new = folder.join(format!("{}.new", self.file_name));
         let mut file = File::create(&new).with_context(|| new.display().to_string())?;
@@ -85,13 +90,14 @@
         sync_folder(folder)
     }
 
-    /// Puts away what can't be trusted; one such file is kept to be looked at.
+    /// Renames a file that must not be used to `*.aside`. One such file is kept for inspection.
     pub fn set_aside(&self, folder: &Path) -> Result<()> {
         std::fs::rename(folder.join(self.file_name), folder.join(format!("{}.aside", self.file_name)))?;
         sync_folder(folder)
     }
 
-    /// The folder, made if need be and locked as long as this lives; `None` while another process has it.
+    /// Creates the folder if necessary and locks it until the returned file is dropped; `None` while another
+    /// process has the lock.
     pub fn lock(&self, folder: &Path) -> Result<Option<File>> {
         std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
         let path = folder.join(self.lock_name);
@@ -100,12 +106,13 @@
         match lock.try_lock() {
             Ok(()) => Ok(Some(lock)),
             Err(TryLockError::WouldBlock) => Ok(None),
-            Err(TryLockError::Error(error)) => Err(error).context("lock"),
+            Err(TryLockError::Error(error)) => Err(error).context("locking the folder"),
         }
     }
 
-    /// Writes what comes, the newest only, as long as the process lives; `written` hears of each. Serving goes on whatever
-    /// becomes of the disk; `who` says in the log whose it is.
+    /// Writes each new value, skipping values that were replaced meanwhile, until the sender is dropped.
+    /// `on_written` is called after each write. A failing disk is logged under `owner` and retried; the proxy
+    /// keeps serving.
     pub async fn persist_latest<T, W>(
         self,
         owner: &'static str,
@@ -126,15 +133,15 @@
                         Some(lock) => lock,
                         None => self
                             .lock(&folder)?
-                            .with_context(|| format!("another process has {}", folder.display()))?,
+                            .with_context(|| format!("another process has locked {}", folder.display()))?,
                     };
                     self.write(&folder, &self.encode(&body)?).map(|()| lock)
                 });
-                match write.await.context("writing").flatten() {
+                match write.await.context("writing the file").flatten() {
                     Ok(held) => {
                         lock = Some(held);
                         if !std::mem::take(&mut last_error).is_empty() {
-                            tracing::info!("{owner}: its disk works again");
+                            tracing::info!("{owner}: writing to disk works again");
                         }
                         on_written(value).await;
                         break;
@@ -143,7 +150,7 @@
                         let error_text = format!("{error:#}");
                         if last_error != error_text {
                             tracing::error!(
-                                "{owner}: what it has is not kept: {error_text}; serving goes on"
+                                "{owner}: state can't be written to disk: {error_text}; the proxy keeps serving"
                             );
                         }
                         last_error = error_text;
@@ -155,7 +162,8 @@
     }
 }
 
+/// Syncs a folder, so that renames in it survive a power failure.
 fn sync_folder(folder: &Path) -> Result<()> {
-    let Ok(opened) = File::open(folder) else { bail!("{}: can't be opened", folder.display()) };
-    opened.sync_all().context("its folder")
+    let Ok(opened) = File::open(folder) else { bail!("folder {} can't be opened", folder.display()) };
+    opened.sync_all().context("syncing the folder")
 }
--- a/crates/proxy/src/fleet/command.rs
+++ b/crates/proxy/src/fleet/command.rs
@@ -1,4 +1,5 @@
-//! `pumicebay fleet ...`: what operators ask of a fleet. Each command reads a configuration's section `fleet` alone.
+//! `pumicebay fleet ...`: the commands for operators of a fleet. They read only the section `fleet` of the
+//! configuration.
 
 use crate::fleet::carrier::command as carrier;
 use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
@@ -22,41 +23,46 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
+/// The usage text.
 pub const HELP: &str = "\
 usage: pumicebay fleet COMMAND [--config FILE]
 
-  status [--json]             voters, proxies, leases and how old what is shown is
+  status [--json]             shows voters, proxies, leases and how old this information is
   found [--from FILE] [--wait SECONDS]
-                              makes the fleet's first record; all voters have to be there, with empty folders. FILE is a
-                              voter's that survived the loss of the others: its record goes on once no lease in it can be
-                              held any more, or SECONDS after all voters were found empty
+                              creates the fleet's first record. All voters must be reachable and have empty folders.
+                              FILE is the file of a voter that survived the loss of the others: its record is continued
+                              once no lease in it can still be held, or SECONDS after all voters were found empty
   run --lease NAME [--time SECONDS] [--give-up SECONDS] -- COMMAND...
                               waits for the lease, runs COMMAND with $PUMICEBAY_LEASE and $PUMICEBAY_TOKEN, and ends it
-                              when the lease is lost; the exit code is COMMAND's, 75 if it was not run, 76 if it was ended
-  take-away NAME              whoever holds the lease renews it no more
-  get NAME                    a value and its version
-  put NAME TEXT [--version N] writes a value, if its version is still N; an empty TEXT removes it
-  trust VOTER                 has a voter that Doubts vote at once: only where those whom it waits for are gone for good,
-                              and its disk is surely no older copy
+                              when the lease is lost. The exit code is that of COMMAND, 75 if it was not run, or 76 if
+                              it was ended because the lease was lost
+  take-away NAME              prevents the current holder from renewing the lease
+  get NAME                    prints a value and its version
+  put NAME TEXT [--version N] writes a value, with --version only if its version is still N; an empty TEXT removes it
+  trust VOTER                 lets a voter in state Doubts vote at once. Use it only if the voters that it waits for are
+                              gone for good and its disk is certainly not an older copy
   set SCOPE NAME FILE [--wait SECONDS]
-                              has all proxies of SCOPE (fleet, region/R, zone/Z, site/S or proxy/SITE/NAME) lay FILE, a JSON
-                              merge patch, over their configuration; - is standard input. Exit code 0: written, and with
-                              --wait in force everywhere; 3: not known, or not everywhere; 1: refused
+                              makes all proxies of SCOPE (fleet, region/R, zone/Z, site/S or proxy/SITE/NAME) apply FILE,
+                              a JSON merge patch, to their configuration; - reads standard input. Exit code 0: written,
+                              and with --wait in force everywhere; 3: unknown, or not in force everywhere; 1: refused
   unset SCOPE NAME [--wait SECONDS]
-                              takes that away again
-  changes [--json]            the newest version, where it is not in force and why; exit code 3 unless it is everywhere
+                              removes that patch again
+  changes [--json]            shows the newest version, where it is not in force and why; exit code 3 unless it is in
+                              force everywhere
   drain NODE [--wait SECONDS], undrain NODE [--wait SECONDS]
-                              takes a cache node, by its uid, out of service at all proxies of the replication group, or
-                              puts it back; under the lease of fleet run, where that starts it. Exit code 0: given, and
-                              with --wait it holds at all; 3: not at all, who lacks it is listed; 1: refused
-  orders [--json]             what each proxy of the group knows; exit code 3 unless all know the same
-  replace VOTER [NEW]         gives VOTER's seat to NEW, one of the spares or a voter, whose folder must be new
+                              takes a cache node, given by its uid, out of service at all proxies of the replication
+                              group, or puts it back; under the lease of fleet run, if started by it. Exit code 0:
+                              given, and with --wait in effect at all proxies; 3: not at all proxies, the others are
+                              listed; 1: refused
+  orders [--json]             shows the orders that each proxy of the group knows; exit code 3 unless all know the same
+  replace VOTER [NEW]         gives VOTER's seat to NEW, a spare or a voter, whose folder must be new
 
-FILE is by default what $PROXY_CONFIG names.";
+--config defaults to $PROXY_CONFIG.";
 
-/// How long a command waits for a majority.
+/// How long a command waits for a reply that needs a majority of the voters.
 const QUORUM_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// The parsed command line; operands are the arguments after the command that are not options.
 #[derive(Default)]
 struct Arguments {
     command: Option<String>,
@@ -71,7 +77,7 @@
     wait: Option<f64>,
 }
 
-/// The arguments after `fleet`.
+/// Parses the arguments after `fleet` and runs the command. Returns its exit code, or an error for code 1.
 pub fn main(mut args: lexopt::Parser, runtime: &tokio::runtime::Runtime) -> Result<ExitCode> {
     let mut arguments = Arguments::default();
     while let Some(arg) = args.next()? {
@@ -85,10 +91,10 @@
             Long("wait") => arguments.wait = Some(args.value()?.parse().context("--wait")?),
             Long("version") => arguments.version = Some(args.value()?.parse().context("--version")?),
             Short('h') | Long("help") => arguments.command = Some("help".into()),
-            Value(word) if arguments.command.is_none() => arguments.command = Some(word.string()?),
-            Value(word) => {
-                arguments.operands.push(word.string()?);
-                // What follows the first word of a command to run belongs to that command.
+            Value(argument) if arguments.command.is_none() => arguments.command = Some(argument.string()?),
+            Value(argument) => {
+                arguments.operands.push(argument.string()?);
+                // All arguments after the name of the program to run belong to that program.
                 if matches!(arguments.command.as_deref(), Some("run" | "guard")) {
                     let rest = args.raw_args()?.map(|word| word.into_string());
                     arguments
@@ -113,11 +119,12 @@
     let text = std::fs::read_to_string(&file).with_context(|| format!("configuration {file}"))?;
     let config: Json = serde_json::from_str(&text).with_context(|| format!("configuration {file}"))?;
     let config = FleetConfig::parse(&config, "").with_context(|| format!("configuration {file}"))?;
-    let config = Arc::new(config.context("fleet: missing; this proxy is in no fleet")?);
+    let config = Arc::new(config.context("fleet: section missing; this proxy belongs to no fleet")?);
     runtime.block_on(arguments.execute(command, config))
 }
 
 impl Arguments {
+    /// The value of `--wait`.
     fn wait_time(&self) -> Result<Option<Duration>> {
         self.wait.map(|wait| parse_seconds("--wait", wait)).transpose()
     }
@@ -152,7 +159,7 @@
                 let give_up = self.give_up.map(|give_up| parse_seconds("--give-up", give_up)).transpose()?;
                 run::run(voters, lease, time, give_up, program, arguments).await
             }
-            ("run", []) => bail!("run: no command; it follows --"),
+            ("run", []) => bail!("run: no command given after --"),
             ("take-away", [name]) => {
                 print_reply(voters.submit(OperationKind::TakeAway(name.clone()), QUORUM_TIMEOUT).await)
             }
@@ -169,17 +176,22 @@
             }
             ("replace", [replaced]) => replace(&voters, replaced, replaced).await,
             ("replace", [replaced, new]) => replace(&voters, replaced, new).await,
-            (command, words) => bail!("{command:?} with {} words; see pumicebay fleet help", words.len()),
+            (command, operands) => bail!(
+                "unknown command {command:?} with {} operands; see pumicebay fleet help",
+                operands.len()
+            ),
         }
     }
 }
 
+/// A duration from 0.1 to 86400 seconds; errors name the option `key`.
 fn parse_seconds(key: &str, value: f64) -> Result<Duration> {
     let time = Duration::try_from_secs_f64(value).ok().filter(|time| *time >= Duration::from_millis(100));
     time.filter(|time| *time <= Duration::from_secs(86_400))
         .with_context(|| format!("{key}: expected 0.1 to 86400 seconds"))
 }
 
+/// Prints the version of a written value and maps the reply to an exit code or error.
 fn print_reply(reply: Reply) -> Result<ExitCode> {
     match reply {
         Reply::Done => Ok(ExitCode::SUCCESS),
@@ -189,24 +201,28 @@
         }
         Reply::Refused(why) => bail!("{why}"),
         Reply::Unknown => {
-            bail!("no majority of the voters answered in time; whether it was done is not known")
+            bail!(
+                "no majority of the voters answered in time; it is unknown whether the operation was applied"
+            )
         }
-        other => bail!("unexpected answer {other:?}"),
+        other => bail!("unexpected reply {other:?}"),
     }
 }
 
+/// Reads the agreed record.
 async fn read(voters: &VoterClient) -> Result<SharedRecord> {
     match voters.submit(OperationKind::Read, QUORUM_TIMEOUT).await {
         Reply::Record(record) => Ok(record),
         Reply::Unknown => bail!("no majority of the voters answered in time; see pumicebay fleet status"),
-        other => bail!("unexpected answer {other:?}"),
+        other => bail!("unexpected reply {other:?}"),
     }
 }
 
+/// Creates the fleet's first record, from a surviving voter's file if `from` is given.
 async fn bootstrap(config: &FleetConfig, from: Option<&Path>, wait: Option<f64>) -> Result<ExitCode> {
     let survivor_record = from.map(|file| survivor(file, &config.name)).transpose()?;
     let wait = wait.map(|wait| parse_seconds("--wait", wait)).transpose()?;
-    ensure!(wait.is_none() || survivor_record.is_some(), "--wait: only with --from");
+    ensure!(wait.is_none() || survivor_record.is_some(), "--wait: only allowed with --from");
     let (mut links, mut voters) = (Vec::new(), Vec::new());
     for (name, address) in &config.voters {
         let link = CommandLink::connect(config, *address)
@@ -218,7 +234,7 @@
             .as_ref()
             .with_context(|| format!("{name} does not vote, or its disk is not open"))?;
         ensure!(link.hello.id.name == *name, "at {address} is {}, not {name}", link.hello.id);
-        ensure!(disk.empty, "{name} has a record, founded at {}: the fleet is founded already", disk.founded);
+        ensure!(disk.empty, "{name} already has a record, of a fleet founded at {}", disk.founded);
         voters.push(Member { name: name.clone(), store: disk.store });
         links.push(link);
     }
@@ -226,11 +242,12 @@
     let record = match survivor_record {
         None => Record::bootstrap(founded, voters),
         Some(survivor_record) => {
-            // All voters are empty now: nobody renews a lease of the record before, whose holders stop in their time.
+            // All voters are empty, so no lease of the surviving record can be renewed. Its holders stop when
+            // their leases expire.
             let wait = wait
                 .unwrap_or_else(|| Duration::from_nanos(max_lease_wait(&survivor_record, config.drift_ppm)));
             eprintln!(
-                "pumicebay: version {} goes on in {:.1} s: what was agreed after it is lost",
+                "pumicebay: continuing from version {} in {:.1} s; later versions are lost",
                 survivor_record.version,
                 wait.as_secs_f64()
             );
@@ -240,12 +257,12 @@
     };
     for link in &mut links {
         let accepted = link
-            .query(Frame::Bootstrap(record.clone()), ANSWER_TIMEOUT, accepted)
+            .query(Frame::Bootstrap(record.clone()), ANSWER_TIMEOUT, accepted_flag)
             .await
             .with_context(|| voter_label(&link.hello))?;
         ensure!(
             accepted,
-            "{} took another founding; empty all folders and begin again",
+            "{} accepted another first record; empty all folders and start again",
             voter_label(&link.hello)
         );
     }
@@ -253,27 +270,33 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The record of a voter that survived, from its file or one that was set aside.
+/// Reads the record from the file of a surviving voter, or from one that was set aside.
 fn survivor(file: &Path, fleet: &str) -> Result<Record> {
     let bytes = std::fs::read(file).with_context(|| format!("--from {}", file.display()))?;
     let state = store::decode(&bytes).with_context(|| format!("--from {}", file.display()))?;
-    ensure!(state.fleet == fleet, "--from {}: of fleet {:?}, not {fleet:?}", file.display(), state.fleet);
-    ensure!(!state.is_empty(), "--from {}: has no record", file.display());
+    ensure!(
+        state.fleet == fleet,
+        "--from {}: belongs to fleet {:?}, expected {fleet:?}",
+        file.display(),
+        state.fleet
+    );
+    ensure!(!state.is_empty(), "--from {}: contains no record", file.display());
     Ok((*state.record.0).clone())
 }
 
-/// An operator's word for a voter that waits for others who are gone for good.
+/// Lets a voter vote that waits for other voters which are gone for good.
 async fn trust(config: &FleetConfig, name: &str) -> Result<ExitCode> {
     let accepted = CommandLink::connect(config, config.voter_address(name)?)
         .await?
-        .query(Frame::TrustDisk, ANSWER_TIMEOUT, accepted)
+        .query(Frame::TrustDisk, ANSWER_TIMEOUT, accepted_flag)
         .await
         .with_context(|| format!("voter {name}"))?;
-    ensure!(accepted, "{name} has nothing to be trusted with: see pumicebay fleet status");
+    ensure!(accepted, "{name} is not waiting to be trusted; see pumicebay fleet status");
     Ok(ExitCode::SUCCESS)
 }
 
-fn accepted(frame: Frame) -> Option<bool> {
+/// The flag of an `Accepted` frame.
+fn accepted_flag(frame: Frame) -> Option<bool> {
     match frame {
         Frame::Accepted(accepted) => Some(accepted),
         _ => None,
@@ -284,6 +307,7 @@
     format!("voter {}", hello.id.name)
 }
 
+/// Replaces a voter by the process `new`.
 async fn replace(voters: &VoterClient, replaced: &str, new: &str) -> Result<ExitCode> {
     let config = &voters.local.config;
     let address = config.voter_address(new)?;
@@ -291,11 +315,11 @@
         CommandLink::connect(config, address).await.with_context(|| format!("{new} at {address}"))?.hello;
     let disk = hello.voter.with_context(|| format!("{new} does not vote, or its disk is not open"))?;
     let record = read(voters).await?;
-    // Asked again after an answer that was lost.
+    // The command was repeated after its reply was lost.
     if record.0.is_voter(disk.store) {
         return Ok(ExitCode::SUCCESS);
     }
-    let old = record.0.voter_named(replaced).with_context(|| format!("{replaced} is no voter"))?;
+    let old = record.0.voter_named(replaced).with_context(|| format!("{replaced} is not a voter"))?;
     ensure!(disk.empty || disk.store == old.store, "{new} has voted before: empty its folder first");
     let voter = Member { name: new.into(), store: disk.store };
     print_reply(
@@ -303,6 +327,7 @@
     )
 }
 
+/// Prints the status of all voters. The exit code is 3 unless the record is agreed.
 async fn status(config: &FleetConfig, as_json: bool) -> Result<ExitCode> {
     let mut calls = JoinSet::new();
     for (name, address) in config.potential_voters() {
@@ -323,7 +348,8 @@
     }
     let all: BTreeMap<String, Result<VoterStatus>> = calls.join_all().await.into_iter().collect();
     let reachable: Vec<&VoterStatus> = all.values().flatten().collect();
-    // Agreed is what a majority of the voters has accepted alike; until then the newest is shown, and said to be so.
+    // The record is agreed if a majority of the voters has accepted the same one. Otherwise the newest record
+    // is shown and marked as not agreed.
     let newest = reachable.iter().max_by_key(|status| (status.record.0.founded, status.record.0.version));
     let record = newest.map(|status| status.record.clone()).unwrap_or_default();
     let holds_record = |status: &&&VoterStatus| {
@@ -340,6 +366,7 @@
     Ok(if agreed { ExitCode::SUCCESS } else { ExitCode::from(3) })
 }
 
+/// The JSON form of the status.
 fn status_json(all: &BTreeMap<String, Result<VoterStatus>>, record: &SharedRecord, agreed: bool) -> Json {
     let voters = all.iter().map(|(name, status)| match status {
         Ok(status) => json!({
@@ -349,7 +376,7 @@
         }),
         Err(error) => json!({"name": name, "standing": "unreachable", "trouble": format!("{error:#}")}),
     });
-    // Who is there: the best that any voter says of it, and the newest life.
+    // For each process: its newest incarnation, in the best state that any voter reports.
     let rank =
         |seen: &PeerState| matches!(seen, PeerState::Up) as u8 * 2 + matches!(seen, PeerState::Silent) as u8;
     let mut present: BTreeMap<&String, (u64, u8, &PeerState, u64)> = BTreeMap::new();
@@ -391,6 +418,7 @@
     })
 }
 
+/// The text form of the status.
 fn status_text(status_json: &Json) -> String {
     let text = |json: &Json| match json {
         Json::String(text) => text.clone(),
@@ -400,7 +428,7 @@
     };
     let agreed = match status_json["agreed"].as_bool() {
         Some(true) => "agreed",
-        _ => "NOT AGREED: no majority of the seats has it alike; shown is the newest seen",
+        _ => "NOT AGREED: no majority of the voters has the same record; showing the newest one",
     };
     let mut lines = format!(
         "record {} of {} bytes, {agreed}\n",
--- a/crates/proxy/src/fleet/command_link.rs
+++ b/crates/proxy/src/fleet/command_link.rs
@@ -1,4 +1,4 @@
-//! A command's link to one process of the fleet.
+//! The link of an operator's command to one process of the fleet.
 
 use crate::fleet::config::FleetConfig;
 use crate::fleet::local_process::new_incarnation;
@@ -9,16 +9,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, timeout_at};
 
-/// How long a process may take to answer what it knows at once.
+/// How long a process may take to answer a frame that needs no quorum.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// An open link from a command to one process.
 pub struct CommandLink {
     link: Link,
-    /// What the other end said of itself.
+    /// The hello of the other end.
     pub hello: Hello,
 }
 
 impl CommandLink {
+    /// Connects to the process at `address` and exchanges hellos.
     pub async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<CommandLink> {
         let id = ProcessId { name: "command".into(), incarnation: new_incarnation() };
         let own = Hello::new(&fleet.name, &id, Role::Command, None);
@@ -26,7 +28,7 @@
         Ok(CommandLink { link, hello })
     }
 
-    /// The same, for frames that there are since this version of links.
+    /// Like `connect`, but returns an error if the other end does not support this protocol version.
     pub async fn connect_with_version(
         fleet: &FleetConfig,
         address: SocketAddr,
@@ -37,7 +39,8 @@
         Ok(command_link)
     }
 
-    /// Sends a frame and gives the first that is wanted of what comes back; the link is kept up meanwhile.
+    /// Sends a frame and returns the first received frame for which `extract` returns a value. Sends
+    /// heartbeats while waiting. Returns an error after `timeout` or when the link ends.
     pub async fn query<T>(
         &mut self,
         frame: Frame,
--- a/crates/proxy/src/fleet/config.rs
+++ b/crates/proxy/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The section `fleet` of the configuration. Every message names the key.
+//! The section `fleet` of the configuration. Each error message names the key.
 
 use crate::fleet::carrier::config::{CarrierConfig, Part};
 use crate::fleet::replication::config::ReplicationConfig;
@@ -25,43 +25,48 @@
     "carrier",
     "replication",
 ];
-/// A quartz clock is good to some 100 millionths; a stepped or virtual one is worse.
+/// The default of `drift-ppm`. A quartz clock is accurate to about 100 ppm; a stepped or virtual clock is
+/// worse.
 const DEFAULT_DRIFT_PPM: u64 = 10_000;
 const MAX_DRIFT_PPM: u64 = 500_000;
 const DEFAULT_MAX_PENDING: u64 = 1024;
 const DEFAULT_MAX_LINKS: u64 = 1024;
 
+/// The parsed section `fleet`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// The fleet's name: processes of two fleets do not talk.
+    /// The name of the fleet. Processes of different fleets refuse links to each other.
     pub name: String,
-    /// Processes of one zone share the probes of nodes that are down.
+    /// The zone. Processes of one zone share the probes of nodes that are down.
     pub zone: String,
-    /// Where this process takes links, if it is not where the others call it.
+    /// The address to listen on, if it differs from the address under which the other processes connect.
     pub listen: Option<SocketAddr>,
-    /// Who votes from the founding on, and where each is called.
+    /// The initial voters and their addresses.
     pub voters: BTreeMap<String, SocketAddr>,
-    /// Who may be given a voter's place.
+    /// Processes that can replace a voter, and their addresses.
     pub spares: BTreeMap<String, SocketAddr>,
-    /// Where a voter keeps its file; it has to outlive the process.
+    /// The folder of a voter's file. It must survive restarts of the process.
     pub folder: Option<PathBuf>,
-    /// How much faster or slower than real time any clock of the fleet may run, in millionths; the same everywhere.
+    /// How much faster or slower than real time any clock of the fleet may run, in parts per million. Must be
+    /// the same in all processes.
     pub drift_ppm: u64,
-    /// Whether a voter that comes back hears one more of the others before it votes.
+    /// Whether a restarted voter needs the confirmation of one more other voter before it votes.
     pub require_extra_confirmation: bool,
-    /// Asks that wait at a voter, and links to it, at the most.
+    /// The maximum number of operations pending at a voter.
     pub max_pending: usize,
+    /// The maximum number of links to a voter.
     pub max_links: usize,
-    /// For rigs: how much faster this process's fleet clock runs, in millionths.
+    /// For tests: how much faster the fleet clock of this process runs, in parts per million.
     pub clock_ppm: i64,
-    /// How changes of configuration reach this process, if they do.
+    /// The section `fleet.carrier`, if this process receives configuration changes through the carrier.
     pub carrier: Option<Arc<CarrierConfig>>,
-    /// How orders of maintenance reach this process, if they do.
+    /// The section `fleet.replication`, if this process replicates maintenance orders.
     pub replication: Option<Arc<ReplicationConfig>>,
 }
 
 impl FleetConfig {
-    /// `None` where the configuration has no such section.
+    /// Parses the section for the process `name`. Returns `None` if the configuration has no such section,
+    /// and an error that names the key if a value is invalid.
     pub fn parse(json: &Json, name: &str) -> Result<Option<FleetConfig>> {
         let fleet = json.get("fleet").unwrap_or(&Json::Null);
         if fleet.is_null() {
@@ -70,13 +75,13 @@
         let object =
             fleet.as_object().with_context(|| format!("fleet: expected an object, found {fleet}"))?;
         for key in object.keys().filter(|key| !KEYS.contains(&key.as_str()) && !key.starts_with('#')) {
-            tracing::warn!("configuration: fleet.{key} is not known and not used");
+            tracing::warn!("configuration: unknown key fleet.{key} is ignored");
         }
         for key in ["name", "zone", "listen", "folder"] {
             check_value(json, &format!("/fleet/{key}"), "a text", Json::is_string)?;
         }
         check_value(json, "/fleet/cautious", "true or false", Json::is_boolean)?;
-        check_value(json, "/fleet/clock-ppm", "millionths", Json::is_i64)?;
+        check_value(json, "/fleet/clock-ppm", "a whole number (ppm)", Json::is_i64)?;
         let text = |key: &str| fleet.get(key).and_then(Json::as_str);
         let number = |key: &str, default: u64, max: u64| -> Result<u64> {
             let fits = |value: &Json| value.as_u64().is_some_and(|value| value >= 1 && value <= max);
@@ -88,19 +93,16 @@
         let voters = parse_addresses(fleet, "fleet", "voters")?;
         ensure!(
             voters.len() == 3 || voters.len() == 5,
-            "fleet.voters: expected three or five, found {}",
+            "fleet.voters: expected 3 or 5 voters, found {}",
             voters.len()
         );
         let spares = parse_addresses(fleet, "fleet", "spares")?;
         if let Some(duplicate) = spares.keys().find(|spare| voters.contains_key(*spare)) {
-            bail!("fleet.spares: {duplicate} is among the voters");
+            bail!("fleet.spares: {duplicate} is already a voter");
         }
         let folder = text("folder").map(PathBuf::from);
         let may_vote = voters.contains_key(name) || spares.contains_key(name);
-        ensure!(
-            folder.is_some() || !may_vote,
-            "fleet.folder: missing, and {name} is among the voters or spares"
-        );
+        ensure!(folder.is_some() || !may_vote, "fleet.folder: missing, but {name} is a voter or spare");
         let listen = text("listen").map(|address| {
             address.parse().with_context(|| format!("fleet.listen: expected ADDRESS:PORT, found {address:?}"))
         });
@@ -111,7 +113,7 @@
             let mut listeners = carrier.control.iter().chain(&carrier.relays);
             if let Some((other, address)) = listeners.find(|(_, address)| in_use(**address)) {
                 bail!(
-                    "fleet.carrier: {other} takes children at {address}, where a voter or spare takes links"
+                    "fleet.carrier: {other} uses {address}, which is already the address of a voter or spare"
                 );
             }
         }
@@ -132,33 +134,35 @@
         }))
     }
 
-    /// Whether a process of this name keeps links to the voters: with a carrier, those at its edges do not.
+    /// Whether the process `name` keeps links to the voters. With a carrier, only control machines and
+    /// potential voters do.
     pub fn connects_to_voters(&self, name: &str) -> bool {
         let not_control = |carrier: &Arc<CarrierConfig>| carrier.part(name) != Part::Control;
         self.voter_address(name).is_ok() || !self.carrier.as_ref().is_some_and(not_control)
     }
 
-    /// Where a process of this name takes links; only who may vote does.
+    /// The address on which the process `name` accepts links; `None` if it is neither a voter nor a spare.
     pub fn listen_address(&self, name: &str) -> Option<SocketAddr> {
         let address = self.voter_address(name).ok()?;
         Some(self.listen.unwrap_or(address))
     }
 
-    /// All that may vote, and where each is called.
+    /// All voters and spares with their addresses.
     pub fn potential_voters(&self) -> impl Iterator<Item = (&String, SocketAddr)> {
         self.voters.iter().chain(&self.spares).map(|(name, address)| (name, *address))
     }
 
-    /// Where this one of them is called.
+    /// The address of a voter or spare; an error if `name` is neither.
     pub fn voter_address(&self, name: &str) -> Result<SocketAddr> {
         let address = self.voters.get(name).or_else(|| self.spares.get(name));
-        address.copied().with_context(|| format!("{name} is neither among fleet.voters nor fleet.spares"))
+        address.copied().with_context(|| format!("{name} is in neither fleet.voters nor fleet.spares"))
     }
 
+    /// One line about the section, for the log and the configuration check.
     pub fn summary(&self, name: &str) -> String {
         let role = match self.listen_address(name) {
             Some(_) => "may vote",
-            None if self.connects_to_voters(name) => "asks",
+            None if self.connects_to_voters(name) => "does not vote",
             None => "has no links to voters",
         };
         let carrier =
@@ -170,14 +174,15 @@
     }
 }
 
-/// Names and addresses under `key` of the section that messages call `section`.
+/// Parses the map from names to addresses under `key`. Error messages call the section `section`.
 pub fn parse_addresses(json: &Json, section: &str, key: &str) -> Result<BTreeMap<String, SocketAddr>> {
     let all = json.get(key).unwrap_or(&Json::Null);
     if all.is_null() {
         return Ok(BTreeMap::new());
     }
-    let object =
-        all.as_object().with_context(|| format!("{section}.{key}: expected names with addresses"))?;
+    let object = all
+        .as_object()
+        .with_context(|| format!("{section}.{key}: expected an object of names and addresses"))?;
     object
         .iter()
         .filter(|(name, _)| !name.starts_with('#'))
--- a/crates/proxy/src/fleet/drive.rs
+++ b/crates/proxy/src/fleet/drive.rs
@@ -1,23 +1,26 @@
-//! Runs an actor that owns a state machine: takes what comes, in batches, and wakes it when it wants to be woken.
+//! The event loop of actors that own a state machine: delivers events in batches and calls the actor when its
+//! timer is due.
 
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Events taken together before the clock is looked at again.
+/// The maximum number of events handled before the next tick.
 const MAX_BATCH: usize = 64;
 
-/// What an actor does with events and time.
+/// An actor that handles events and timer ticks.
 pub trait Actor {
+    /// The events that it handles.
     type Event;
 
-    /// When it wants to be woken at the latest.
+    /// The latest time of the next `tick`.
     fn wake_at(&self) -> Instant;
+    /// Handles one event.
     fn handle_event(&mut self, event: Self::Event);
-    /// After events, and when it is due.
+    /// Called after each batch of events and when `wake_at` has passed.
     fn tick(&mut self);
 }
 
-/// Runs until nobody can send events any more.
+/// Runs the actor until all senders of events are dropped.
 pub async fn drive<A: Actor>(mut actor: A, mut events: mpsc::Receiver<A::Event>) {
     loop {
         let wake_at = actor.wake_at();
--- a/crates/proxy/src/fleet/inbound.rs
+++ b/crates/proxy/src/fleet/inbound.rs
@@ -1,4 +1,5 @@
-//! Who calls a voter: other voters, proxies, commands. Each link is a task; one that does not read, or says nothing, ends.
+//! Incoming links of a voter, from other voters, proxies and commands. Each link is a task. A link ends if
+//! the peer does not read or sends nothing.
 
 use crate::fleet::acceptor::Acceptor;
 use crate::fleet::local_process::LocalProcess;
@@ -10,16 +11,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Answers that wait on a link.
-const ANSWER_QUEUE: usize = 64;
+/// The number of answers that wait to be sent on a link.
+const ANSWER_CAPACITY: usize = 64;
 
-/// Accepts as long as the process lives.
+/// Accepts and serves links for as long as the process runs.
 pub async fn accept(local: LocalProcess, voter: VoterHandle, address: SocketAddr) {
     let max_links = local.config.max_links;
     let acceptor = Acceptor {
         log_prefix: "fleet",
         config_key: "fleet.listen",
-        peer_kind: "voters and askers",
+        peer_kind: "voters, proxies and commands",
         address,
         max_links,
     };
@@ -27,13 +28,14 @@
         let (local, voter) = (local.clone(), voter.clone());
         async move {
             if let Err(error) = serve(&local, &voter, stream).await {
-                tracing::debug!("fleet: a link ends: {error:#}");
+                tracing::debug!("fleet: incoming link ended: {error:#}");
             }
         }
     };
     acceptor.run(serve).await;
 }
 
+/// Serves one connection, from the hello until the link ends.
 async fn serve(local: &LocalProcess, voter: &VoterHandle, stream: TcpStream) -> Result<()> {
     let own = async || Hello::new(&local.config.name, &local.id, Role::Proxy, voter.disk_summary());
     let (mut link, hello) = Link::accept(stream, own).await?;
@@ -44,13 +46,14 @@
     ended
 }
 
+/// Handles frames until the peer closes the link (`Ok`) or the link fails.
 async fn serve_frames(
     voter: &VoterHandle,
     link: &mut Link,
     peer: &pumicebay_accord::ProcessId,
     role: Role,
 ) -> Result<()> {
-    let (answers, mut answered) = mpsc::channel(ANSWER_QUEUE);
+    let (answer_sender, mut answers) = mpsc::channel(ANSWER_CAPACITY);
     let mut broadcasts = voter.subscribe();
     let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -59,7 +62,7 @@
             frame = link.next() => match frame? {
                 Frame::Heartbeat(disk) => voter.try_send(VoterEvent::PeerHeard(peer.clone(), role, disk)),
                 Frame::VoterMessage(to, from, message) => voter.try_send(VoterEvent::Message(to, from, message)),
-                Frame::Submit(operation) => voter.try_send(VoterEvent::Submit(operation, answers.clone())),
+                Frame::Submit(operation) => voter.try_send(VoterEvent::Submit(operation, answer_sender.clone())),
                 Frame::Bootstrap(record) => {
                     let accepted = voter.query(|accepted| VoterEvent::Bootstrap(record, accepted)).await.unwrap_or(false);
                     link.send(&Frame::Accepted(accepted)).await?;
@@ -69,19 +72,20 @@
                     link.send(&Frame::Accepted(accepted)).await?;
                 }
                 Frame::StatusRequest => {
-                    let status = voter.query(VoterEvent::Status).await.context("the voter has ended")?;
+                    let status = voter.query(VoterEvent::Status).await.context("the voter actor has ended")?;
                     link.send(&Frame::Status(Box::new(status))).await?;
                 }
                 frame @ (Frame::ProbeOutcome(_) | Frame::ProbeRequest(..)) => voter.broadcast(frame),
                 Frame::Bye => return Ok(()),
-                // Answers to nobody here, and what goes to the carrier's own address.
+                // Answers are not expected on incoming links. Frames of the carrier and of replication belong
+                // on those parts' own addresses.
                 Frame::Answer(_) | Frame::Accepted(_) | Frame::Status(_) => {}
                 Frame::ToParent(_) | Frame::ToChild(_) | Frame::SubmitChanges(..) | Frame::ChangeOutcome(..) => {}
                 Frame::CarrierStatusRequest | Frame::CarrierStatus(_) => {}
                 Frame::Replication(_) | Frame::MaintenanceOrder(_) | Frame::MaintenanceAnswer(_) => {}
                 Frame::ReplicationStatusRequest | Frame::ReplicationStatus(_) => {}
             },
-            Some(answer) = answered.recv() => link.send(&answer).await?,
+            Some(answer) = answers.recv() => link.send(&answer).await?,
             frame = broadcasts.recv(), if role == Role::Proxy => if let Ok(frame) = frame {
                 link.send(&frame).await?;
             },
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -1,28 +1,28 @@
-//! The fleet: links between processes of the program, the record that they agree on, and leases. Nothing here runs, listens
-//! or allocates unless the configuration has a section `fleet`. The choices are those of `pumicebay-accord`; this folder
-//! carries them out.
+//! The fleet: links between proxies, the record that they agree on by quorum, and leases. Nothing here runs,
+//! listens or allocates unless the configuration has a section `fleet`. The crate `pumicebay-accord` holds
+//! the protocol logic without I/O; this module adds sockets, disks and timers.
 //!
-//! | file | job |
+//! | file | content |
 //! | --- | --- |
-//! | `config.rs` | the section `fleet`, read and checked |
-//! | `wire.rs` | frames, the hello, which versions understand each other |
-//! | `checksummed_file.rs` | files of the program's own: synced, with a checksum and a lock |
-//! | `store.rs` | a voter's disk |
-//! | `local_process.rs` | who a process is to the others, and its clock |
-//! | `drive.rs` | runs an actor that owns a state machine |
-//! | `voter_handle.rs` | the way to the voter for all other files |
-//! | `voter_actor.rs` | the voter: an actor that owns the `Voter` and its disk |
-//! | `acceptor.rs` | takes links, with room for so many |
-//! | `inbound.rs` | who calls a voter |
-//! | `outbound.rs` | the links that a process keeps to the voters; beats, reconnects |
-//! | `voter_client.rs` | asks voters until one answers |
-//! | `probe_handle.rs` | the module's way to have nodes probed |
-//! | `probes.rs` | one process probes a node that is down for all of its zone |
-//! | `lease.rs` | one lease held for as long as it is wanted |
-//! | `carrier/` | changes of configuration to all processes, and back what is in force |
-//! | `replication/` | orders of maintenance to all processes of a group |
-//! | `command_link.rs` | a command's link to one process |
-//! | `command.rs`, `run.rs` | `pumicebay fleet ...` |
+//! | `config.rs` | the section `fleet` of the configuration |
+//! | `wire.rs` | frames, the hello and protocol versions |
+//! | `checksummed_file.rs` | files with a checksum and a lock file, synced to disk |
+//! | `store.rs` | the voter's file on disk |
+//! | `local_process.rs` | the identity of this process and its clock |
+//! | `drive.rs` | the event loop of actors that own a state machine |
+//! | `voter_handle.rs` | the handle of the voter actor |
+//! | `voter_actor.rs` | the actor that owns the `Voter` and its disk |
+//! | `acceptor.rs` | accepts a limited number of connections |
+//! | `inbound.rs` | incoming links of a voter |
+//! | `outbound.rs` | links to the voters, with heartbeats and reconnects |
+//! | `voter_client.rs` | submits operations to the voters |
+//! | `probe_handle.rs` | the dispatcher's handle of the shared probes |
+//! | `probes.rs` | one process per zone probes the nodes that are down |
+//! | `lease.rs` | acquires and renews a lease |
+//! | `carrier/` | distributes configuration changes and reports where they are in force |
+//! | `replication/` | replicates maintenance orders within a group |
+//! | `command_link.rs` | the link of a command to one process |
+//! | `command.rs`, `run.rs` | the commands `pumicebay fleet ...` |
 
 pub mod acceptor;
 pub mod carrier;
@@ -50,8 +50,9 @@
 use crate::fleet::voter_client::VoterClient;
 use tokio::task::JoinSet;
 
-/// Takes its part in the fleet: votes if it is to, and keeps links to the voters. Gives the way to ask them, and what has
-/// to run as long as it does. Nothing that fails here keeps a proxy from serving: what can't be opened is tried again.
+/// Starts the fleet's actors: links to the voters, and the voter itself if this process is a voter or spare.
+/// Returns a client for the voters, and a future that must be polled while the actors are to run. No failure
+/// here stops the proxy from serving: files and addresses that can't be opened are retried.
 pub fn start(
     local: &LocalProcess,
     control: ControlHandle,
@@ -72,19 +73,19 @@
     (voters, watch_actors(actors))
 }
 
-/// The fleet's actors are a set of their own: one that ends, or panics, is reported, and the proxy serves on, as it does
-/// where the whole fleet is gone. They end with this future.
+/// Logs each actor that ends or panics; the proxy keeps serving, as it does without a fleet. The actors are
+/// aborted when this future is dropped. Never returns.
 async fn watch_actors(mut actors: JoinSet<()>) {
     while let Some(result) = actors.join_next().await {
         match result {
-            Ok(()) => tracing::error!("fleet: a part of it has ended; serving goes on"),
-            Err(error) => tracing::error!("fleet: a part of it has ended: {error}; serving goes on"),
+            Ok(()) => tracing::error!("fleet: an actor ended; the proxy keeps serving"),
+            Err(error) => tracing::error!("fleet: an actor failed: {error}; the proxy keeps serving"),
         }
     }
     std::future::pending().await
 }
 
-/// Links for a command, which votes nowhere.
+/// Starts links to the voters for an operator's command, which never votes.
 pub fn start_command(local: &LocalProcess, actors: &mut JoinSet<()>) -> VoterClient {
     let (links, answers, _) = outbound::start(local, wire::Role::Command, None, actors);
     voter_client::start(local, links, answers, None, actors)
--- a/crates/proxy/src/fleet/probes.rs
+++ b/crates/proxy/src/fleet/probes.rs
@@ -1,5 +1,6 @@
-//! Probes of nodes that are down, for the whole of a zone: the actor between the module, which wants their outcomes, and the
-//! fleet, in which one process probes for all. The choices are `pumicebay_accord::ProbeCoordinator`'s.
+//! Shared probes of nodes that are down. One process of each zone, the holder of a lease, probes for all
+//! processes of the zone. This actor connects the dispatcher, which wants the outcomes, with the fleet.
+//! `pumicebay_accord::ProbeCoordinator` makes the decisions.
 
 use crate::control::ControlHandle;
 use crate::fleet::lease::LeaseHandle;
@@ -14,15 +15,18 @@
 use tokio::sync::{broadcast, mpsc};
 use tokio::time::{MissedTickBehavior, interval};
 
+/// How often the coordinator is ticked and the lease is checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// The lease on a zone's probes.
+/// The duration of the lease on a zone's probes.
 const LEASE_DURATION: Duration = Duration::from_secs(6);
-/// How many voters are told: they pass it on to all, and one of them may be cut off.
+/// The number of voters to which a frame is sent. Each voter passes it on to all processes; with more than
+/// one voter, the frame arrives even if one of them is cut off.
 const MAX_RELAYING_VOTERS: usize = 2;
-/// Numbers of news that were heard lately.
+/// How many received outcomes are remembered to drop duplicates.
 const MAX_RECENT_OUTCOMES: usize = 64;
 
-/// What the choices ask for.
+/// The actions that the coordinator requests. Probes and outcomes are collected and carried out after each
+/// event.
 struct ProbeActions {
     voters: VoterClient,
     links: VoterLinks,
@@ -58,6 +62,7 @@
 }
 
 impl ProbeActions {
+    /// Sends a frame to up to `MAX_RELAYING_VOTERS` voters, which pass it on to all processes.
     fn send_to_voters(&self, frame: &Frame) {
         let mut sent = 0;
         if let Some(own_voter) = &self.own_voter {
@@ -73,7 +78,8 @@
     }
 }
 
-/// Runs as long as the process lives.
+/// Runs the probe actor until the dispatcher drops its handle. `probe_frames` are the frames that other
+/// voters pass on.
 pub async fn run(
     voters: VoterClient,
     links: VoterLinks,
@@ -85,7 +91,7 @@
     let zone = voters.local.config.zone.clone();
     let name = format!("probes/{zone}");
     let clock = voters.local.clock;
-    // What this process's own voter is given to pass on.
+    // Frames that this process's own voter passes on.
     let mut broadcasts = own_voter.as_ref().map(VoterHandle::subscribe);
     let random = oorandom::Rand64::new(u128::from(crate::fleet::local_process::random_id()));
     let mut actions =
@@ -111,12 +117,13 @@
             Some(frame) = next_broadcast(&mut broadcasts) => Some(frame),
             _ = tick.tick() => {
                 let held = lease.as_ref().and_then(|lease| *lease.held.borrow());
-                // A lease that can't outlast a probe is none: the next holder may probe already.
+                // A lease that can expire during a probe does not count: the next holder might already be
+                // probing.
                 let held =
                     held.filter(|held| clock.now() + crate::control::PROBE_TIMEOUT.as_nanos() as u64 <= held.valid_until);
                 coordinator.set_lease_token(held.map(|held| held.token));
                 coordinator.tick(clock.now(), &mut actions);
-                // Nobody probes while nothing is down, and nobody keeps a lease for it.
+                // The lease is held only while a node is down.
                 match (&mut lease, coordinator.lease_needed()) {
                     (None, true) => lease = Some(LeaseHandle::acquire(actions.voters.clone(), &name, LEASE_DURATION)),
                     (Some(held), false) => {
@@ -158,12 +165,13 @@
     }
 }
 
+/// The next frame that this process's own voter passes on; waits forever if there is no voter.
 async fn next_broadcast(broadcasts: &mut Option<broadcast::Receiver<Frame>>) -> Option<Frame> {
     match broadcasts {
         Some(broadcasts) => loop {
             match broadcasts.recv().await {
                 Ok(frame) => return Some(frame),
-                // Some are lost where there are too many; the next come.
+                // Frames were dropped because too many waited; continue with the next one.
                 Err(broadcast::error::RecvError::Lagged(_)) => {}
                 Err(broadcast::error::RecvError::Closed) => return std::future::pending().await,
             }
--- a/crates/proxy/src/fleet/store.rs
+++ b/crates/proxy/src/fleet/store.rs
@@ -1,4 +1,5 @@
-//! A voter's disk: one sealed file, and a lock that keeps two processes from voting from one folder.
+//! A voter's disk: one checksummed file, and a lock that prevents two processes from voting with the same
+//! folder.
 
 use crate::fleet::checksummed_file::ChecksummedFile;
 use anyhow::Result;
@@ -6,20 +7,23 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
+/// The format of a voter's file.
 const FILE: ChecksummedFile = ChecksummedFile {
     magic: b"pumicebv",
     version: 1,
-    wrong_magic_message: "no voter's file",
+    wrong_magic_message: "not a voter's file",
     file_name: "voter",
     lock_name: "lock",
 };
 
-/// What is in a voter's folder.
+/// The contents of a voter's folder.
 #[derive(Debug)]
 pub enum DiskContents {
+    /// There is no file.
     Empty,
+    /// The state from an intact file.
     Valid(Box<DurableState>),
-    /// Why it can't be trusted.
+    /// The file is damaged or belongs to another fleet; the text says why.
     Corrupt(String),
 }
 
@@ -31,23 +35,26 @@
 }
 
 impl VoterDisk {
-    /// `None` while another process has it.
+    /// Opens and locks the folder; `None` while another process has the lock.
     pub fn open(folder: &Path) -> Result<Option<VoterDisk>> {
         let lock = FILE.lock(folder)?;
         Ok(lock.map(|lock| VoterDisk { folder: folder.into(), _lock: lock }))
     }
 
-    /// Only a file that can't be read at all is an error: it may be whole.
+    /// Reads and checks the file. Returns an error only if it can't be read at all, since it may then still
+    /// be intact.
     pub fn read(&self, fleet: &str) -> Result<DiskContents> {
         let Some(bytes) = FILE.read(&self.folder)? else { return Ok(DiskContents::Empty) };
         Ok(match decode(&bytes) {
-            Ok(state) if state.fleet != fleet => DiskContents::Corrupt(format!("of fleet {:?}", state.fleet)),
+            Ok(state) if state.fleet != fleet => {
+                DiskContents::Corrupt(format!("the file belongs to fleet {:?}", state.fleet))
+            }
             Ok(state) => DiskContents::Valid(Box::new(state)),
             Err(error) => DiskContents::Corrupt(format!("{error:#}")),
         })
     }
 
-    /// Returns once it would survive a loss of power.
+    /// Writes the state. When it returns, the state survives a power failure.
     pub fn write(&self, state: &DurableState) -> Result<()> {
         if planted(Fault::AnswerBeforeSync) {
             return Ok(());
@@ -55,13 +62,13 @@
         FILE.write(&self.folder, &FILE.encode(state)?)
     }
 
-    /// Puts away what must not vote again; one such file is kept to be looked at.
+    /// Renames a file from which the voter must not vote again. One such file is kept for inspection.
     pub fn set_aside(&self) -> Result<()> {
         FILE.set_aside(&self.folder)
     }
 }
 
-/// What a voter's file says, or why it can't be trusted.
+/// Decodes a voter's file; an error if it is damaged.
 pub fn decode(bytes: &[u8]) -> Result<DurableState> {
     FILE.decode(bytes)
 }
--- a/crates/proxy/src/fleet/voter_actor.rs
+++ b/crates/proxy/src/fleet/voter_actor.rs
@@ -1,5 +1,6 @@
-//! The voter's actor: it owns the decisions and the disk. What they say goes out once the disk has what they keep; a disk
-//! that fails silences the voter until it can be read and written again.
+//! The voter's actor. It owns the voter's state machine and its disk. Messages and answers are sent only
+//! after the state that they depend on was written to disk. If the disk fails, the voter stays silent until
+//! the disk can be read and written again.
 
 use crate::fleet::local_process::{LocalProcess, random_id};
 use crate::fleet::outbound::VoterLinks;
@@ -18,31 +19,35 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-/// Events taken together before the disk is synced once for all.
+/// The maximum number of events handled before the state is written to disk once for all of them.
 const MAX_BATCH: usize = 64;
-/// How long one round of the voters may take, and how long an ask waits for one.
+/// How long one quorum round may take, in nanoseconds.
 const ROUND_TIMEOUT: Nanos = 250_000_000;
+/// How long an operation may wait for its quorum round, in nanoseconds.
 const OPERATION_TIMEOUT: Nanos = 2_000_000_000;
-/// The pause before a disk that failed, or that another process has, is tried again.
+/// The delay before the disk is opened again after it failed or while another process has the lock.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
+/// The state of the actor.
 struct VoterActor {
     local: LocalProcess,
     links: VoterLinks,
+    /// Publishes the state of the disk to the handles.
     disk_sender: watch::Sender<Option<wire::DiskSummary>>,
-    /// The voter and its disk, while there is one that works.
+    /// The voter and its disk; `None` while the disk does not work.
     open: Option<(Voter, Arc<VoterDisk>)>,
+    /// Why the disk does not work.
     disk_error: Option<String>,
-    /// What the decisions asked for since the disk was synced last.
+    /// The effects that the voter requested since the last write to disk.
     effects: Effects,
     random: oorandom::Rand64,
-    /// Which voter has which store, by what they said last.
+    /// The voter of each store, by the last hellos and heartbeats.
     voter_by_store: BTreeMap<StoreId, Name>,
-    /// Where answers go.
+    /// The link that receives the answer to each pending operation.
     reply_links: HashMap<OperationId, mpsc::Sender<Frame>>,
 }
 
-/// Runs the voter as long as the process lives.
+/// Runs the voter until all its handles are dropped.
 pub async fn run(local: LocalProcess, links: VoterLinks, mailbox: VoterMailbox) {
     let VoterMailbox(mut events, disk_sender) = mailbox;
     let random = oorandom::Rand64::new(u128::from(random_id()));
@@ -86,7 +91,7 @@
 }
 
 impl VoterActor {
-    fn config_for_voter(&self) -> VoterConfig {
+    fn voter_config(&self) -> VoterConfig {
         let config = &self.local.config;
         VoterConfig {
             drift_ppm: config.drift_ppm,
@@ -98,29 +103,31 @@
         }
     }
 
+    /// Opens the disk and starts the voter from its state.
     async fn try_open(&mut self) {
         let config = self.local.config.clone();
         let Some(folder) = config.folder.clone() else { return };
         let name = config.name.clone();
-        let opened = spawn_blocking(move || open_folder(&folder, &name)).await.context("opening").flatten();
+        let opened =
+            spawn_blocking(move || open_folder(&folder, &name)).await.context("opening the folder").flatten();
         match opened {
             Ok(Some((disk, state))) => {
-                let (config_for_voter, now) = (self.config_for_voter(), self.local.clock.now());
-                let voter =
-                    Voter::start(now, &self.local.id.name, state, config_for_voter, &mut self.effects);
+                let (voter_config, now) = (self.voter_config(), self.local.clock.now());
+                let voter = Voter::start(now, &self.local.id.name, state, voter_config, &mut self.effects);
                 self.open = Some((voter, Arc::new(disk)));
                 self.disk_error = None;
             }
-            Ok(None) => self.disk_error = Some("another process has the folder".into()),
+            Ok(None) => self.disk_error = Some("another process has locked the folder".into()),
             Err(error) => self.fail(&error),
         }
     }
 
-    /// Silences the voter until its disk works; what it was about to say is lost with what it was about to keep.
+    /// Stops the voter until its disk works. Its unsent messages and answers are dropped together with the
+    /// unwritten state.
     fn fail(&mut self, error: &anyhow::Error) {
         let disk_error = format!("{error:#}");
         if self.disk_error.as_ref() != Some(&disk_error) {
-            tracing::error!("fleet: the voter's disk: {disk_error}");
+            tracing::error!("fleet: the voter's disk failed: {disk_error}");
         }
         self.disk_error = Some(disk_error);
         self.open = None;
@@ -128,6 +135,7 @@
         self.reply_links.clear();
     }
 
+    /// Handles one event. Its effects are carried out by `flush`.
     fn handle_event(&mut self, event: VoterEvent) {
         let now = self.local.clock.now();
         match event {
@@ -198,14 +206,14 @@
         }
     }
 
-    /// Syncs what is to be kept, and only then lets out what was said.
+    /// Writes the state to disk and only then sends messages and answers.
     async fn flush(&mut self) -> Result<()> {
         let Some((voter, disk)) = &self.open else { return Ok(()) };
         let own_store = voter.durable_state().store;
         self.effects.committed.clear();
         if let Some(state) = self.effects.to_persist.drain(..).next_back() {
             let disk = disk.clone();
-            spawn_blocking(move || disk.write(&state)).await.context("writing").flatten()?;
+            spawn_blocking(move || disk.write(&state)).await.context("writing the state").flatten()?;
         }
         let summary = disk_summary(voter.durable_state());
         self.disk_sender.send_if_modified(|now| now.replace(summary.clone()).as_ref() != Some(&summary));
@@ -216,7 +224,7 @@
         }
         for answer in self.effects.answers.drain(..) {
             if let Some(link) = self.reply_links.remove(&answer.id) {
-                // A link that is full is lost anyhow.
+                // A link with a full queue is about to fail anyway.
                 let _ = link.try_send(Frame::Answer(answer));
             }
         }
@@ -228,7 +236,7 @@
                 accepted.round
             );
             if voting_state == VotingState::Behind {
-                // The others take this voter in again under a new store.
+                // The other voters admit this one again under a new store.
                 disk.set_aside()?;
                 self.open = None;
             }
@@ -236,6 +244,7 @@
         Ok(())
     }
 
+    /// The status for an operator's command.
     fn status(&self, now: Nanos) -> VoterStatus {
         let Some((voter, _)) = &self.open else {
             return VoterStatus {
@@ -248,7 +257,7 @@
                 voting_state: VotingState::Empty,
                 is_current_voter: false,
                 disk_error: Some(
-                    self.disk_error.clone().unwrap_or_else(|| "its disk is being opened".into()),
+                    self.disk_error.clone().unwrap_or_else(|| "the disk is being opened".into()),
                 ),
                 record: SharedRecord::default(),
                 remaining_leases: Vec::new(),
@@ -279,7 +288,7 @@
     }
 }
 
-/// What a voter tells others of its disk.
+/// The summary of a voter's disk that its hellos and heartbeats carry.
 fn disk_summary(state: &DurableState) -> wire::DiskSummary {
     wire::DiskSummary {
         store: state.store,
@@ -294,14 +303,15 @@
     }
 }
 
-/// Opens a voter's folder: what it has, or a new store where that is nothing or can't be trusted.
+/// Opens a voter's folder and reads its state. Starts a new store if the folder is empty or its file is
+/// damaged, which is then set aside. `None` while another process has the folder locked.
 fn open_folder(folder: &std::path::Path, fleet: &str) -> Result<Option<(VoterDisk, DurableState)>> {
     let Some(disk) = VoterDisk::open(folder)? else { return Ok(None) };
     let state = match disk.read(fleet)? {
         DiskContents::Valid(state) => *state,
         DiskContents::Empty => DurableState::empty(fleet, random_id()),
         DiskContents::Corrupt(why) => {
-            tracing::error!("fleet: the voter's file is set aside, it must not vote from it: {why}");
+            tracing::error!("fleet: the voter's file is unusable and was set aside: {why}");
             disk.set_aside()?;
             DurableState::empty(fleet, random_id())
         }
--- a/crates/proxy/src/fleet/voter_client.rs
+++ b/crates/proxy/src/fleet/voter_client.rs
@@ -1,4 +1,5 @@
-//! Asks voters until one answers: the same ask, under the same number, at one after the other.
+//! Submits operations to the voters. An operation is sent to one voter after another, under the same
+//! operation id, until one of them answers.
 
 use crate::fleet::local_process::LocalProcess;
 use crate::fleet::outbound::VoterLinks;
@@ -13,33 +14,39 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
+/// The capacity of the channels to the actor.
 const MAILBOX_CAPACITY: usize = 256;
-/// How long one voter has before the next is asked, and after one that had too much to do.
+/// How long to wait for one voter's answer before the operation is sent to the next voter.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(600);
+/// The delay before the next voter is tried after a voter was busy or none was connected.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How often pending operations are checked for deadlines and retries.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
+/// An operation on its way to the actor.
 struct Submission {
     operation: Operation,
     deadline: Instant,
     reply_sender: oneshot::Sender<Reply>,
 }
 
-/// The way to ask.
+/// A handle that submits operations to the voters. Clones share one actor and one number sequence.
 #[derive(Clone)]
 pub struct VoterClient {
+    /// The process that submits.
     pub local: LocalProcess,
     submissions: mpsc::Sender<Submission>,
     last_number: Arc<AtomicU64>,
 }
 
 impl VoterClient {
-    /// A number higher than any before in this process.
+    /// Returns a number higher than all numbers returned before in this process.
     pub fn next_number(&self) -> u64 {
         self.last_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// `Unknown` where nobody answered in time: it may have been done.
+    /// Submits an operation and returns the reply. Returns `Reply::Unknown` if no voter answered within
+    /// `timeout`; the operation may have been applied nevertheless.
     pub async fn submit_operation(&self, operation: Operation, timeout: Duration) -> Reply {
         let (reply_sender, answer) = oneshot::channel();
         let submission = Submission { operation, deadline: Instant::now() + timeout, reply_sender };
@@ -49,28 +56,34 @@
         answer.await.unwrap_or(Reply::Unknown)
     }
 
+    /// Submits an operation of this kind under a new operation id; see `submit_operation`.
     pub async fn submit(&self, kind: OperationKind, timeout: Duration) -> Reply {
         let id = OperationId { process: self.local.id.clone(), number: self.next_number() };
         self.submit_operation(Operation { id, kind }, timeout).await
     }
 }
 
+/// An operation without a reply yet.
 struct Pending {
     submission: Submission,
+    /// The voter that it was sent to last.
     last_voter: Option<Name>,
     retry_at: Instant,
 }
 
+/// Sends pending operations to voters and matches the answers.
 struct Actor {
     name: Name,
     links: VoterLinks,
     own_voter: Option<VoterHandle>,
-    own_voter_answers: mpsc::Sender<Frame>,
+    own_voter_answer_sender: mpsc::Sender<Frame>,
     pending: HashMap<OperationId, Pending>,
-    /// Who answered last: the first to be asked next.
+    /// The voter to which new operations are sent first: normally the one that answered last.
     preferred: Option<Name>,
 }
 
+/// Starts the actor and returns its handle. `answers` are the answers from the links; `own_voter` is the
+/// voter of this process, if it has one.
 pub fn start(
     local: &LocalProcess,
     links: VoterLinks,
@@ -78,18 +91,18 @@
     own_voter: Option<VoterHandle>,
     actors: &mut JoinSet<()>,
 ) -> VoterClient {
-    let (submissions, mut submitted) = mpsc::channel::<Submission>(MAILBOX_CAPACITY);
-    let (own_voter_answers, mut own_voter_answered) = mpsc::channel(MAILBOX_CAPACITY);
+    let (submissions, mut received) = mpsc::channel::<Submission>(MAILBOX_CAPACITY);
+    let (own_voter_answer_sender, mut own_voter_answers) = mpsc::channel(MAILBOX_CAPACITY);
     let name = local.id.name.clone();
     let mut actor =
-        Actor { name, links, own_voter, own_voter_answers, pending: HashMap::new(), preferred: None };
+        Actor { name, links, own_voter, own_voter_answer_sender, pending: HashMap::new(), preferred: None };
     actors.spawn(async move {
         let mut check = interval(CHECK_INTERVAL);
         check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let idle = actor.pending.is_empty();
             tokio::select! {
-                submission = submitted.recv() => match submission {
+                submission = received.recv() => match submission {
                     Some(submission) => {
                         let id = submission.operation.id.clone();
                         actor.pending.insert(id.clone(), Pending { submission, last_voter: None, retry_at: Instant::now() });
@@ -98,7 +111,7 @@
                     None => return,
                 },
                 Some(answer) = answers.recv() => actor.answer_received(answer),
-                Some(frame) = own_voter_answered.recv() => if let Frame::Answer(answer) = frame {
+                Some(frame) = own_voter_answers.recv() => if let Frame::Answer(answer) = frame {
                     actor.answer_received(answer);
                 },
                 _ = check.tick(), if !idle => actor.expire_and_retry(),
@@ -112,7 +125,7 @@
     fn answer_received(&mut self, answer: Answer) {
         let Some(pending) = self.pending.get_mut(&answer.id) else { return };
         if matches!(answer.reply, Reply::Busy | Reply::Unknown) {
-            // Another may know; this one does not.
+            // Another voter may be able to answer.
             pending.retry_at = Instant::now() + BUSY_RETRY_DELAY;
             return;
         }
@@ -122,6 +135,7 @@
         }
     }
 
+    /// Ends operations whose deadline has passed or whose submitter is gone, and resends those that are due.
     fn expire_and_retry(&mut self) {
         let now = Instant::now();
         let finished = |pending: &Pending| {
@@ -143,8 +157,8 @@
         due.iter().for_each(|id| self.send_to_next_voter(id));
     }
 
-    /// Who did not answer is not asked first again: with asks that wait no longer than one voter has for its answer, it
-    /// would be the only one ever asked.
+    /// Stops preferring a voter that did not answer. Otherwise, operations with a timeout of at most
+    /// `VOTER_TIMEOUT` would only ever be sent to that voter.
     fn demote(&mut self, last_voter: Option<Name>) {
         if last_voter.is_some() && (self.preferred.is_none() || self.preferred == last_voter) {
             let next = self.links.connected().find(|name| Some(*name) > last_voter.as_ref()).cloned();
@@ -152,7 +166,8 @@
         }
     }
 
-    /// Asks who answered last, or the next after whom it was asked last.
+    /// Sends the operation to the preferred voter, or to the voter after the one that it was sent to last, by
+    /// name.
     fn send_to_next_voter(&mut self, id: &OperationId) {
         if let Some(last_voter) = self.pending.get(id).and_then(|pending| pending.last_voter.clone()) {
             self.demote(Some(last_voter));
@@ -176,7 +191,7 @@
         let operation = pending.submission.operation.clone();
         match &self.own_voter {
             Some(own_voter) if *voter == self.name => {
-                own_voter.try_send(VoterEvent::Submit(operation, self.own_voter_answers.clone()))
+                own_voter.try_send(VoterEvent::Submit(operation, self.own_voter_answer_sender.clone()))
             }
             _ => _ = self.links.send(voter, Frame::Submit(operation)),
         }
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -340,7 +340,8 @@
     }
     let mut later = whole;
     later[8] = 2;
-    expect!["of version 2, this program reads 1"].assert_eq(&disk::decode(&later).unwrap_err().to_string());
+    expect!["format version 2 is not supported, expected 1"]
+        .assert_eq(&disk::decode(&later).unwrap_err().to_string());
 }
 
 /// The examples of RFC 7396.
