--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -1,14 +1,14 @@
 //! The carrier actor. It owns the node of the distribution tree and, on the control machine that holds the
 //! lease, the publisher. It drives both with the fleet's clock.
 
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::apply::{self, Applier};
 use crate::fleet::carrier::config::{CarrierConfig, TreeRole};
 use crate::fleet::carrier::handle::{Event, Handle};
 use crate::fleet::carrier::links::{Parent, dial};
 use crate::fleet::carrier::publish;
 use crate::fleet::drive::{self, drive};
-use crate::fleet::me::{Me, draw};
+use crate::fleet::local_process::{LocalProcess, random_id};
+use crate::fleet::voter_client::VoterClient;
 use crate::fleet::wire::{CarrierStatus, Frame};
 use pumicebay_accord::{HeldLease, Reply};
 use pumicebay_carrier::{
@@ -51,7 +51,7 @@
             Some(confirmed_at) => {
                 write!(f, "version {} as of {:.1} s ago", self.version, confirmed_at.elapsed().as_secs_f64())
             }
-            None => write!(f, "version {}, nothing heard from the publisher since the start", self.version),
+            None => write!(f, "version {}, nothing heard since the start", self.version),
         }
     }
 }
@@ -107,7 +107,7 @@
     /// Applies and checks resources in the serving process.
     pub applier: Applier,
     /// Sends operations to the voters; only on a control machine.
-    pub asker: Option<Asker>,
+    pub asker: Option<VoterClient>,
     /// Passes the newest snapshot to the disk task; `None` if there is no folder.
     pub snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
     /// Requests that the lease be given back.
@@ -117,7 +117,7 @@
 }
 
 struct Actor {
-    me: Me,
+    me: LocalProcess,
     config: Arc<CarrierConfig>,
     context: ActorContext,
     node: TreeNode,
@@ -140,18 +140,18 @@
     started: Nanos,
 }
 
-fn node_config(me: &Me, config: &CarrierConfig) -> TreeNodeConfig {
+fn node_config(me: &LocalProcess, config: &CarrierConfig) -> TreeNodeConfig {
     let names = |members: &std::collections::BTreeMap<String, _>| -> Vec<String> {
-        members.keys().filter(|name| **name != me.who.name).cloned().collect()
+        members.keys().filter(|name| **name != me.id.name).cloned().collect()
     };
-    let role = config.role(&me.who.name);
+    let role = config.role(&me.id.name);
     let tiers = match role {
         TreeRole::Control => Vec::new(),
         TreeRole::Relay => vec![names(&config.control)],
         TreeRole::Leaf => vec![names(&config.relays), names(&config.control)],
     };
     TreeNodeConfig {
-        member: Member { name: me.who.name.clone(), incarnation: me.who.incarnation },
+        member: Member { name: me.id.name.clone(), incarnation: me.id.incarnation },
         location: location(me, config),
         is_control: role == TreeRole::Control,
         is_relay: role == TreeRole::Relay,
@@ -167,19 +167,19 @@
 }
 
 /// The location of this process in the fleet.
-pub fn location(me: &Me, config: &CarrierConfig) -> Location {
+pub fn location(me: &LocalProcess, config: &CarrierConfig) -> Location {
     Location { region: config.region.clone(), zone: me.config.zone.clone(), site: config.site.clone() }
 }
 
 /// Runs the actor until the process ends. `snapshot` is what was loaded from the disk, if anything.
 pub async fn run(
-    me: Me,
+    me: LocalProcess,
     config: Arc<CarrierConfig>,
     snapshot: Option<Snapshot>,
     context: ActorContext,
     events: mpsc::Receiver<Event>,
 ) {
-    let random = oorandom::Rand64::new(u128::from(draw()));
+    let random = oorandom::Rand64::new(u128::from(random_id()));
     let mut actions = ActionQueue { actions: VecDeque::new(), random };
     let started = me.clock.now();
     let node = TreeNode::start(started, node_config(&me, &config), snapshot, &mut actions);
@@ -207,13 +207,13 @@
 impl drive::Actor for Actor {
     type Event = Event;
 
-    fn due(&self) -> Instant {
+    fn wake_at(&self) -> Instant {
         let publisher = self.publisher.as_ref().map_or(Nanos::MAX, |(publisher, _)| publisher.due());
         let due = self.node.due().min(publisher).min(self.now() + MAX_TICK_INTERVAL);
         Instant::now() + self.me.clock.until(due)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         // Events of an abandoned connection attempt are ignored.
         let dial_number = self.parent.as_ref().map(|parent| parent.number);
@@ -257,7 +257,9 @@
             }
             Event::Offer(number, changes, link) => self.check_offer(number, changes, link),
             Event::OfferChecked(number, changes, link, checked) => match (checked, &mut self.publisher) {
-                (Err(reason), _) => _ = link.try_send(Frame::Offered(number, ChangeOutcome::Refused(reason))),
+                (Err(reason), _) => {
+                    _ = link.try_send(Frame::ChangeOutcome(number, ChangeOutcome::Refused(reason)))
+                }
                 (Ok(()), Some((publisher, host))) => {
                     let number = host.add_pending_offer(number, link);
                     publisher.propose(now, number, changes, host);
@@ -361,7 +363,7 @@
     }
 
     fn lease_changed(&mut self, now: Nanos, held: Option<HeldLease>, holder: Option<String>) {
-        let root = if held.is_some() { Some(self.me.who.name.clone()) } else { holder };
+        let root = if held.is_some() { Some(self.me.id.name.clone()) } else { holder };
         if root != self.root {
             tracing::info!("carrier: the publisher is now {}", root.as_deref().unwrap_or("unknown"));
             self.root = root;
@@ -421,14 +423,14 @@
 
     fn status(&self) -> Frame {
         let now = self.now();
-        Frame::CarrierIs(Box::new(CarrierStatus {
-            name: self.me.who.name.clone(),
+        Frame::CarrierStatus(Box::new(CarrierStatus {
+            name: self.me.id.name.clone(),
             publisher: self.root.clone(),
-            publishes: self.publisher.as_ref().map(|_| now.saturating_sub(self.publisher_since)),
-            holds: self.node.version(),
+            publishing_for: self.publisher.as_ref().map(|_| now.saturating_sub(self.publisher_since)),
+            version: self.node.version(),
             age: self.node.age(now),
-            sum: self.node.summary(now),
-            queue: self.publisher.as_ref().map_or(0, |(_, host)| host.pending_offers.len() as u64),
+            summary: self.node.summary(now),
+            queued_changes: self.publisher.as_ref().map_or(0, |(_, host)| host.pending_offers.len() as u64),
             children: self.node.child_count() as u64,
         }))
     }
--- a/crates/proxy/src/fleet/carrier/command.rs
+++ b/crates/proxy/src/fleet/carrier/command.rs
@@ -1,11 +1,11 @@
 //! `pumicebay fleet set`, `unset` and `changes`: the operators' commands for configuration changes. They are
 //! sent to the control machine that publishes.
 
-use crate::fleet::call::{ANSWERS, Called};
 use crate::fleet::carrier::actor::parse_scope;
 use crate::fleet::carrier::config::CarrierConfig;
+use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
 use crate::fleet::config::FleetConfig;
-use crate::fleet::wire::{CARRIER, CarrierStatus, Frame};
+use crate::fleet::wire::{CarrierStatus, Frame, MIN_CARRIER_VERSION};
 use anyhow::{Context, Result, bail, ensure};
 use pumicebay_carrier::{Change, ChangeOutcome, Exception, ExceptionKind, Version};
 use serde_json::{Value as Json, json};
@@ -27,16 +27,16 @@
 /// The exit code when a change is not in force everywhere, or when its state is unknown.
 const EXIT_INCOMPLETE: u8 = 3;
 
-async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<Called> {
-    Called::call_speaking(fleet, address, CARRIER).await
+async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<CommandLink> {
+    CommandLink::connect_with_version(fleet, address, MIN_CARRIER_VERSION).await
 }
 
-async fn ask_status(called: &mut Called) -> Result<CarrierStatus> {
+async fn ask_status(called: &mut CommandLink) -> Result<CarrierStatus> {
     let as_status = |frame| match frame {
-        Frame::CarrierIs(status) => Some(*status),
+        Frame::CarrierStatus(status) => Some(*status),
         _ => None,
     };
-    called.ask(Frame::Carrier, ANSWERS, as_status).await
+    called.query(Frame::CarrierStatusRequest, ANSWER_TIMEOUT, as_status).await
 }
 
 fn carrier_config(fleet: &FleetConfig) -> Result<&CarrierConfig> {
@@ -48,7 +48,7 @@
 async fn find_publisher(
     fleet: &FleetConfig,
     timeout: Duration,
-) -> Result<(Called, CarrierStatus), (Option<CarrierStatus>, String)> {
+) -> Result<(CommandLink, CarrierStatus), (Option<CarrierStatus>, String)> {
     let carrier = carrier_config(fleet).map_err(|error| (None, error.to_string()))?;
     let deadline = Instant::now() + timeout;
     let (mut newest, mut why): (Option<CarrierStatus>, String) = (None, "no control machine answers".into());
@@ -74,7 +74,7 @@
                 }
                 Ok((_, status)) => {
                     why = "no control machine is known to be the publisher".into();
-                    if newest.as_ref().is_none_or(|newest| newest.holds < status.holds) {
+                    if newest.as_ref().is_none_or(|newest| newest.version < status.version) {
                         newest = Some(status);
                     }
                 }
@@ -139,11 +139,12 @@
                 Err(_) if offered => return Ok(ChangeOutcome::Unknown),
                 Err((_, why)) => bail!("nothing was written: {why}"),
             };
-        let answer = called.ask(Frame::Offer(1, vec![change.clone()]), OFFER_TIMEOUT, |frame| match frame {
-            Frame::Offered(1, outcome) => Some(Some(outcome)),
-            Frame::CarrierIs(_) => Some(None),
-            _ => None,
-        });
+        let answer =
+            called.query(Frame::SubmitChanges(1, vec![change.clone()]), OFFER_TIMEOUT, |frame| match frame {
+                Frame::ChangeOutcome(1, outcome) => Some(Some(outcome)),
+                Frame::CarrierStatus(_) => Some(None),
+                _ => None,
+            });
         match answer.await {
             // Another control machine publishes by now.
             Ok(None) => {}
@@ -171,7 +172,7 @@
         let left = deadline.saturating_duration_since(Instant::now());
         match find_publisher(fleet, left).await {
             Ok((mut called, mut status)) => loop {
-                let sum = &status.sum;
+                let sum = &status.summary;
                 let refused = |exception: &Exception| matches!(exception.kind, ExceptionKind::Refused { .. });
                 let all = counts_are_complete(&status) && sum.in_force >= version && sum.unnamed == 0;
                 if all && sum.exceptions.is_empty() {
@@ -198,7 +199,7 @@
 /// Runs `pumicebay fleet changes`: prints the newest version, and where it is not in force.
 pub async fn changes(fleet: &FleetConfig, as_json: bool) -> Result<ExitCode> {
     carrier_config(fleet)?;
-    let (status, published) = match find_publisher(fleet, ANSWERS).await {
+    let (status, published) = match find_publisher(fleet, ANSWER_TIMEOUT).await {
         Ok((_, status)) => (status, true),
         Err((Some(status), _)) => (status, false),
         Err((None, why)) => bail!("{why}"),
@@ -221,11 +222,20 @@
 
 /// Whether all processes had time to connect to the publisher, so that its counts include them.
 fn counts_are_complete(status: &CarrierStatus) -> bool {
-    status.publishes.is_some_and(|time| Duration::from_nanos(time) >= RECONNECT_TIME)
+    status.publishing_for.is_some_and(|time| Duration::from_nanos(time) >= RECONNECT_TIME)
 }
 
 fn status_json(status: &CarrierStatus) -> Json {
-    let CarrierStatus { name, publisher, publishes, holds, age, sum, queue, children } = status;
+    let CarrierStatus {
+        name,
+        publisher,
+        publishing_for: publishes,
+        version: holds,
+        age,
+        summary: sum,
+        queued_changes: queue,
+        children,
+    } = status;
     let exception = |exception: &Exception| {
         let why = match &exception.kind {
             ExceptionKind::Refused { scope, resource, version, reason } => {
--- a/crates/proxy/src/fleet/carrier/config.rs
+++ b/crates/proxy/src/fleet/carrier/config.rs
@@ -1,6 +1,6 @@
 //! The section `fleet.carrier` of the configuration. Every error names the key that is wrong.
 
-use crate::fleet::config::addresses;
+use crate::fleet::config::parse_addresses;
 use crate::validation::check_value;
 use anyhow::{Context, Result, bail, ensure};
 use serde_json::Value as Json;
@@ -73,13 +73,13 @@
             check_value(json, &format!("/fleet/carrier/{key}"), &expected, fits)?;
             Ok(carrier.get(key).and_then(Json::as_u64).unwrap_or(default) as usize)
         };
-        let control = addresses(carrier, "fleet.carrier", "control")?;
+        let control = parse_addresses(carrier, "fleet.carrier", "control")?;
         ensure!(
             (1..=MAX_CONTROL_MACHINES).contains(&control.len()),
             "fleet.carrier.control: expected 1 to {MAX_CONTROL_MACHINES}, found {}",
             control.len()
         );
-        let relays = addresses(carrier, "fleet.carrier", "relays")?;
+        let relays = parse_addresses(carrier, "fleet.carrier", "relays")?;
         if let Some(duplicate) = relays.keys().find(|relay| control.contains_key(*relay)) {
             bail!("fleet.carrier.relays: {duplicate} is among the control machines");
         }
--- a/crates/proxy/src/fleet/carrier/links.rs
+++ b/crates/proxy/src/fleet/carrier/links.rs
@@ -2,10 +2,10 @@
 //! link is a task with a small queue. A link whose other end does not read or stays silent is closed, so
 //! nothing waits for it.
 
-use crate::fleet::accept::Acceptor;
+use crate::fleet::acceptor::Acceptor;
 use crate::fleet::carrier::handle::{Event, Handle};
-use crate::fleet::me::Me;
-use crate::fleet::wire::{CARRIER, Frame, Hello, Link, Role};
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::wire::{Frame, Hello, Link, MIN_CARRIER_VERSION, Role};
 use anyhow::{Context, Result, ensure};
 use pumicebay_carrier::{ChildId, ChildMessage, ParentMessage};
 use std::net::SocketAddr;
@@ -25,14 +25,14 @@
 const EXTRA_LINKS: usize = 256;
 
 /// Accepts links at this address until the process ends.
-pub async fn accept(me: Me, handle: Handle, address: SocketAddr, max_children: usize) {
+pub async fn accept(me: LocalProcess, handle: Handle, address: SocketAddr, max_children: usize) {
     let max_links = max_children.saturating_add(EXTRA_LINKS);
     let acceptor = Acceptor {
-        part: "carrier",
-        key: "fleet.carrier.listen",
-        callers: "children",
-        at: address,
-        most: max_links,
+        log_prefix: "carrier",
+        config_key: "fleet.carrier.listen",
+        peer_kind: "children",
+        address,
+        max_links,
     };
     let serve = |stream, number| {
         let (me, handle) = (me.clone(), handle.clone());
@@ -45,17 +45,17 @@
     acceptor.run(serve).await;
 }
 
-fn hello(me: &Me) -> Hello {
-    Hello::new(&me.config.name, &me.who, Role::Proxy, None)
+fn hello(me: &LocalProcess) -> Hello {
+    Hello::new(&me.config.name, &me.id, Role::Proxy, None)
 }
 
-async fn serve(me: &Me, handle: &Handle, stream: TcpStream, number: ChildId) -> Result<()> {
-    let (mut link, other) = Link::take(stream, async || hello(me)).await?;
-    let name = other.who.to_string();
+async fn serve(me: &LocalProcess, handle: &Handle, stream: TcpStream, number: ChildId) -> Result<()> {
+    let (mut link, other) = Link::accept(stream, async || hello(me)).await?;
+    let name = other.id.to_string();
     ensure!(
-        link.speaks() >= CARRIER,
-        "{name} supports link versions up to {}, version {CARRIER} is required",
-        link.speaks()
+        link.version() >= MIN_CARRIER_VERSION,
+        "{name} supports link versions up to {}, version {MIN_CARRIER_VERSION} is required",
+        link.version()
     );
     if other.role == Role::Command {
         // Commands are short-lived; the end of their links is logged at debug level only.
@@ -78,13 +78,13 @@
     number: ChildId,
     mut mailbox: mpsc::Receiver<ParentMessage>,
 ) -> Result<()> {
-    let to_frame = |message| Frame::Down(Box::new(message));
-    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
-        let Frame::Up(message) = frame else { continue };
+    let to_frame = |message| Frame::ToChild(Box::new(message));
+    while let Some(frame) = link.next_while_sending(&mut mailbox, to_frame).await? {
+        let Frame::ToParent(message) = frame else { continue };
         if let ChildMessage::Subscribe { attachment, .. } = &*message {
             let member = &attachment.member;
-            let same_process = member.name == other.who.name && member.incarnation == other.who.incarnation;
-            ensure!(same_process, "subscribes as {}, but its hello was from {}", member.name, other.who);
+            let same_process = member.name == other.id.name && member.incarnation == other.id.incarnation;
+            ensure!(same_process, "subscribes as {}, but its hello was from {}", member.name, other.id);
         }
         handle.send(Event::ChildMessage(number, *message)).await;
     }
@@ -93,12 +93,12 @@
 
 async fn run_command_link(handle: &Handle, link: &mut Link) -> Result<()> {
     let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
-    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
+    while let Some(frame) = link.next_while_sending(&mut answer_queue, |frame| frame).await? {
         match frame {
-            Frame::Offer(number, changes) => {
+            Frame::SubmitChanges(number, changes) => {
                 handle.send(Event::Offer(number, changes, answer_sender.clone())).await;
             }
-            Frame::Carrier => _ = handle.send(Event::Status(answer_sender.clone())).await,
+            Frame::CarrierStatusRequest => _ = handle.send(Event::Status(answer_sender.clone())).await,
             _ => {}
         }
     }
@@ -125,7 +125,7 @@
 /// Connects to a parent in a task of its own. Its events carry this number. `first_dial` is true for the
 /// first attempt after a link was up.
 pub fn dial(
-    me: &Me,
+    me: &LocalProcess,
     handle: &Handle,
     number: u64,
     name: &str,
@@ -151,7 +151,7 @@
 }
 
 async fn run_parent_link(
-    me: &Me,
+    me: &LocalProcess,
     handle: &Handle,
     number: u64,
     name: &str,
@@ -161,14 +161,14 @@
 ) -> Result<()> {
     let address = address.context("fleet.carrier lists no control machine or relay of this name")?;
     let (mut link, other) = Link::connect(address, &hello(me)).await?;
-    ensure!(other.who.name == name, "{address} belongs to {}", other.who);
-    link.ensure_speaks(CARRIER)?;
+    ensure!(other.id.name == name, "{address} belongs to {}", other.id);
+    link.ensure_version(MIN_CARRIER_VERSION)?;
     handle.send(Event::ParentConnected(number)).await;
     *connected = true;
-    tracing::info!("carrier: connected to parent {}", other.who);
-    let to_frame = |message| Frame::Up(Box::new(message));
-    while let Some(frame) = link.hear(&mut mailbox, to_frame).await? {
-        if let Frame::Down(message) = frame {
+    tracing::info!("carrier: connected to parent {}", other.id);
+    let to_frame = |message| Frame::ToParent(Box::new(message));
+    while let Some(frame) = link.next_while_sending(&mut mailbox, to_frame).await? {
+        if let Frame::ToChild(message) = frame {
             handle.send(Event::ParentMessage(number, *message)).await;
         }
     }
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -23,12 +23,12 @@
 pub mod publish;
 
 use crate::config::Config;
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::actor::{ActorContext, ConfigFreshness};
 use crate::fleet::carrier::apply::{AppliedConfig, Applier};
 use crate::fleet::carrier::config::CarrierConfig;
 use crate::fleet::carrier::handle::Handle;
-use crate::fleet::me::Me;
+use crate::fleet::local_process::LocalProcess;
+use crate::fleet::voter_client::VoterClient;
 use pumicebay_carrier::{Location, Snapshot};
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -72,9 +72,9 @@
 /// publishes while it holds the lease, and reports the age of its configuration. Returns the handle, and a
 /// future that must be polled for as long as the carrier is to run.
 pub fn start(
-    me: &Me,
+    me: &LocalProcess,
     config: Arc<CarrierConfig>,
-    asker: Option<Asker>,
+    asker: Option<VoterClient>,
     applier: Applier,
     snapshot: Option<Snapshot>,
     freshness_sender: watch::Sender<ConfigFreshness>,
@@ -87,10 +87,10 @@
         actors.spawn(disk::run(folder, newest, handle.clone()));
         sender
     });
-    if let Some(address) = config.listen_address(&me.who.name) {
+    if let Some(address) = config.listen_address(&me.id.name) {
         actors.spawn(links::accept(me.clone(), handle.clone(), address, config.max_children));
     }
-    let asker = asker.filter(|_| config.role(&me.who.name) == config::TreeRole::Control);
+    let asker = asker.filter(|_| config.role(&me.id.name) == config::TreeRole::Control);
     if let Some(asker) = asker.clone() {
         actors.spawn(publish::hold_lease(asker, handle.clone(), release_requests));
     }
@@ -103,5 +103,5 @@
         freshness_sender,
     };
     actors.spawn(actor::run(me.clone(), config, snapshot, context, events));
-    (handle, super::watched(actors))
+    (handle, super::watch_actors(actors))
 }
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -1,9 +1,9 @@
 //! The host of a publisher: reads and writes the record under the lease, and answers commands. It also holds
 //! the lease.
 
-use crate::fleet::asker::Asker;
 use crate::fleet::carrier::handle::{Event, Handle};
-use crate::fleet::lease::Lease;
+use crate::fleet::lease::LeaseHandle;
+use crate::fleet::voter_client::VoterClient;
 use crate::fleet::wire::Frame;
 use pumicebay_accord::{HeldLease, OperationKind, Reply, SharedRecord, Token};
 use pumicebay_carrier::{ChangeOutcome, PublisherHost, Resource, Version, WriteOutcome};
@@ -31,7 +31,7 @@
 
 /// The host of one publisher; it exists while the lease is held.
 pub struct RecordHost {
-    asker: Asker,
+    asker: VoterClient,
     handle: Handle,
     /// Identifies the publisher; answers to earlier publishers are ignored.
     pub number: u64,
@@ -47,7 +47,7 @@
 
 impl RecordHost {
     /// Creates the host of the publisher with this number, which holds the lease with this token.
-    pub fn new(asker: Asker, handle: Handle, number: u64, token: Token) -> RecordHost {
+    pub fn new(asker: VoterClient, handle: Handle, number: u64, token: Token) -> RecordHost {
         RecordHost {
             asker,
             handle,
@@ -69,7 +69,7 @@
     /// Answers all pending offers that their outcome is unknown.
     pub fn fail_pending_offers(&mut self) {
         for (command, link) in std::mem::take(&mut self.pending_offers).into_values() {
-            let _ = link.try_send(Frame::Offered(command, ChangeOutcome::Unknown));
+            let _ = link.try_send(Frame::ChangeOutcome(command, ChangeOutcome::Unknown));
         }
     }
 }
@@ -78,7 +78,7 @@
     fn read_record(&mut self) {
         let (asker, handle, number) = (self.asker.clone(), self.handle.clone(), self.number);
         tokio::spawn(async move {
-            let reply = asker.want(OperationKind::Read, RECORD_TIMEOUT).await;
+            let reply = asker.submit(OperationKind::Read, RECORD_TIMEOUT).await;
             handle.send(Event::RecordRead(number, reply)).await;
         });
     }
@@ -89,7 +89,7 @@
         let operation =
             OperationKind::Put { name: LEASE_NAME.into(), text, expected_version: Some(version), fence };
         tokio::spawn(async move {
-            let reply = asker.want(operation, RECORD_TIMEOUT).await;
+            let reply = asker.submit(operation, RECORD_TIMEOUT).await;
             handle.send(Event::RecordWritten(number, reply)).await;
         });
     }
@@ -100,7 +100,7 @@
 
     fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
         if let Some((command, link)) = self.pending_offers.remove(&number) {
-            let _ = link.try_send(Frame::Offered(command, outcome));
+            let _ = link.try_send(Frame::ChangeOutcome(command, outcome));
         }
     }
 
@@ -130,10 +130,10 @@
 
 /// Tries to hold the lease until the process ends, and reports each change of the holder. Each message in
 /// `release_requests` makes it give the lease back.
-pub async fn hold_lease(asker: Asker, handle: Handle, mut release_requests: mpsc::Receiver<()>) {
+pub async fn hold_lease(asker: VoterClient, handle: Handle, mut release_requests: mpsc::Receiver<()>) {
     loop {
-        let mut lease = Lease::want(asker.clone(), LEASE_NAME, LEASE_DURATION);
-        let (mut held, mut holder) = (lease.held.clone(), lease.holder.clone());
+        let mut lease = LeaseHandle::acquire(asker.clone(), LEASE_NAME, LEASE_DURATION);
+        let (mut held, mut holder) = (lease.held.clone(), lease.other_holder.clone());
         let mut reported: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
             let current = (*held.borrow_and_update(), holder.borrow_and_update().clone());
@@ -153,7 +153,7 @@
                     if request.is_none() {
                         return;
                     }
-                    lease.give_back().await;
+                    lease.release().await;
                     handle.send(Event::LeaseChanged(None, None)).await;
                     sleep(RELEASE_PAUSE).await;
                     break;
--- a/crates/proxy/src/fleet/drive.rs
+++ b/crates/proxy/src/fleet/drive.rs
@@ -1,38 +1,41 @@
-//! Runs an actor that owns a state machine: takes what comes, in batches, and wakes it when it wants to be woken.
+//! The event loop of actors that own a state machine: delivers events in batches and calls the actor when its
+//! timer is due.
 
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Events taken together before the clock is looked at again.
-const BATCH: usize = 64;
+/// The maximum number of events handled before the next tick.
+const MAX_BATCH: usize = 64;
 
-/// What an actor does with events and time.
+/// An actor that handles events and timer ticks.
 pub trait Actor {
+    /// The events that it handles.
     type Event;
 
-    /// When it wants to be woken at the latest.
-    fn due(&self) -> Instant;
-    fn take(&mut self, event: Self::Event);
-    /// After events, and when it is due.
+    /// The latest time of the next `tick`.
+    fn wake_at(&self) -> Instant;
+    /// Handles one event.
+    fn handle_event(&mut self, event: Self::Event);
+    /// Called after each batch of events and when `wake_at` has passed.
     fn tick(&mut self);
 }
 
-/// Runs until nobody can send events any more.
+/// Runs the actor until all senders of events are dropped.
 pub async fn drive<A: Actor>(mut actor: A, mut events: mpsc::Receiver<A::Event>) {
     loop {
-        let due = actor.due();
+        let wake_at = actor.wake_at();
         tokio::select! {
             event = events.recv() => match event {
                 Some(event) => {
-                    actor.take(event);
-                    for _ in 1..BATCH {
+                    actor.handle_event(event);
+                    for _ in 1..MAX_BATCH {
                         let Ok(event) = events.try_recv() else { break };
-                        actor.take(event);
+                        actor.handle_event(event);
                     }
                 }
                 None => return,
             },
-            () = sleep_until(due) => {}
+            () = sleep_until(wake_at) => {}
         }
         actor.tick();
     }
--- a/crates/proxy/src/fleet/lease.rs
+++ b/crates/proxy/src/fleet/lease.rs
@@ -1,89 +1,93 @@
-//! One lease, asked for and renewed for as long as somebody wants it.
+//! Acquires a lease and renews it until it is released.
 
-use crate::fleet::asker::Asker;
+use crate::fleet::voter_client::VoterClient;
 use pumicebay_accord::{HeldLease, LeaseClient, Name, Reply};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// What is held now, as of the last change; whoever acts looks at the clock too.
-pub struct Lease {
+/// A handle of a task that acquires and renews one lease.
+pub struct LeaseHandle {
+    /// The lease as of the last change; `None` while it is not held. Whoever acts under the lease must also
+    /// compare `valid_until` with the clock.
     pub held: watch::Receiver<Option<HeldLease>>,
-    /// The name of who has it where that is another, as of the last refusal.
-    pub holder: watch::Receiver<Option<Name>>,
-    give_back: Option<oneshot::Sender<oneshot::Sender<()>>>,
+    /// The process that holds the lease, if another one does, as of the last denial.
+    pub other_holder: watch::Receiver<Option<Name>>,
+    release: Option<oneshot::Sender<oneshot::Sender<()>>>,
 }
 
-impl Lease {
-    /// Wants the lease `name`, for `time` at each grant.
-    pub fn want(asker: Asker, name: &str, time: Duration) -> Lease {
-        let (tell, held) = watch::channel(None);
-        let (tell_holder, holder) = watch::channel(None);
-        let (give_back, given) = oneshot::channel();
-        let me = &asker.me;
-        let nanos = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
-        let holding = LeaseClient::new(me.clock.now(), me.who.clone(), name, nanos, me.config.drift_ppm);
-        tokio::spawn(run(asker, holding, time, (tell, tell_holder), given));
-        Lease { held, holder, give_back: Some(give_back) }
+impl LeaseHandle {
+    /// Starts a task that acquires the lease `name` and renews it, for `duration` with each grant.
+    pub fn acquire(voters: VoterClient, name: &str, duration: Duration) -> LeaseHandle {
+        let (held_sender, held) = watch::channel(None);
+        let (holder_sender, other_holder) = watch::channel(None);
+        let (release, released) = oneshot::channel();
+        let local = &voters.local;
+        let nanos = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
+        let lease =
+            LeaseClient::new(local.clock.now(), local.id.clone(), name, nanos, local.config.drift_ppm);
+        tokio::spawn(run(voters, lease, duration, (held_sender, holder_sender), released));
+        LeaseHandle { held, other_holder, release: Some(release) }
     }
 
-    /// Stops holding it at once; returns when the others know, or a little later.
-    pub async fn give_back(&mut self) {
-        let (done, over) = oneshot::channel();
-        if self.give_back.take().is_some_and(|give| give.send(done).is_ok()) {
-            let _ = over.await;
+    /// Stops holding the lease at once. Returns when the voters have released it, or after a timeout.
+    pub async fn release(&mut self) {
+        let (done, finished) = oneshot::channel();
+        if self.release.take().is_some_and(|request| request.send(done).is_ok()) {
+            let _ = finished.await;
         }
     }
 }
 
+/// The task behind `LeaseHandle`: runs until the lease is released.
 async fn run(
-    asker: Asker,
-    mut holding: LeaseClient,
-    time: Duration,
-    (tell, tell_holder): (watch::Sender<Option<HeldLease>>, watch::Sender<Option<Name>>),
-    mut given: oneshot::Receiver<oneshot::Sender<()>>,
+    voters: VoterClient,
+    mut lease: LeaseClient,
+    duration: Duration,
+    (held_sender, holder_sender): (watch::Sender<Option<HeldLease>>, watch::Sender<Option<Name>>),
+    mut released: oneshot::Receiver<oneshot::Sender<()>>,
 ) {
-    let clock = asker.me.clock;
-    let (answers, mut answered) = mpsc::channel::<(u64, Reply)>(8);
-    let mut newest = 0;
+    let clock = voters.local.clock;
+    let (reply_sender, mut replies) = mpsc::channel::<(u64, Reply)>(8);
+    let mut newest_number = 0;
     loop {
         let now = clock.now();
-        if let Some(ask) = holding.next_operation(now, asker.number()) {
-            newest = ask.id.number;
-            let (asker, answers) = (asker.clone(), answers.clone());
+        if let Some(operation) = lease.next_operation(now, voters.next_number()) {
+            newest_number = operation.id.number;
+            let (voters, reply_sender) = (voters.clone(), reply_sender.clone());
             tokio::spawn(async move {
-                let number = ask.id.number;
-                let reply = asker.ask(ask, time / 2).await;
-                let _ = answers.send((number, reply)).await;
+                let number = operation.id.number;
+                let reply = voters.submit_operation(operation, duration / 2).await;
+                let _ = reply_sender.send((number, reply)).await;
             });
         }
-        tell.send_if_modified(|held| std::mem::replace(held, holding.held()) != holding.held());
+        held_sender.send_if_modified(|held| std::mem::replace(held, lease.held()) != lease.held());
         tokio::select! {
-            Some((number, reply)) = answered.recv() => {
-                // Voters deny an ask that a later one overtook, also where the later one was granted: what is held is not
-                // lost by that. The answer to the newest tells.
-                let overtaken = number < newest && matches!(reply, Reply::Denied(..));
-                let reply = if overtaken { Reply::Unknown } else { reply };
-                let other = match &reply {
-                    // An earlier life of one's own name is nobody to turn to.
-                    Reply::Denied(Some(holder), _) if holder.name != asker.me.who.name => Some(&holder.name),
+            Some((number, reply)) = replies.recv() => {
+                // Voters deny an operation that a later one overtook, even if the later one was granted. Such
+                // a denial does not end the held lease; the reply to the newest operation decides.
+                let superseded = number < newest_number && matches!(reply, Reply::Denied(..));
+                let reply = if superseded { Reply::Unknown } else { reply };
+                let other_holder = match &reply {
+                    // An earlier incarnation of this process is not another holder.
+                    Reply::Denied(Some(holder), _) if holder.name != voters.local.id.name => Some(&holder.name),
                     _ => None,
                 };
                 if matches!(reply, Reply::Denied(..) | Reply::Granted(_)) {
-                    tell_holder.send_if_modified(|was| {
-                        let changed = was.as_ref() != other;
-                        *was = other.cloned();
+                    holder_sender.send_if_modified(|known| {
+                        let changed = known.as_ref() != other_holder;
+                        *known = other_holder.cloned();
                         changed
                     });
                 }
-                holding.answer_received(clock.now(), number, &reply);
+                lease.answer_received(clock.now(), number, &reply);
             }
-            () = sleep_until(Instant::now() + clock.until(holding.wake_at())) => {}
-            done = &mut given => {
-                let ask = holding.give_back(clock.now(), asker.number());
-                tell.send_replace(None);
-                if let Some(ask) = ask {
-                    asker.ask(ask, time / 2).await;
+            () = sleep_until(Instant::now() + clock.until(lease.wake_at())) => {}
+            done = &mut released => {
+                let operation = lease.give_back(clock.now(), voters.next_number());
+                held_sender.send_replace(None);
+                if let Some(operation) = operation {
+                    voters.submit_operation(operation, duration / 2).await;
                 }
                 if let Ok(done) = done {
                     let _ = done.send(());
--- a/crates/proxy/src/fleet/replication/actor.rs
+++ b/crates/proxy/src/fleet/replication/actor.rs
@@ -2,7 +2,7 @@
 //! clock.
 
 use crate::fleet::drive::{self, drive};
-use crate::fleet::me::{Me, draw, unix};
+use crate::fleet::local_process::{LocalProcess, random_id, unix_time};
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, NewOrder, ServiceStates};
 use crate::fleet::replication::{ActorContext, disk, links};
@@ -31,7 +31,7 @@
 }
 
 struct Actor {
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     handle: Handle,
     replica: Replica,
@@ -44,20 +44,20 @@
 }
 
 /// The current time by the fleet's monotonic clock and by the machine's clock.
-fn read_clocks(me: &Me) -> Now {
-    Now { monotonic: me.clock.now(), unix: unix().as_nanos() as u64 }
+fn read_clocks(me: &LocalProcess) -> Now {
+    Now { monotonic: me.clock.now(), unix: unix_time().as_nanos() as u64 }
 }
 
 /// Loads the replica's copy from the disk, if there is one, and runs the actor until the process ends.
 pub async fn run(
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     context: ActorContext,
     snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
 ) {
     let snapshot = match config.folder.clone() {
         Some(folder) => {
-            let name = me.who.name.clone();
+            let name = me.id.name.clone();
             spawn_blocking(move || disk::read(&folder, &name)).await.ok().flatten()
         }
         None => None,
@@ -70,10 +70,10 @@
             snapshot.entries.len()
         );
     }
-    let mut actions = ActionQueue::new(draw());
+    let mut actions = ActionQueue::new(random_id());
     let replica_config = ReplicaConfig {
-        id: ReplicaId { name: me.who.name.clone(), incarnation: draw() },
-        peers: config.peers.keys().filter(|name| **name != me.who.name).cloned().collect(),
+        id: ReplicaId { name: me.id.name.clone(), incarnation: random_id() },
+        peers: config.peers.keys().filter(|name| **name != me.id.name).cloned().collect(),
         target_links: config.target_links,
         retention: config.retention.as_nanos() as u64,
         max_clock_skew: MAX_CLOCK_SKEW,
@@ -101,12 +101,12 @@
 impl drive::Actor for Actor {
     type Event = Event;
 
-    fn due(&self) -> Instant {
+    fn wake_at(&self) -> Instant {
         let due = self.replica.next_deadline().min(self.me.clock.now() + MAX_TICK_INTERVAL);
         Instant::now() + self.me.clock.until(due)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = read_clocks(&self.me);
         match event {
             Event::LinkUp { link, peer, dialled, mailbox } => {
@@ -125,7 +125,7 @@
             Event::Persisted(snapshot) => self.snapshot_persisted(now, &snapshot),
             Event::Issue { order, answer, persisted } => self.issue(now, order, answer, persisted),
             Event::StatusFrame { answer } => {
-                let status = Frame::ReplicationIs(Box::new(self.status(now)));
+                let status = Frame::ReplicationStatus(Box::new(self.status(now)));
                 let _ = answer.try_send(status);
             }
             Event::Status { answer } => _ = answer.send(self.status(now)),
--- a/crates/proxy/src/fleet/replication/command.rs
+++ b/crates/proxy/src/fleet/replication/command.rs
@@ -2,10 +2,10 @@
 //! orders that each proxy knows. Any proxy of the group accepts an order; each of the others is asked whether
 //! the order is in force there.
 
-use crate::fleet::call::{ANSWERS, Called};
+use crate::fleet::command_link::{ANSWER_TIMEOUT, CommandLink};
 use crate::fleet::config::FleetConfig;
 use crate::fleet::replication::config::ReplicationConfig;
-use crate::fleet::wire::{Frame, OrderAnswer, OrderCall, REPLICATION};
+use crate::fleet::wire::{Frame, MIN_REPLICATION_VERSION, MaintenanceAnswer, MaintenanceOrder};
 use anyhow::{Context, Result, bail};
 use pumicebay_accord::Token;
 use pumicebay_replication::{Stamp, Status};
@@ -41,7 +41,7 @@
     out: bool,
     wait: Option<Duration>,
 ) -> Result<ExitCode> {
-    let call = OrderCall { node: node.into(), out, under: lease_from_environment()? };
+    let call = MaintenanceOrder { node: node.into(), out_of_service: out, lease: lease_from_environment()? };
     let stamp = issue(&fleet, &call).await?;
     println!("{} {}", if out { "out" } else { "back" }, stamp_text(&stamp));
     let Some(wait) = wait else { return Ok(ExitCode::SUCCESS) };
@@ -80,23 +80,29 @@
 }
 
 /// Issues the order at the first proxy that can be reached.
-async fn issue(fleet: &FleetConfig, call: &OrderCall) -> Result<Stamp> {
+async fn issue(fleet: &FleetConfig, call: &MaintenanceOrder) -> Result<Stamp> {
     let mut last_failure = "no proxy of the group answers".to_string();
     for (name, address) in &replication_config(fleet)?.peers {
-        let mut called = match Called::call_speaking(fleet, *address, REPLICATION).await {
-            Ok(called) => called,
-            Err(error) => {
-                last_failure = format!("{name}: {error:#}");
-                continue;
-            }
-        };
-        let answer = called.ask(Frame::Order(Box::new(call.clone())), ANSWERS, |frame| match frame {
-            Frame::Ordered(answer) => Some(*answer),
-            _ => None,
-        });
+        let mut called =
+            match CommandLink::connect_with_version(fleet, *address, MIN_REPLICATION_VERSION).await {
+                Ok(called) => called,
+                Err(error) => {
+                    last_failure = format!("{name}: {error:#}");
+                    continue;
+                }
+            };
+        let answer =
+            called.query(
+                Frame::MaintenanceOrder(Box::new(call.clone())),
+                ANSWER_TIMEOUT,
+                |frame| match frame {
+                    Frame::MaintenanceAnswer(answer) => Some(*answer),
+                    _ => None,
+                },
+            );
         return match answer.await {
-            Ok(OrderAnswer::Given(stamp)) => Ok(stamp),
-            Ok(OrderAnswer::Refused(reason)) => bail!("refused: {reason}"),
+            Ok(MaintenanceAnswer::Applied(stamp)) => Ok(stamp),
+            Ok(MaintenanceAnswer::Refused(reason)) => bail!("refused: {reason}"),
             Err(error) => {
                 bail!("{name} did not answer, it is not known whether the order was issued: {error:#}")
             }
@@ -115,11 +121,12 @@
             let _permit = permits.acquire().await;
             let status = async {
                 let as_status = |frame| match frame {
-                    Frame::ReplicationIs(status) => Some(*status),
+                    Frame::ReplicationStatus(status) => Some(*status),
                     _ => None,
                 };
-                let mut called = Called::call_speaking(&fleet, address, REPLICATION).await?;
-                called.ask(Frame::Replication, ANSWERS, as_status).await
+                let mut called =
+                    CommandLink::connect_with_version(&fleet, address, MIN_REPLICATION_VERSION).await?;
+                called.query(Frame::ReplicationStatusRequest, ANSWER_TIMEOUT, as_status).await
             };
             (name, status.await)
         });
--- a/crates/proxy/src/fleet/replication/disk.rs
+++ b/crates/proxy/src/fleet/replication/disk.rs
@@ -1,19 +1,19 @@
 //! The replica's copy on disk, if a folder is configured. A failure here never stops the process from
 //! serving.
 
+use crate::fleet::checksummed_file::ChecksummedFile;
 use crate::fleet::replication::handle::{Event, Handle};
-use crate::fleet::sealed::Sealed;
 use anyhow::{Context, Result};
 use pumicebay_replication::Snapshot;
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-const FILE: Sealed = Sealed {
+const FILE: ChecksummedFile = ChecksummedFile {
     magic: b"pumicebr",
     version: 1,
-    foreign: "not a replica file",
-    name: "replica",
-    lock: "replica.lock",
+    wrong_magic_message: "not a replica file",
+    file_name: "replica",
+    lock_name: "replica.lock",
 };
 
 /// Reads the copy from the folder; `None` if there is no usable one. A copy that cannot be read, or that
@@ -34,7 +34,7 @@
 }
 
 fn decode_own(bytes: &[u8], name: &str) -> Result<Snapshot> {
-    let snapshot: Snapshot = FILE.decode(bytes).with_context(|| FILE.name.to_string())?;
+    let snapshot: Snapshot = FILE.decode(bytes).with_context(|| FILE.file_name.to_string())?;
     anyhow::ensure!(snapshot.name == name, "it belongs to {}", snapshot.name);
     Ok(snapshot)
 }
@@ -45,5 +45,5 @@
         let handle = handle.clone();
         async move { _ = handle.send(Event::Persisted(Box::new(snapshot))).await }
     };
-    FILE.keep_newest("replication", folder, newest, written).await;
+    FILE.persist_latest("replication", folder, newest, written).await;
 }
--- a/crates/proxy/src/fleet/replication/links.rs
+++ b/crates/proxy/src/fleet/replication/links.rs
@@ -3,11 +3,13 @@
 //! for it.
 
 use crate::bans::{Maintenance, MaintenanceResult};
-use crate::fleet::accept::Acceptor;
-use crate::fleet::me::Me;
+use crate::fleet::acceptor::Acceptor;
+use crate::fleet::local_process::LocalProcess;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle};
-use crate::fleet::wire::{Frame, Hello, Link, OrderAnswer, OrderCall, REPLICATION, Role};
+use crate::fleet::wire::{
+    Frame, Hello, Link, MIN_REPLICATION_VERSION, MaintenanceAnswer, MaintenanceOrder, Role,
+};
 use anyhow::{Context, Result, ensure};
 use pumicebay_replication::{LinkId, Message};
 use std::net::SocketAddr;
@@ -25,15 +27,20 @@
 
 /// Accepts links at this address until the process ends.
 pub async fn accept(
-    me: Me,
+    me: LocalProcess,
     config: Arc<ReplicationConfig>,
     handle: Handle,
     maintenance: Maintenance,
     address: SocketAddr,
 ) {
     let key = "fleet.replication.listen";
-    let acceptor =
-        Acceptor { part: "replication", key, callers: "peers", at: address, most: MAX_INCOMING_LINKS };
+    let acceptor = Acceptor {
+        log_prefix: "replication",
+        config_key: key,
+        peer_kind: "peers",
+        address,
+        max_links: MAX_INCOMING_LINKS,
+    };
     let serve = |stream, _| {
         let (me, config) = (me.clone(), config.clone());
         let (handle, maintenance) = (handle.clone(), maintenance.clone());
@@ -46,23 +53,23 @@
     acceptor.run(serve).await;
 }
 
-fn hello(me: &Me) -> Hello {
-    Hello::new(&me.config.name, &me.who, Role::Proxy, None)
+fn hello(me: &LocalProcess) -> Hello {
+    Hello::new(&me.config.name, &me.id, Role::Proxy, None)
 }
 
 async fn serve(
-    me: &Me,
+    me: &LocalProcess,
     config: &ReplicationConfig,
     handle: &Handle,
     maintenance: &Maintenance,
     stream: TcpStream,
 ) -> Result<()> {
-    let (link, other) = Link::take(stream, async || hello(me)).await?;
-    let name = other.who.name.clone();
+    let (link, other) = Link::accept(stream, async || hello(me)).await?;
+    let name = other.id.name.clone();
     ensure!(
-        link.speaks() >= REPLICATION,
-        "{name} supports link versions up to {}, version {REPLICATION} is required",
-        link.speaks()
+        link.version() >= MIN_REPLICATION_VERSION,
+        "{name} supports link versions up to {}, version {MIN_REPLICATION_VERSION} is required",
+        link.version()
     );
     if other.role == Role::Command {
         // Commands are short-lived; the end of their links is logged at debug level only.
@@ -72,7 +79,7 @@
         return Ok(());
     }
     ensure!(
-        name != me.who.name,
+        name != me.id.name,
         "{name} connects to itself: two processes have the same name, or a configuration was copied"
     );
     ensure!(config.peers.contains_key(&name), "{name} is not listed in fleet.replication.peers");
@@ -80,7 +87,7 @@
 }
 
 /// Connects to a peer in a task of its own; a failure is reported to the actor too.
-pub fn dial(me: &Me, config: &ReplicationConfig, handle: &Handle, peer: &str) {
+pub fn dial(me: &LocalProcess, config: &ReplicationConfig, handle: &Handle, peer: &str) {
     let (me, handle, peer) = (me.clone(), handle.clone(), peer.to_string());
     let address = config.peers.get(&peer).copied();
     tokio::spawn(async move {
@@ -98,11 +105,11 @@
     });
 }
 
-async fn connect(me: &Me, peer: &str, address: Option<SocketAddr>) -> Result<Link> {
+async fn connect(me: &LocalProcess, peer: &str, address: Option<SocketAddr>) -> Result<Link> {
     let address = address.context("fleet.replication.peers lists no process of this name")?;
     let (link, other) = Link::connect(address, &hello(me)).await?;
-    ensure!(other.who.name == peer, "{address} belongs to {}", other.who);
-    link.ensure_speaks(REPLICATION)?;
+    ensure!(other.id.name == peer, "{address} belongs to {}", other.id);
+    link.ensure_version(MIN_REPLICATION_VERSION)?;
     Ok(link)
 }
 
@@ -122,9 +129,9 @@
     link_id: LinkId,
     to_send: &mut mpsc::Receiver<Message>,
 ) -> Result<()> {
-    let to_frame = |message| Frame::Replicate(Box::new(message));
-    while let Some(frame) = link.hear(to_send, to_frame).await? {
-        if let Frame::Replicate(message) = frame {
+    let to_frame = |message| Frame::Replication(Box::new(message));
+    while let Some(frame) = link.next_while_sending(to_send, to_frame).await? {
+        if let Frame::Replication(message) = frame {
             handle.send(Event::MessageReceived { link: link_id, message: *message }).await;
         }
     }
@@ -134,12 +141,14 @@
 /// Answers the requests of a command.
 async fn run_command_link(handle: &Handle, maintenance: &Maintenance, mut link: Link) -> Result<()> {
     let (answer_sender, mut answer_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
-    while let Some(frame) = link.hear(&mut answer_queue, |frame| frame).await? {
+    while let Some(frame) = link.next_while_sending(&mut answer_queue, |frame| frame).await? {
         match frame {
-            Frame::Replication => _ = handle.send(Event::StatusFrame { answer: answer_sender.clone() }).await,
-            Frame::Order(call) => {
+            Frame::ReplicationStatusRequest => {
+                _ = handle.send(Event::StatusFrame { answer: answer_sender.clone() }).await
+            }
+            Frame::MaintenanceOrder(call) => {
                 let answer = issue_order(maintenance, *call).await;
-                link.send(&Frame::Ordered(Box::new(answer))).await?;
+                link.send(&Frame::MaintenanceAnswer(Box::new(answer))).await?;
             }
             _ => {}
         }
@@ -148,10 +157,10 @@
 }
 
 /// Issues a command's order in the same way as an operator's call at this proxy.
-async fn issue_order(maintenance: &Maintenance, call: OrderCall) -> OrderAnswer {
-    let OrderCall { node, out, under } = call;
+async fn issue_order(maintenance: &Maintenance, call: MaintenanceOrder) -> MaintenanceAnswer {
+    let MaintenanceOrder { node, out_of_service: out, lease: under } = call;
     match maintenance.set_service(node.clone(), out, under).await {
-        MaintenanceResult::Replicated(stamp) => OrderAnswer::Given(stamp),
-        other => OrderAnswer::Refused(other.message(&node, out)),
+        MaintenanceResult::Replicated(stamp) => MaintenanceAnswer::Applied(stamp),
+        other => MaintenanceAnswer::Refused(other.message(&node, out)),
     }
 }
--- a/crates/proxy/src/fleet/replication/mod.rs
+++ b/crates/proxy/src/fleet/replication/mod.rs
@@ -19,7 +19,7 @@
 pub mod links;
 
 use crate::bans::Maintenance;
-use crate::fleet::me::Me;
+use crate::fleet::local_process::LocalProcess;
 use crate::fleet::replication::config::ReplicationConfig;
 use crate::fleet::replication::handle::{Event, Handle, ServiceStates};
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 /// Starts the replica of this process: it keeps links to peers, accepts links from them, and keeps its copy
 /// on disk. Returns a future that must be polled for as long as the replica is to run.
 pub fn start(
-    me: &Me,
+    me: &LocalProcess,
     config: Arc<ReplicationConfig>,
     context: ActorContext,
 ) -> impl Future<Output = ()> + use<> {
@@ -51,10 +51,10 @@
         actors.spawn(disk::run(folder, newest, context.handle.clone()));
         sender
     });
-    if let Some(address) = config.listen_address(&me.who.name) {
+    if let Some(address) = config.listen_address(&me.id.name) {
         let maintenance = context.maintenance.clone();
         actors.spawn(links::accept(me.clone(), config.clone(), context.handle.clone(), maintenance, address));
     }
     actors.spawn(actor::run(me.clone(), config, context, snapshot_sender));
-    super::watched(actors)
+    super::watch_actors(actors)
 }
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -193,7 +193,7 @@
         version: Version::default(),
         digest: 0,
     };
-    let up = postcard::to_stdvec(&Frame::Up(Box::new(up))).unwrap();
+    let up = postcard::to_stdvec(&Frame::ToParent(Box::new(up))).unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
     for bytes in [framed(&[99, 1, 2]), vec![255; 8], framed(&[]), framed(&up), framed(&up)[..9].to_vec()] {
         let mut stream = TcpStream::connect(c1.as_str().unwrap()).await.unwrap();
@@ -355,7 +355,8 @@
     }
     let mut later = encoded;
     later[8] = 2;
-    expect!["of version 2, this program reads 1"].assert_eq(&disk::decode(&later).unwrap_err().to_string());
+    expect!["format version 2 is not supported, expected 1"]
+        .assert_eq(&disk::decode(&later).unwrap_err().to_string());
 }
 
 /// The examples of RFC 7396.
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -251,7 +251,8 @@
     let address = group.section["replication"]["peers"]["p1"].as_str().unwrap();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_be_bytes(), bytes].concat();
     let acknowledgement =
-        postcard::to_stdvec(&Frame::Replicate(Box::new(Message::Ack { number: 9, accepted: true }))).unwrap();
+        postcard::to_stdvec(&Frame::Replication(Box::new(Message::Ack { number: 9, accepted: true })))
+            .unwrap();
     for (name, bytes) in [
         ("p2", framed(&[99, 1, 2])),
         ("p2", vec![255; 8]),
