--- a/crates/proxy/src/fleet/command.rs
+++ b/crates/proxy/src/fleet/command.rs
@@ -199,7 +199,7 @@
             println!("{version}");
             Ok(ExitCode::SUCCESS)
         }
-        Reply::Refused(why) => bail!("{why}"),
+        Reply::Refused(reason) => bail!("{reason}"),
         Reply::Unknown => {
             bail!(
                 "no majority of the voters answered in time; it is unknown whether the operation was applied"
@@ -329,10 +329,10 @@
 
 /// Prints the status of all voters. The exit code is 3 unless the record is agreed.
 async fn status(config: &FleetConfig, as_json: bool) -> Result<ExitCode> {
-    let mut calls = JoinSet::new();
+    let mut queries = JoinSet::new();
     for (name, address) in config.potential_voters() {
         let (config, name) = (config.clone(), name.clone());
-        calls.spawn(async move {
+        queries.spawn(async move {
             let query = async {
                 let extract = |frame| match frame {
                     Frame::Status(status) => Some(*status),
@@ -346,7 +346,7 @@
             (name, query.await)
         });
     }
-    let all: BTreeMap<String, Result<VoterStatus>> = calls.join_all().await.into_iter().collect();
+    let all: BTreeMap<String, Result<VoterStatus>> = queries.join_all().await.into_iter().collect();
     let reachable: Vec<&VoterStatus> = all.values().flatten().collect();
     // The record is agreed if a majority of the voters has accepted the same one. Otherwise the newest record
     // is shown and marked as not agreed.
@@ -379,17 +379,17 @@
     // For each process: its newest incarnation, in the best state that any voter reports.
     let rank =
         |seen: &PeerState| matches!(seen, PeerState::Up) as u8 * 2 + matches!(seen, PeerState::Silent) as u8;
-    let mut present: BTreeMap<&String, (u64, u8, &PeerState, u64)> = BTreeMap::new();
+    let mut peers: BTreeMap<&String, (u64, u8, &PeerState, u64)> = BTreeMap::new();
     for (name, incarnation, seen, silent_for) in all.values().flatten().flat_map(|status| &status.peers) {
-        let this = (*incarnation, rank(seen), seen, *silent_for);
-        let best = present.entry(name).or_insert(this);
-        if (this.0, this.1, u64::MAX - this.3) > (best.0, best.1, u64::MAX - best.3) {
-            *best = this;
+        let candidate = (*incarnation, rank(seen), seen, *silent_for);
+        let best = peers.entry(name).or_insert(candidate);
+        if (candidate.0, candidate.1, u64::MAX - candidate.3) > (best.0, best.1, u64::MAX - best.3) {
+            *best = candidate;
         }
     }
-    let left = |name: &String| {
+    let remaining = |name: &String| {
         let reported = |status: &VoterStatus| {
-            status.remaining_leases.iter().find(|(lease, _)| lease == name).map(|(_, left)| *left)
+            status.remaining_leases.iter().find(|(lease, _)| lease == name).map(|(_, nanos)| *nanos)
         };
         all.values()
             .flatten()
@@ -401,14 +401,14 @@
     let lease = |(name, lease): (&String, &Lease)| {
         json!({
             "name": name, "holder": lease.holder.as_ref().map(ProcessId::to_string), "token": lease.token,
-            "seconds": lease.duration as f64 / 1e9, "left_s": left(name) as f64 / 1e9, "taken_away": lease.revoked,
+            "seconds": lease.duration as f64 / 1e9, "left_s": remaining(name) as f64 / 1e9, "taken_away": lease.revoked,
         })
     };
     json!({
         "agreed": agreed, "founded": record.0.founded, "version": record.0.version, "bytes": record.0.encoded_size(),
         "seats": record.0.voters.iter().map(|member| &member.name).collect::<Vec<_>>(),
         "voters": voters.collect::<Vec<_>>(),
-        "proxies": present.iter().map(|(name, (incarnation, _, seen, silent_for))| {
+        "proxies": peers.iter().map(|(name, (incarnation, _, seen, silent_for))| {
             json!({"name": name, "incarnation": incarnation, "seen": format!("{seen:?}"), "heard_s": *silent_for as f64 / 1e9})
         }).collect::<Vec<_>>(),
         "leases": record.0.leases.iter().map(lease).collect::<Vec<_>>(),
@@ -435,17 +435,21 @@
         text(&status_json["version"]),
         text(&status_json["bytes"])
     );
-    for (what, keys) in [
+    for (section, keys) in [
         ("voters", &["name", "standing", "seated", "version", "trouble"][..]),
         ("leases", &["name", "holder", "token", "left_s", "taken_away"]),
         ("values", &["name", "version", "text"]),
         ("proxies", &["name", "incarnation", "seen", "heard_s"]),
     ] {
-        let rows = status_json[what].as_array().map_or(&[][..], Vec::as_slice);
+        let rows = status_json[section].as_array().map_or(&[][..], Vec::as_slice);
         if rows.is_empty() {
             continue;
         }
-        lines += &format!("{what}: {}\n", keys.join(", "));
+        lines += &format!(
+            "{section}: {}
+",
+            keys.join(", ")
+        );
         for row in rows {
             let cells: Vec<String> = keys.iter().map(|key| text(&row[*key])).collect();
             lines += &format!("  {}\n", cells.join("  "));
--- a/crates/proxy/src/fleet/command_link.rs
+++ b/crates/proxy/src/fleet/command_link.rs
@@ -23,8 +23,8 @@
     /// Connects to the process at `address` and exchanges hellos.
     pub async fn connect(fleet: &FleetConfig, address: SocketAddr) -> Result<CommandLink> {
         let id = ProcessId { name: "command".into(), incarnation: new_incarnation() };
-        let own = Hello::new(&fleet.name, &id, Role::Command, None);
-        let (link, hello) = Link::connect(address, &own).await?;
+        let own_hello = Hello::new(&fleet.name, &id, Role::Command, None);
+        let (link, hello) = Link::connect(address, &own_hello).await?;
         Ok(CommandLink { link, hello })
     }
 
--- a/crates/proxy/src/fleet/inbound.rs
+++ b/crates/proxy/src/fleet/inbound.rs
@@ -37,13 +37,13 @@
 
 /// Serves one connection, from the hello until the link ends.
 async fn serve(local: &LocalProcess, voter: &VoterHandle, stream: TcpStream) -> Result<()> {
-    let own = async || Hello::new(&local.config.name, &local.id, Role::Proxy, voter.disk_summary());
-    let (mut link, hello) = Link::accept(stream, own).await?;
+    let own_hello = async || Hello::new(&local.config.name, &local.id, Role::Proxy, voter.disk_summary());
+    let (mut link, hello) = Link::accept(stream, own_hello).await?;
     let peer = hello.id.clone();
     voter.try_send(VoterEvent::PeerHeard(hello.id, hello.role, hello.voter));
-    let ended = serve_frames(voter, &mut link, &peer, hello.role).await;
-    voter.try_send(VoterEvent::LinkLost(peer, ended.is_ok()));
-    ended
+    let result = serve_frames(voter, &mut link, &peer, hello.role).await;
+    voter.try_send(VoterEvent::LinkLost(peer, result.is_ok()));
+    result
 }
 
 /// Handles frames until the peer closes the link (`Ok`) or the link fails.
--- a/crates/proxy/src/fleet/voter_actor.rs
+++ b/crates/proxy/src/fleet/voter_actor.rs
@@ -66,7 +66,7 @@
     let mut reopen = interval(OPEN_RETRY_DELAY);
     reopen.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let wait = actor.effects.wake_at.map_or(OPEN_RETRY_DELAY, |at| actor.local.clock.until(at));
+        let wait = actor.effects.wake_at.map_or(OPEN_RETRY_DELAY, |time| actor.local.clock.until(time));
         tokio::select! {
             event = events.recv() => match event {
                 Some(event) => {
@@ -91,6 +91,7 @@
 }
 
 impl VoterActor {
+    /// The voter's settings.
     fn voter_config(&self) -> VoterConfig {
         let config = &self.local.config;
         VoterConfig {
@@ -139,8 +140,8 @@
     fn handle_event(&mut self, event: VoterEvent) {
         let now = self.local.clock.now();
         match event {
-            VoterEvent::Status(answer) => {
-                let _ = answer.send(self.status(now));
+            VoterEvent::Status(reply_sender) => {
+                let _ = reply_sender.send(self.status(now));
                 return;
             }
             VoterEvent::PeerHeard(ref peer, _, Some(ref disk)) => {
@@ -174,8 +175,8 @@
                     voter.hello_received(now, disk.store, disk.write_count, known_write_count, effects);
                 }
             }
-            VoterEvent::LinkLost(peer, in_order) => {
-                voter.presence.link_lost(&peer.name, peer.incarnation, in_order)
+            VoterEvent::LinkLost(peer, clean) => {
+                voter.presence.link_lost(&peer.name, peer.incarnation, clean)
             }
             VoterEvent::Message(to, from, message) if to == voter.durable_state().store => {
                 voter.message_received(now, from, message, effects)
@@ -196,6 +197,7 @@
         effects.deliver_to_self(now, voter);
     }
 
+    /// Runs the timers of the voter that are due.
     fn timer_fired(&mut self) {
         let now = self.local.clock.now();
         self.effects.wake_at = None;
@@ -216,7 +218,8 @@
             spawn_blocking(move || disk.write(&state)).await.context("writing the state").flatten()?;
         }
         let summary = disk_summary(voter.durable_state());
-        self.disk_sender.send_if_modified(|now| now.replace(summary.clone()).as_ref() != Some(&summary));
+        self.disk_sender
+            .send_if_modified(|current| current.replace(summary.clone()).as_ref() != Some(&summary));
         for (to, message) in self.effects.messages.drain(..) {
             if let Some(name) = self.voter_by_store.get(&to) {
                 self.links.send(name, Frame::VoterMessage(to, own_store, message));
@@ -295,11 +298,7 @@
         empty: state.is_empty(),
         write_count: state.write_count,
         founded: state.record.0.founded,
-        known_write_counts: state
-            .known_write_counts
-            .iter()
-            .map(|(store, written)| (*store, *written))
-            .collect(),
+        known_write_counts: state.known_write_counts.iter().map(|(store, count)| (*store, *count)).collect(),
     }
 }
 
@@ -310,8 +309,8 @@
     let state = match disk.read(fleet)? {
         DiskContents::Valid(state) => *state,
         DiskContents::Empty => DurableState::empty(fleet, random_id()),
-        DiskContents::Corrupt(why) => {
-            tracing::error!("fleet: the voter's file is unusable and was set aside: {why}");
+        DiskContents::Corrupt(reason) => {
+            tracing::error!("fleet: the voter's file is unusable and was set aside: {reason}");
             disk.set_aside()?;
             DurableState::empty(fleet, random_id())
         }
--- a/crates/proxy/src/fleet/voter_client.rs
+++ b/crates/proxy/src/fleet/voter_client.rs
@@ -48,12 +48,12 @@
     /// Submits an operation and returns the reply. Returns `Reply::Unknown` if no voter answered within
     /// `timeout`; the operation may have been applied nevertheless.
     pub async fn submit_operation(&self, operation: Operation, timeout: Duration) -> Reply {
-        let (reply_sender, answer) = oneshot::channel();
+        let (reply_sender, reply) = oneshot::channel();
         let submission = Submission { operation, deadline: Instant::now() + timeout, reply_sender };
         if self.submissions.send(submission).await.is_err() {
             return Reply::Unknown;
         }
-        answer.await.unwrap_or(Reply::Unknown)
+        reply.await.unwrap_or(Reply::Unknown)
     }
 
     /// Submits an operation of this kind under a new operation id; see `submit_operation`.
@@ -138,23 +138,27 @@
     /// Ends operations whose deadline has passed or whose submitter is gone, and resends those that are due.
     fn expire_and_retry(&mut self) {
         let now = Instant::now();
-        let finished = |pending: &Pending| {
+        let is_finished = |pending: &Pending| {
             pending.submission.deadline <= now || pending.submission.reply_sender.is_closed()
         };
-        let ended: Vec<OperationId> =
-            self.pending.iter().filter(|(_, pending)| finished(pending)).map(|(id, _)| id.clone()).collect();
-        for id in &ended {
+        let finished_ids: Vec<OperationId> = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| is_finished(pending))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in &finished_ids {
             let Some(pending) = self.pending.remove(id) else { continue };
             self.demote(pending.last_voter);
             let _ = pending.submission.reply_sender.send(Reply::Unknown);
         }
-        let due: Vec<OperationId> = self
+        let due_ids: Vec<OperationId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.retry_at <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        due.iter().for_each(|id| self.send_to_next_voter(id));
+        due_ids.iter().for_each(|id| self.send_to_next_voter(id));
     }
 
     /// Stops preferring a voter that did not answer. Otherwise, operations with a timeout of at most
--- a/crates/proxy/src/fleet/wire.rs
+++ b/crates/proxy/src/fleet/wire.rs
@@ -10,7 +10,7 @@
     StoreId, Token, VotingState,
 };
 use pumicebay_carrier::{Change, ChangeOutcome, ChildMessage, ParentMessage, Summary, Version};
-use pumicebay_replication::{Message as Replicated, Stamp, Status as ReplicationStatus};
+use pumicebay_replication::{Message as ReplicationMessage, Stamp, Status as ReplicationStatus};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -120,7 +120,8 @@
     pub answered: bool,
 }
 
-/// A frame. Postcard encodes a variant by its position, so new variants are added at the end.
+/// A frame. Postcard encodes a variant by its position, so new variants are added at the end. `rename` keeps
+/// the earlier name of a variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// Shows that the peer is alive; from a voter, with the current state of its disk.
@@ -165,7 +166,7 @@
     CarrierStatus(Box<CarrierStatus>),
     // Since version 3:
     /// A message between two replicas.
-    Replication(Box<Replicated>),
+    Replication(Box<ReplicationMessage>),
     /// A maintenance order from an operator's command.
     MaintenanceOrder(Box<MaintenanceOrder>),
     /// The answer to `MaintenanceOrder`.
@@ -249,7 +250,7 @@
         let (own_founding, other_founding) = (founded(self), founded(other));
         ensure!(
             own_founding == other_founding || own_founding == 0 || other_founding == 0,
-            "belongs to a fleet founded at {other_founding}, expected {own_founding}: its folder is from another or earlier fleet"
+            "belongs to a fleet founded at {other_founding}, expected {own_founding}: another or an old folder"
         );
         Ok(())
     }
@@ -274,6 +275,7 @@
     version: u16,
 }
 
+/// Splits a connection into length-delimited frames.
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
@@ -299,7 +301,7 @@
                     hello.check_compatible(&other).with_context(|| format!("peer {}", other.id))?;
                     Ok(other)
                 }
-                Welcome::Refused(why) => bail!("refused: {why}"),
+                Welcome::Refused(reason) => bail!("refused: {reason}"),
             }
         };
         let other = timeout(HELLO_TIMEOUT, handshake).await.context("exchanging hellos timed out")??;
@@ -307,17 +309,17 @@
     }
 
     /// Waits for the other end's hello and answers it with the own hello, or with the reason for a refusal.
-    pub async fn accept(stream: TcpStream, own: impl AsyncFnOnce() -> Hello) -> Result<(Link, Hello)> {
+    pub async fn accept(stream: TcpStream, own_hello: impl AsyncFnOnce() -> Hello) -> Result<(Link, Hello)> {
         stream.set_nodelay(true)?;
         let mut framed = framed(stream);
         let handshake = async {
             let first = framed.next().await.context("connection closed before a hello")??;
             let other = postcard::take_from_bytes::<Hello>(&first).context("invalid hello")?.0;
-            let hello = own().await;
+            let hello = own_hello().await;
             let refused = hello.check_compatible(&other).with_context(|| format!("peer {}", other.id));
             let welcome = match &refused {
                 Ok(()) => Welcome::Hello(hello),
-                Err(why) => Welcome::Refused(format!("{why:#}")),
+                Err(error) => Welcome::Refused(format!("{error:#}")),
             };
             framed.send(Bytes::from(postcard::to_stdvec(&welcome)?)).await?;
             refused.map(|()| other)
@@ -326,6 +328,7 @@
         Ok((Link::established(framed, &other), other))
     }
 
+    /// A link over a connection on which hellos were exchanged.
     fn established(framed: Framed<TcpStream, LengthDelimitedCodec>, other: &Hello) -> Link {
         let now = Instant::now();
         Link { framed, last_received: now, last_sent: now, version: NEWEST_VERSION.min(other.newest) }
@@ -340,7 +343,7 @@
     pub fn ensure_version(&self, version: u16) -> Result<()> {
         ensure!(
             self.version() >= version,
-            "supports protocol versions up to {}, needs {version}",
+            "the peer supports protocol versions up to {}, {version} is needed",
             self.version()
         );
         Ok(())
