--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -375,14 +375,14 @@
 fn scale(call: &Call) -> Result<ExitCode> {
     let (first, count) = (call.seed.unwrap_or(1), call.seeds.unwrap_or(1));
     ensure!(count > 0, "--seeds: expected 1 or more");
-    let wants = scale::Wants {
+    let wants = scale::Options {
         real: call.real()?,
-        set: &call.set,
+        overrides: &call.set,
         json: call.json.as_deref(),
         report: call.report.as_deref(),
     };
     let seeds = first..=first.saturating_add(count - 1);
     let path = call.path.as_deref().context("no plan; see scenarios/scale")?;
-    let well = scale::command(path, seeds, &wants, &say)?;
+    let well = scale::run(path, seeds, &wants, &say)?;
     Ok(if well { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -27,61 +27,61 @@
 use anyhow::{Context, Result};
 use plan::Plan;
 use rayon::prelude::*;
-use report::{Cost, Found};
+use report::{Report, RunCost};
 use std::path::Path;
 
 /// What a call wants beside its plan and seeds.
-pub struct Wants<'a> {
+pub struct Options<'a> {
     pub real: bool,
     /// Keys of the plan set to other values.
-    pub set: &'a [(String, String)],
+    pub overrides: &'a [(String, String)],
     pub json: Option<&'a Path>,
     pub report: Option<&'a Path>,
 }
 
 /// Plays a plan under these seeds; whether nothing went wrong.
-pub fn command(
+pub fn run(
     path: &Path,
     seeds: std::ops::RangeInclusive<u64>,
-    wants: &Wants,
-    say: &dyn Fn(&str),
+    options: &Options,
+    print: &dyn Fn(&str),
 ) -> Result<bool> {
-    let plan = Plan::read_with(path, wants.set)?;
-    if wants.real {
+    let plan = Plan::read_with(path, options.overrides)?;
+    if options.real {
         let program = std::env::current_exe().context("this program's own path")?;
-        let (mut played, mut well) = (Vec::new(), true);
-        say(real::head());
+        let (mut results, mut ok) = (Vec::new(), true);
+        print(real::table_header());
         for seed in seeds {
-            let outcome = real::play(&plan, seed, &program)?;
-            say(&outcome.summary());
-            well &= outcome.wrong.is_empty();
-            played.push(outcome);
+            let outcome = real::run(&plan, seed, &program)?;
+            print(&outcome.summary());
+            ok &= outcome.violations.is_empty();
+            results.push(outcome);
         }
-        if let Some(file) = wants.json {
-            write(file, &(serde_json::to_string_pretty(&played)? + "\n"))?;
+        if let Some(file) = options.json {
+            write(file, &(serde_json::to_string_pretty(&results)? + "\n"))?;
         }
-        return Ok(well);
+        return Ok(ok);
     }
     if !plan.carrier {
-        let played: Vec<_> = seeds.into_par_iter().map(|seed| voters::play(&plan, seed)).collect();
-        played.iter().for_each(|found| say(&found.summary()));
-        if let Some(file) = wants.json {
-            write(file, &(serde_json::to_string_pretty(&played)? + "\n"))?;
+        let results: Vec<_> = seeds.into_par_iter().map(|seed| voters::run(&plan, seed)).collect();
+        results.iter().for_each(|report| print(&report.summary()));
+        if let Some(file) = options.json {
+            write(file, &(serde_json::to_string_pretty(&results)? + "\n"))?;
         }
         return Ok(true);
     }
-    let played: Vec<(Found, Cost)> = seeds.into_par_iter().map(|seed| virt::play(&plan, seed)).collect();
-    for (found, cost) in &played {
-        say(&found.summary());
-        say(&cost.summary());
+    let results: Vec<(Report, RunCost)> = seeds.into_par_iter().map(|seed| virt::run(&plan, seed)).collect();
+    for (report, cost) in &results {
+        print(&report.summary());
+        print(&cost.summary());
     }
-    if let Some(file) = wants.json {
-        write(file, &(serde_json::to_string_pretty(&played)? + "\n"))?;
+    if let Some(file) = options.json {
+        write(file, &(serde_json::to_string_pretty(&results)? + "\n"))?;
     }
-    if let Some(file) = wants.report {
-        write(file, &report::page(&plan, &played))?;
+    if let Some(file) = options.report {
+        write(file, &report::html_page(&plan, &results))?;
     }
-    Ok(played.iter().all(|(found, _)| found.wrong.all() == 0))
+    Ok(results.iter().all(|(report, _)| report.violations.total() == 0))
 }
 
 fn write(path: &Path, text: &str) -> Result<()> {
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 
 /// The most that a plan may ask for: above it a play would not end in a sitting.
-const MOST: usize = 100_000;
+const MAX_PROXIES: usize = 100_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// The process `who` dies, and is back after `seconds`, with the disk that `disk` says.
     Dies,
     /// Half of the proxies of `site` restart at once.
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Disk {
+pub enum DiskState {
     #[default]
     Kept,
     Empty,
@@ -43,14 +43,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// In seconds from the start, and how long it lasts.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub start_seconds: f64,
     #[serde(default = "two")]
     pub seconds: f64,
     /// `proxy-N`, `relay-N`, `control-N`, or `root`: whoever publishes then.
     #[serde(default)]
-    pub who: Option<String>,
+    #[serde(rename = "who")]
+    pub target: Option<String>,
     #[serde(default)]
     pub site: Option<usize>,
     #[serde(default)]
@@ -60,13 +62,15 @@
     #[serde(default)]
     pub count: Option<usize>,
     #[serde(default)]
-    pub disk: Disk,
+    pub disk: DiskState,
     /// It dies as it sends the next part of a difference, not before.
     #[serde(default)]
-    pub amid: bool,
+    #[serde(rename = "amid")]
+    pub during_delta: bool,
     /// The machine is gone, so that nobody is told: others learn it by silence.
     #[serde(default)]
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub without_reset: bool,
 }
 
 fn two() -> f64 {
@@ -76,7 +80,7 @@
 /// So many of a hundred changes are of this size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Size {
+pub struct ChangeSize {
     pub bytes: usize,
     pub share: f64,
 }
@@ -86,7 +90,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Resources {
     pub fleet: usize,
-    pub each: usize,
+    #[serde(rename = "each")]
+    pub per_location: usize,
     pub proxies: f64,
 }
 
@@ -107,7 +112,8 @@
 pub struct Delays {
     pub site: f64,
     pub region: f64,
-    pub between: f64,
+    #[serde(rename = "between")]
+    pub inter_region: f64,
     /// Between voters: they are put near each other, as a round of theirs lasts 250 ms at most.
     pub voters: f64,
 }
@@ -116,13 +122,15 @@
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     #[serde(default)]
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     pub proxies: usize,
     pub sites: usize,
     pub zones: usize,
     pub regions: usize,
     /// Control machines, and voters, which are processes of their own here.
-    pub control: usize,
+    #[serde(rename = "control")]
+    pub control_machines: usize,
     #[serde(default = "five")]
     pub voters: usize,
     pub changes_per_second: f64,
@@ -139,7 +147,7 @@
     #[serde(default = "resources")]
     pub resources: Resources,
     #[serde(default = "sizes")]
-    pub change_bytes: Vec<Size>,
+    pub change_bytes: Vec<ChangeSize>,
     #[serde(default = "scopes")]
     pub scopes: Scopes,
     /// Of each proxy.
@@ -163,13 +171,15 @@
     #[serde(default = "apply")]
     pub apply_ms: f64,
     #[serde(default = "children")]
-    pub children: usize,
+    #[serde(rename = "children")]
+    pub max_children: usize,
     #[serde(default = "budget")]
     pub child_bytes_per_second: u64,
     #[serde(default = "part")]
     pub part_bytes: usize,
     #[serde(default = "named")]
-    pub named: usize,
+    #[serde(rename = "named")]
+    pub max_exceptions: usize,
     /// Without it proxies ask the voters, every so many seconds.
     #[serde(default = "yes")]
     pub carrier: bool,
@@ -186,10 +196,10 @@
     15.0
 }
 fn resources() -> Resources {
-    Resources { fleet: 24, each: 1, proxies: 0.01 }
+    Resources { fleet: 24, per_location: 1, proxies: 0.01 }
 }
-fn sizes() -> Vec<Size> {
-    let size = |bytes, share| Size { bytes, share };
+fn sizes() -> Vec<ChangeSize> {
+    let size = |bytes, share| ChangeSize { bytes, share };
     vec![size(200, 0.7), size(600, 0.25), size(3000, 0.05)]
 }
 fn scopes() -> Scopes {
@@ -199,7 +209,7 @@
     10_000
 }
 fn delays() -> Delays {
-    Delays { site: 0.2, region: 2.0, between: 60.0, voters: 8.0 }
+    Delays { site: 0.2, region: 2.0, inter_region: 60.0, voters: 8.0 }
 }
 fn lease() -> f64 {
     3.0
@@ -249,17 +259,17 @@
     pub fn parse(text: &str) -> Result<Plan> {
         let plan: Plan = toml::from_str(text)?;
         let counts = [
-            ("proxies", plan.proxies, 1, MOST),
+            ("proxies", plan.proxies, 1, MAX_PROXIES),
             ("sites", plan.sites, 1, plan.proxies),
             ("zones", plan.zones, 1, plan.sites),
             ("regions", plan.regions, 1, plan.zones),
-            ("control", plan.control, 1, 64),
+            ("control", plan.control_machines, 1, 64),
             ("relays_per_site", plan.relays_per_site, 0, plan.proxies / plan.sites),
             ("resources.fleet", plan.resources.fleet, 1, 1000),
-            ("resources.each", plan.resources.each, 0, 10),
-            ("children", plan.children, 1, MOST),
+            ("resources.each", plan.resources.per_location, 0, 10),
+            ("children", plan.max_children, 1, MAX_PROXIES),
             ("part_bytes", plan.part_bytes, 64, 65_536),
-            ("named", plan.named, 0, 4096),
+            ("named", plan.max_exceptions, 0, 4096),
         ];
         for (key, found, least, most) in counts {
             ensure!((least..=most).contains(&found), "{key}: expected {least} to {most}, found {found}");
@@ -267,7 +277,7 @@
         ensure!(matches!(plan.voters, 3 | 5), "voters: expected three or five, found {}", plan.voters);
         let budget = plan.child_bytes_per_second;
         ensure!(budget >= 64, "child_bytes_per_second: expected 64 or more, found {budget}");
-        let Delays { site, region, between, voters } = plan.delays_ms;
+        let Delays { site, region, inter_region, voters } = plan.delays_ms;
         let numbers = [
             ("changes_per_second", plan.changes_per_second, 0.0, 1000.0),
             ("purges_per_second", plan.purges_per_second, 0.0, 1e6),
@@ -282,7 +292,7 @@
             ("poll_seconds", plan.poll_seconds, 0.1, 3600.0),
             ("delays_ms.site", site, 0.0, 1000.0),
             ("delays_ms.region", region, 0.0, 1000.0),
-            ("delays_ms.between", between, 0.0, 1000.0),
+            ("delays_ms.between", inter_region, 0.0, 1000.0),
             ("delays_ms.voters", voters, 0.0, 1000.0),
             ("clocks_ppm", plan.clocks_ppm as f64, 0.0, plan.drift_ppm as f64),
             ("drift_ppm", plan.drift_ppm as f64, 0.0, 500_000.0),
@@ -290,22 +300,22 @@
         for (key, found, least, most) in numbers {
             ensure!((least..=most).contains(&found), "{key}: expected {least} to {most}, found {found}");
         }
-        for (at, size) in plan.change_bytes.iter().enumerate() {
+        for (index, size) in plan.change_bytes.iter().enumerate() {
             let fits = (16..=32_768).contains(&size.bytes);
-            ensure!(fits, "change_bytes.{at}.bytes: expected 16 to 32768, found {}", size.bytes);
+            ensure!(fits, "change_bytes.{index}.bytes: expected 16 to 32768, found {}", size.bytes);
         }
         let shares: Vec<f64> = plan.change_bytes.iter().map(|size| size.share).collect();
-        shared("change_bytes", &shares)?;
-        shared("scopes", &plan.scopes.shares())?;
-        for (at, fault) in plan.faults.iter().enumerate() {
-            plan.fits(fault).with_context(|| format!("fault {at}"))?;
+        check_shares("change_bytes", &shares)?;
+        check_shares("scopes", &plan.scopes.shares())?;
+        for (index, fault) in plan.faults.iter().enumerate() {
+            plan.check_fault(fault).with_context(|| format!("fault {index}"))?;
         }
         Ok(plan)
     }
 
-    fn fits(&self, fault: &Fault) -> Result<()> {
-        let end = fault.at + fault.seconds;
-        ensure!(fault.at >= 0.0 && fault.seconds >= 0.0, "at, seconds: expected zero or more");
+    fn check_fault(&self, fault: &Fault) -> Result<()> {
+        let end = fault.start_seconds + fault.seconds;
+        ensure!(fault.start_seconds >= 0.0 && fault.seconds >= 0.0, "at, seconds: expected zero or more");
         ensure!(end <= self.seconds, "seconds: ends at {end}, after the play");
         let number = |key: &str, given: Option<usize>, most: usize| {
             let found = given.with_context(|| format!("{key}: missing"))?;
@@ -313,19 +323,21 @@
             Ok(())
         };
         match fault.kind {
-            Kind::HalfSite => number("site", fault.site, self.sites),
-            Kind::ZoneReconnects => number("zone", fault.zone, self.zones),
-            Kind::RegionCut => number("region", fault.region, self.regions),
-            Kind::Burst => number("count", fault.count, 10_001),
-            Kind::ControlGone => Ok(()),
-            Kind::Dies | Kind::SlowChild | Kind::Stall | Kind::Refused => {
-                let who = fault.who.as_deref().context("who: missing")?;
+            FaultKind::HalfSite => number("site", fault.site, self.sites),
+            FaultKind::ZoneReconnects => number("zone", fault.zone, self.zones),
+            FaultKind::RegionCut => number("region", fault.region, self.regions),
+            FaultKind::Burst => number("count", fault.count, 10_001),
+            FaultKind::ControlGone => Ok(()),
+            FaultKind::Dies | FaultKind::SlowChild | FaultKind::Stall | FaultKind::Refused => {
+                let who = fault.target.as_deref().context("who: missing")?;
                 let (kind, number) = who.rsplit_once('-').unwrap_or((who, ""));
                 let number = number.parse::<usize>().ok();
                 let relays = self.relays_per_site * self.sites;
                 let fits = match (kind, number) {
-                    ("root", None) => fault.kind != Kind::Refused && fault.kind != Kind::SlowChild,
-                    ("control", Some(number)) => number < self.control && fault.kind != Kind::Refused,
+                    ("root", None) => fault.kind != FaultKind::Refused && fault.kind != FaultKind::SlowChild,
+                    ("control", Some(number)) => {
+                        number < self.control_machines && fault.kind != FaultKind::Refused
+                    }
                     ("proxy", Some(number)) => number < self.proxies,
                     ("relay", Some(number)) => number < relays,
                     _ => bail!("who: expected proxy-N, relay-N, control-N or root, found {who:?}"),
@@ -338,7 +350,7 @@
 }
 
 /// Shares that add up to one.
-fn shared(key: &str, shares: &[f64]) -> Result<()> {
+fn check_shares(key: &str, shares: &[f64]) -> Result<()> {
     let sum: f64 = shares.iter().sum();
     ensure!(shares.iter().all(|share| *share >= 0.0), "{key}: expected no share below zero");
     ensure!((sum - 1.0).abs() < 1e-6, "{key}: expected shares that add up to 1, found {sum}");
@@ -352,18 +364,18 @@
 }
 
 impl Fault {
-    pub fn words(&self) -> String {
-        let mut words = format!("{:.1} s {:?}", self.at, self.kind);
-        if let Some(who) = &self.who {
-            words += &format!(" {who}");
+    pub fn describe(&self) -> String {
+        let mut text = format!("{:.1} s {:?}", self.start_seconds, self.kind);
+        if let Some(who) = &self.target {
+            text += &format!(" {who}");
         }
         for (name, value) in
             [("site", self.site), ("zone", self.zone), ("region", self.region), ("count", self.count)]
         {
             if let Some(value) = value {
-                words += &format!(" {name} {value}");
+                text += &format!(" {name} {value}");
             }
         }
-        words + &format!(" for {:.1} s", self.seconds)
+        text + &format!(" for {:.1} s", self.seconds)
     }
 }
--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -2,276 +2,302 @@
 
 use super::super::fleet::{self, Role};
 use super::super::truth::Applied;
-use super::hosts::{Act, Acts};
-use super::{Event, LEAST, LOOK, LinkId, SAMPLED, World, size};
+use super::hosts::{NodeEffect, NodeEffects};
+use super::{
+    CATCH_UP_CHECK_INTERVAL, Event, LinkId, MIN_WAKE_GAP, Simulation, TIMING_SAMPLE_INTERVAL, frame_bytes,
+};
 use pumicebay_carrier::{ChildId, Nanos, ParentMessage, Resource, TreeNode, Version};
 use rand::RngExt;
 use std::cmp::Reverse;
 use std::time::Instant;
 
-impl World<'_> {
-    pub(super) fn at(&mut self, at: Nanos, event: Event) {
-        self.last += 1;
-        let slot = match self.free.pop() {
+impl Simulation<'_> {
+    pub(super) fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_sequence += 1;
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
-                self.slots[slot as usize] = event;
+                self.event_slots[slot as usize] = event;
                 slot
             }
             None => {
-                self.slots.push(event);
-                (self.slots.len() - 1) as u32
+                self.event_slots.push(event);
+                (self.event_slots.len() - 1) as u32
             }
         };
-        self.heap.push(Reverse((at, self.last, slot)));
+        self.queue.push(Reverse((at, self.last_sequence, slot)));
     }
 
     /// Whose turn an event is, where that process may be stopped.
-    pub(super) fn whose(&self, event: &Event) -> Option<usize> {
+    pub(super) fn target_process(&self, event: &Event) -> Option<usize> {
         let link = |link: &LinkId| &self.links[*link as usize];
         match event {
-            Event::Wake(who) | Event::InForce(who, ..) | Event::Kept(who, ..) => Some(*who),
-            Event::Called(id) | Event::Gone(id, false) | Event::Up(id, _) | Event::Silent(id, false) => {
-                Some(link(id).parent)
+            Event::Wake(process) | Event::ApplyDone(process, ..) | Event::PersistDone(process, ..) => {
+                Some(*process)
             }
-            Event::Connected(id) | Event::Gone(id, true) | Event::Down(id, _) | Event::Silent(id, true) => {
-                Some(link(id).child)
-            }
-            Event::Asker(at) | Event::Publisher(at) | Event::Again(at, ..) => Some(*at),
-            Event::Answer(answer) => self.by_name.get(&answer.id.process.name).copied(),
+            Event::DialArrived(id)
+            | Event::LinkClosed(id, false)
+            | Event::ToParent(id, _)
+            | Event::LinkSilent(id, false) => Some(link(id).parent),
+            Event::Connected(id)
+            | Event::LinkClosed(id, true)
+            | Event::ToChild(id, _)
+            | Event::LinkSilent(id, true) => Some(link(id).child),
+            Event::LeaseTimer(at) | Event::PublisherTimer(at) | Event::SendOperation(at, ..) => Some(*at),
+            Event::VoterAnswer(answer) => self.index_by_name.get(&answer.id.process.name).copied(),
             _ => None,
         }
     }
 
-    pub(super) fn happens(&mut self, event: Event) {
-        if let Some(who) = self.whose(&event)
-            && self.procs[who].stalled
+    pub(super) fn handle(&mut self, event: Event) {
+        if let Some(process) = self.target_process(&event)
+            && self.processes[process].stalled
         {
-            return self.procs[who].backlog.push_back(event);
+            return self.processes[process].backlog.push_back(event);
         }
         match event {
             Event::None => {}
-            Event::Wake(who) => self.woke(who),
-            Event::Called(id) => self.called(id),
+            Event::Wake(process) => self.wake(process),
+            Event::DialArrived(id) => self.dial_arrived(id),
             Event::Connected(id) => self.connected(id),
-            Event::Gone(id, child) => self.gone(id, child),
-            Event::Silent(id, child) => {
-                if self.silenced(id) {
+            Event::LinkClosed(id, child) => self.close_arrived(id, child),
+            Event::LinkSilent(id, child) => {
+                if self.is_silent(id) {
                     self.close(id, child);
-                    self.gone_at(id, child);
+                    self.notify_closed(id, child);
                 }
             }
-            Event::Up(id, message) => {
+            Event::ToParent(id, message) => {
                 let (parent, open) = (self.links[id as usize].parent, self.links[id as usize].parent_open);
                 if open {
-                    self.received(parent, size(&message));
-                    self.node(parent, |node, now, host| {
+                    self.record_received(parent, frame_bytes(&message));
+                    self.with_node(parent, |node, now, host| {
                         node.child_message(now, ChildId::from(id), message, host)
                     });
-                    self.confirm(parent);
+                    self.report_majority(parent);
                 }
             }
-            Event::Down(id, message) => {
+            Event::ToChild(id, message) => {
                 let (child, open) = (self.links[id as usize].child, self.links[id as usize].child_open);
                 if open {
-                    self.received(child, size(&message));
-                    self.node(child, |node, now, host| node.parent_message(now, message, host));
+                    self.record_received(child, frame_bytes(&message));
+                    self.with_node(child, |node, now, host| node.parent_message(now, message, host));
                 }
             }
-            Event::InForce(who, life, version, applied, refused) => {
-                if self.procs[who].life == life && self.procs[who].node.is_some() {
-                    self.truth.in_force(self.now, who, applied);
-                    self.node(who, |node, now, host| node.applied(now, version, refused, host));
+            Event::ApplyDone(process, incarnation, version, applied, refused) => {
+                if self.processes[process].incarnation == incarnation
+                    && self.processes[process].node.is_some()
+                {
+                    self.checker.applied(self.now, process, applied);
+                    self.with_node(process, |node, now, host| node.applied(now, version, refused, host));
                 }
             }
-            Event::Kept(who, life, kept) => {
-                if self.procs[who].life == life && self.procs[who].node.is_some() {
-                    let version = kept.version;
-                    if self.procs[who].keeps {
-                        self.procs[who].disk = Some(kept);
+            Event::PersistDone(process, incarnation, snapshot) => {
+                if self.processes[process].incarnation == incarnation
+                    && self.processes[process].node.is_some()
+                {
+                    let version = snapshot.version;
+                    if self.processes[process].disk_is_read {
+                        self.processes[process].disk = Some(snapshot);
                     }
-                    self.node(who, |node, now, host| node.persisted(now, version, host));
-                    self.confirm(who);
+                    self.with_node(process, |node, now, host| node.persisted(now, version, host));
+                    self.report_majority(process);
                 }
             }
-            Event::Vote(to, from, message) => {
+            Event::VoterMessage(to, from, message) => {
                 let at = to as usize - 1;
-                self.voter_received(at, size(&message));
-                self.voter(at, |voter, now, acts| voter.message_received(now, from, message, acts));
+                self.record_voter_received(at, frame_bytes(&message));
+                self.with_voter(at, |voter, now, effects| {
+                    voter.message_received(now, from, message, effects)
+                });
+            }
+            Event::VoterOperation(at, operation) => {
+                self.record_voter_received(at, frame_bytes(&operation));
+                self.with_voter(at, |voter, now, effects| voter.submit(now, operation, effects));
             }
-            Event::Ask(at, ask) => {
-                self.voter_received(at, size(&ask));
-                self.voter(at, |voter, now, acts| voter.submit(now, ask, acts));
+            Event::VoterTimer(at) => {
+                self.with_voter(at, |voter, now, effects| voter.timer_fired(now, effects))
             }
-            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.timer_fired(now, acts)),
-            Event::Answer(answer) => self.answered(answer),
-            Event::Asker(at) => self.asker(at),
-            Event::Publisher(at) => {
-                if self.controls[at].publisher_wake == self.now {
-                    self.controls[at].publisher_wake = Nanos::MAX;
-                    self.publisher(at, |publisher, now, host| publisher.tick(now, host));
+            Event::VoterAnswer(answer) => self.answer_received(answer),
+            Event::LeaseTimer(at) => self.run_lease_client(at),
+            Event::PublisherTimer(at) => {
+                if self.control_machines[at].publisher_wake_at == self.now {
+                    self.control_machines[at].publisher_wake_at = Nanos::MAX;
+                    self.with_publisher(at, |publisher, now, host| publisher.tick(now, host));
                 }
             }
-            Event::Again(at, life, number, to) => {
-                if self.procs[at].life == life {
-                    self.again(at, number, to);
+            Event::SendOperation(at, incarnation, number, to) => {
+                if self.processes[at].incarnation == incarnation {
+                    self.send_operation(at, number, to);
                 }
             }
-            Event::Begins(number) => self.fault_begins(number),
-            Event::Ends(number) => self.fault_ends(number),
-            Event::Dies(who, silent) => self.dies(who, silent),
-            Event::Starts(who, disk) => self.starts(who, disk),
-            Event::Resets(who) => self.resets(who),
-            Event::Offer(number) => self.offer(number),
-            Event::Poll => self.poll(),
-            Event::Look => {
-                let sites = &self.sites;
-                self.truth.look(self.now, &|who, scope| fleet::concerns(&sites[who], scope));
-                self.at(self.now + LOOK, Event::Look);
+            Event::FaultStart(number) => self.start_fault(number),
+            Event::FaultEnd(number) => self.end_fault(number),
+            Event::Kill(process, silent) => self.kill(process, silent),
+            Event::Start(process, disk) => self.start(process, disk),
+            Event::ResetLink(process) => self.reset_parent_link(process),
+            Event::Propose(number) => self.propose(number),
+            Event::CheckSummary => self.check_summary(),
+            Event::CheckCatchUp => {
+                let placements = &self.placements;
+                self.checker
+                    .check_catch_up(self.now, &|process, scope| fleet::in_scope(&placements[process], scope));
+                self.schedule(self.now + CATCH_UP_CHECK_INTERVAL, Event::CheckCatchUp);
             }
-            Event::Measure => {
+            Event::StartMeasurement => {
                 let now = self.now;
-                self.procs.iter_mut().for_each(|one| one.meter.begin(now));
-                self.voter_meters.iter_mut().for_each(|meter| meter.begin(now));
-                self.spent.clear();
-                self.measured_calls.clear();
-                self.truth.caught_up.clear();
-                self.orphans.clear();
-                self.calls_made = 0;
+                self.processes.iter_mut().for_each(|one| one.meter.reset(now));
+                self.voter_meters.iter_mut().for_each(|meter| meter.reset(now));
+                self.sampled_cpu.clear();
+                self.decision_counts.clear();
+                self.checker.caught_up.clear();
+                self.reparent_seconds.clear();
+                self.parent_dials = 0;
                 self.herd.clear();
-                for who in 0..self.procs.len() {
-                    self.procs[who].old = self.procs[who].disk.clone();
+                for process in 0..self.processes.len() {
+                    self.processes[process].initial_disk = self.processes[process].disk.clone();
                 }
             }
         }
     }
 
-    pub(super) fn woke(&mut self, who: usize) {
-        let one = &mut self.procs[who];
-        if one.wake != self.now {
+    pub(super) fn wake(&mut self, process: usize) {
+        let one = &mut self.processes[process];
+        if one.wake_at != self.now {
             return;
         }
-        one.wake = Nanos::MAX;
+        one.wake_at = Nanos::MAX;
         let Some(node) = &one.node else { return };
-        if node.due() <= one.clock.local(self.now) {
-            one.ticked = self.now;
-            self.node(who, |node, now, host| node.tick(now, host));
+        if node.due() <= one.clock.local_time(self.now) {
+            one.ticked_at = self.now;
+            self.with_node(process, |node, now, host| node.tick(now, host));
         } else {
-            self.schedule(who);
+            self.schedule_wake(process);
         }
     }
 
-    pub(in crate::scale) fn role(&self, who: usize) -> &'static str {
-        match self.sites[who].role {
+    pub(in crate::scale) fn role(&self, process: usize) -> &'static str {
+        match self.placements[process].role {
             Role::Proxy => "proxy",
             Role::Relay => "relay",
-            Role::Control if self.controls[who].publisher.is_some() => "publisher",
+            Role::Control if self.control_machines[process].publisher.is_some() => "publisher",
             Role::Control => "control",
         }
     }
 
     /// Something happens to a process's node; what it asks for is carried out.
-    pub(super) fn node(&mut self, who: usize, what: impl FnOnce(&mut TreeNode, Nanos, &mut Acts)) {
-        self.calls += 1;
-        let timed = self.calls.is_multiple_of(SAMPLED) && self.now >= self.begin;
-        let one = &mut self.procs[who];
-        let now = one.clock.local(self.now);
+    pub(super) fn with_node(
+        &mut self,
+        process: usize,
+        call: impl FnOnce(&mut TreeNode, Nanos, &mut NodeEffects),
+    ) {
+        self.decision_calls += 1;
+        let timed =
+            self.decision_calls.is_multiple_of(TIMING_SAMPLE_INTERVAL) && self.now >= self.measure_start;
+        let one = &mut self.processes[process];
+        let now = one.clock.local_time(self.now);
         let Some(node) = &mut one.node else { return };
-        let mut host = Acts { acts: Vec::new(), random: &mut self.random, keeps: one.keeps };
+        let mut host =
+            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: one.disk_is_read };
         let started = timed.then(Instant::now);
-        what(node, now, &mut host);
+        call(node, now, &mut host);
         let took = started.map(|started| started.elapsed());
-        let acts = host.acts;
+        let effects = host.effects;
         let holds = node.version();
-        if holds < one.holds {
-            self.truth.wrong.went_back += 1;
-            let words = format!("{} holds {holds} after {}", self.sites[who].name, one.holds);
-            self.truth.wrong.note(words);
+        if holds < one.held_version {
+            self.checker.violations.regressions += 1;
+            let words = format!("{} holds {holds} after {}", self.placements[process].name, one.held_version);
+            self.checker.violations.note(words);
         }
-        one.holds = holds;
-        let role = self.role(who);
-        *self.measured_calls.entry(role).or_default() += 1;
+        one.held_version = holds;
+        let role = self.role(process);
+        *self.decision_counts.entry(role).or_default() += 1;
         if let Some(took) = took {
-            let (spent, count) = self.spent.entry(role).or_default();
-            (*spent, *count) = (*spent + took, *count + 1);
+            let (sampled_cpu, count) = self.sampled_cpu.entry(role).or_default();
+            (*sampled_cpu, *count) = (*sampled_cpu + took, *count + 1);
         }
-        for act in acts {
-            self.act(who, act);
+        for effect in effects {
+            self.perform(process, effect);
         }
-        self.schedule(who);
+        self.schedule_wake(process);
     }
 
-    pub(super) fn schedule(&mut self, who: usize) {
-        let one = &mut self.procs[who];
+    pub(super) fn schedule_wake(&mut self, process: usize) {
+        let one = &mut self.processes[process];
         let Some(node) = &one.node else { return };
         let due = node.due();
         if due == Nanos::MAX {
             return;
         }
-        let due = one.clock.truth(due).max(self.now + 1).max(one.ticked + LEAST);
-        if due < one.wake {
-            one.wake = due;
-            self.at(due, Event::Wake(who));
+        let due = one.clock.global_time(due).max(self.now + 1).max(one.ticked_at + MIN_WAKE_GAP);
+        if due < one.wake_at {
+            one.wake_at = due;
+            self.schedule(due, Event::Wake(process));
         }
     }
 
-    pub(super) fn act(&mut self, who: usize, act: Act) {
-        if self.procs[who].node.is_none() {
+    pub(super) fn perform(&mut self, process: usize, effect: NodeEffect) {
+        if self.processes[process].node.is_none() {
             return;
         }
-        match act {
-            Act::Dial(parent) => self.dial(who, &parent),
-            Act::HangUp => {
-                if let Some(id) = self.procs[who].up.take() {
+        match effect {
+            NodeEffect::ConnectParent(parent) => self.connect_parent(process, &parent),
+            NodeEffect::DisconnectParent => {
+                if let Some(id) = self.processes[process].parent_link.take() {
                     self.close(id, true);
                 }
             }
-            Act::Drop(child) => self.close(child as LinkId, false),
-            Act::Up(message) => {
-                if let Some(id) = self.procs[who].up {
-                    self.send(id, true, size(&message), Event::Up(id, message));
+            NodeEffect::DisconnectChild(child) => self.close(child as LinkId, false),
+            NodeEffect::SendToParent(message) => {
+                if let Some(id) = self.processes[process].parent_link {
+                    self.send(id, true, frame_bytes(&message), Event::ToParent(id, message));
                 }
             }
-            Act::Down(child, message) => {
+            NodeEffect::SendToChild(child, message) => {
                 let id = child as LinkId;
-                let amid = self.procs[who].dies_amid && matches!(message, ParentMessage::Delta { .. });
-                self.send(id, false, size(&message), Event::Down(id, message));
+                let amid = self.processes[process].dies_during_delta
+                    && matches!(message, ParentMessage::Delta { .. });
+                self.send(id, false, frame_bytes(&message), Event::ToChild(id, message));
                 if amid {
-                    self.procs[who].dies_amid = false;
-                    self.dies(who, false);
+                    self.processes[process].dies_during_delta = false;
+                    self.kill(process, false);
                 }
             }
-            Act::Force(version, resources) => self.put_in_force(who, version, resources),
-            Act::Keep(kept) => {
+            NodeEffect::Apply(version, resources) => self.apply(process, version, resources),
+            NodeEffect::Persist(snapshot) => {
                 let took = (self.plan.disk_ms * 1e6 * self.random.random_range(0.7..1.5)) as Nanos;
-                self.at(self.now + took + 1, Event::Kept(who, self.procs[who].life, kept));
+                self.schedule(
+                    self.now + took + 1,
+                    Event::PersistDone(process, self.processes[process].incarnation, snapshot),
+                );
             }
         }
     }
 
-    pub(super) fn put_in_force(&mut self, who: usize, version: Version, resources: Vec<Resource>) {
+    pub(super) fn apply(&mut self, process: usize, version: Version, resources: Vec<Resource>) {
         let mut applied = Applied { version, resources: Vec::with_capacity(resources.len()) };
         let mut refused = Vec::new();
-        let refuses = self.truth.seen[who].refuses;
+        let refuses = self.checker.processes[process].refuses;
         for resource in resources {
             // Resources are named by their number.
-            let Some(key) = resource.name.strip_prefix('r').and_then(|number| number.parse().ok()) else {
+            let Some(resource_index) = resource.name.strip_prefix('r').and_then(|number| number.parse().ok())
+            else {
                 continue;
             };
             let mut in_force = resource.version;
             if let Some((no, from)) = refuses
-                && no == key as usize
+                && no == resource_index as usize
                 && resource.version >= from
             {
-                let before = &self.truth.seen[who].applied.resources;
-                let before = before.iter().find(|(had, _)| *had == key);
+                let before = &self.checker.processes[process].applied.resources;
+                let before = before.iter().find(|(had, _)| *had == resource_index);
                 in_force = before.map_or(Version::default(), |(_, version)| *version);
                 refused.push((resource.scope, resource.name, "refused by the play".into()));
             }
-            applied.resources.push((key, in_force));
+            applied.resources.push((resource_index, in_force));
         }
         applied.resources.sort_unstable();
         let took = (self.plan.apply_ms * 1e6 * self.random.random_range(0.5..1.5)) as Nanos;
-        let life = self.procs[who].life;
-        self.at(self.now + took + 1, Event::InForce(who, life, version, applied, refused));
+        let incarnation = self.processes[process].incarnation;
+        self.schedule(self.now + took + 1, Event::ApplyDone(process, incarnation, version, applied, refused));
     }
 }
--- a/crates/lab/src/scale/virt/faults.rs
+++ b/crates/lab/src/scale/virt/faults.rs
@@ -1,225 +1,247 @@
 //! What goes wrong by the plan: processes that die, stop or start again, regions and links that are cut.
 
-use super::super::agree::Control;
+use super::super::agree::ControlMachine;
 use super::super::fleet::{self};
-use super::super::plan::{Disk, Fault, Kind};
+use super::super::plan::{DiskState, Fault, FaultKind};
 use super::super::truth::Applied;
-use super::hosts::Acts;
-use super::{Event, LEAST, Link, LinkId, MILLI, SECOND, World};
+use super::hosts::NodeEffects;
+use super::{Event, Link, LinkId, MILLISECOND, MIN_WAKE_GAP, SECOND, Simulation};
 use pumicebay_carrier::{Nanos, TreeNode, Version};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 
-impl World<'_> {
-    pub(super) fn named(&self, fault: &Fault) -> Option<usize> {
-        let (kind, number) = fault.who.as_deref()?.rsplit_once('-')?;
+impl Simulation<'_> {
+    pub(super) fn fault_target(&self, fault: &Fault) -> Option<usize> {
+        let (kind, number) = fault.target.as_deref()?.rsplit_once('-')?;
         let number: usize = number.parse().ok()?;
-        Some(if kind == "control" { number } else { self.plan.control + number })
+        Some(if kind == "control" { number } else { self.plan.control_machines + number })
     }
 
-    pub(super) fn half_site(&self, fault: &Fault) -> Vec<usize> {
+    pub(super) fn half_site_processes(&self, fault: &Fault) -> Vec<usize> {
         let site = fault.site.unwrap_or_default();
-        let all: Vec<usize> =
-            (self.plan.control..self.procs.len()).filter(|who| self.sites[*who].site == site).collect();
+        let all: Vec<usize> = (self.plan.control_machines..self.processes.len())
+            .filter(|process| self.placements[*process].site == site)
+            .collect();
         // Every other one, relays among them.
         all.into_iter().step_by(2).collect()
     }
 
-    pub(super) fn fault_begins(&mut self, number: usize) {
+    pub(super) fn start_fault(&mut self, number: usize) {
         let plan = self.plan;
         let fault = &plan.faults[number];
-        let who = self.named(fault).or_else(|| self.root());
-        let whom: Vec<usize> = match fault.kind {
-            Kind::Dies | Kind::SlowChild | Kind::Stall | Kind::Refused => who.into_iter().collect(),
-            Kind::HalfSite => self.half_site(fault),
-            Kind::ControlGone => (0..plan.control).collect(),
-            Kind::ZoneReconnects => (plan.control..self.procs.len())
-                .filter(|who| Some(self.sites[*who].zone) == fault.zone)
+        let process = self.fault_target(fault).or_else(|| self.root());
+        let targets: Vec<usize> = match fault.kind {
+            FaultKind::Dies | FaultKind::SlowChild | FaultKind::Stall | FaultKind::Refused => {
+                process.into_iter().collect()
+            }
+            FaultKind::HalfSite => self.half_site_processes(fault),
+            FaultKind::ControlGone => (0..plan.control_machines).collect(),
+            FaultKind::ZoneReconnects => (plan.control_machines..self.processes.len())
+                .filter(|process| Some(self.placements[*process].zone) == fault.zone)
                 .collect(),
-            Kind::RegionCut | Kind::Burst => Vec::new(),
+            FaultKind::RegionCut | FaultKind::Burst => Vec::new(),
         };
-        self.hit.insert(number, whom.clone());
+        self.fault_targets.insert(number, targets.clone());
         match fault.kind {
-            Kind::Dies if fault.amid => whom.into_iter().for_each(|who| self.procs[who].dies_amid = true),
-            Kind::Dies | Kind::HalfSite | Kind::ControlGone => {
-                self.deaths += 1;
-                whom.into_iter().for_each(|who| self.dies(who, fault.silent));
-                if fault.kind == Kind::ControlGone {
-                    self.procs.iter_mut().for_each(|one| one.orphan = None);
+            FaultKind::Dies if fault.during_delta => {
+                targets.into_iter().for_each(|process| self.processes[process].dies_during_delta = true)
+            }
+            FaultKind::Dies | FaultKind::HalfSite | FaultKind::ControlGone => {
+                self.parent_failures += 1;
+                targets.into_iter().for_each(|process| self.kill(process, fault.without_reset));
+                if fault.kind == FaultKind::ControlGone {
+                    self.processes.iter_mut().for_each(|one| one.orphaned_at = None);
                 }
             }
-            Kind::SlowChild => {
-                for who in whom {
-                    self.procs[who].slow = true;
-                    self.truth.lost(who);
-                    if let Some(id) = self.procs[who].up {
-                        self.falls_silent(id);
+            FaultKind::SlowChild => {
+                for process in targets {
+                    self.processes[process].slow = true;
+                    self.checker.mark_unreachable(process);
+                    if let Some(id) = self.processes[process].parent_link {
+                        self.schedule_silence(id);
                     }
                 }
             }
-            Kind::Stall => {
-                self.deaths += 1;
-                for who in whom {
-                    self.procs[who].stalled = true;
-                    self.truth.lost(who);
-                    let down: Vec<LinkId> = self.procs[who].down.iter().copied().collect();
-                    self.orphan(&down);
-                    down.into_iter().chain(self.procs[who].up).for_each(|id| self.falls_silent(id));
+            FaultKind::Stall => {
+                self.parent_failures += 1;
+                for process in targets {
+                    self.processes[process].stalled = true;
+                    self.checker.mark_unreachable(process);
+                    let down: Vec<LinkId> = self.processes[process].child_links.iter().copied().collect();
+                    self.mark_orphaned(&down);
+                    down.into_iter()
+                        .chain(self.processes[process].parent_link)
+                        .for_each(|id| self.schedule_silence(id));
                 }
             }
-            Kind::Refused => {
-                let key = *self.groups[0].choose(&mut self.random).unwrap_or(&0);
-                let next = Version { number: self.truth.settled.number + 1, ..self.truth.settled };
-                whom.into_iter().for_each(|who| self.truth.seen[who].refuses = Some((key, next)));
-                self.offer_at(self.now + MILLI, key);
+            FaultKind::Refused => {
+                let resource_index = *self.resource_groups[0].choose(&mut self.random).unwrap_or(&0);
+                let next =
+                    Version { number: self.checker.latest_settled.number + 1, ..self.checker.latest_settled };
+                targets.into_iter().for_each(|process| {
+                    self.checker.processes[process].refuses = Some((resource_index, next))
+                });
+                self.propose_at(self.now + MILLISECOND, resource_index);
             }
-            Kind::ZoneReconnects => {
-                for who in whom {
+            FaultKind::ZoneReconnects => {
+                for process in targets {
                     let at = self.now + self.random.random_range(0..SECOND);
-                    self.at(at, Event::Resets(who));
+                    self.schedule(at, Event::ResetLink(process));
                 }
             }
-            Kind::RegionCut => {
+            FaultKind::RegionCut => {
                 let Some(region) = fault.region else { return };
-                self.cut[region] = true;
-                (plan.control..self.procs.len())
-                    .filter(|who| self.sites[*who].region == region)
-                    .for_each(|who| self.truth.lost(who));
+                self.partitioned[region] = true;
+                (plan.control_machines..self.processes.len())
+                    .filter(|process| self.placements[*process].region == region)
+                    .for_each(|process| self.checker.mark_unreachable(process));
                 let crossing = |id: &LinkId| {
                     let Link { child, parent, child_open, parent_open, .. } = self.links[*id as usize];
-                    (child_open || parent_open) && self.cut_between(self.spot(child), self.spot(parent))
+                    (child_open || parent_open)
+                        && self.is_partitioned(self.endpoint(child), self.endpoint(parent))
                 };
                 let all: Vec<LinkId> = (0..self.links.len() as LinkId).filter(crossing).collect();
-                all.into_iter().for_each(|id| self.falls_silent(id));
+                all.into_iter().for_each(|id| self.schedule_silence(id));
             }
-            Kind::Burst => {}
+            FaultKind::Burst => {}
         }
     }
 
-    pub(super) fn fault_ends(&mut self, number: usize) {
+    pub(super) fn end_fault(&mut self, number: usize) {
         let fault = &self.plan.faults[number];
-        let whom = self.hit.remove(&number).unwrap_or_default();
+        let targets = self.fault_targets.remove(&number).unwrap_or_default();
         match fault.kind {
-            Kind::Dies | Kind::HalfSite | Kind::ControlGone => {
-                for who in whom {
-                    self.procs[who].dies_amid = false;
-                    self.starts(who, fault.disk);
+            FaultKind::Dies | FaultKind::HalfSite | FaultKind::ControlGone => {
+                for process in targets {
+                    self.processes[process].dies_during_delta = false;
+                    self.start(process, fault.disk);
                 }
             }
-            Kind::SlowChild => {
-                for who in whom {
-                    self.procs[who].slow = false;
-                    self.truth.back(self.now, who);
+            FaultKind::SlowChild => {
+                for process in targets {
+                    self.processes[process].slow = false;
+                    self.checker.mark_reachable(self.now, process);
                 }
             }
-            Kind::Stall => {
-                for who in whom {
-                    self.procs[who].stalled = false;
-                    self.truth.back(self.now, who);
-                    for event in std::mem::take(&mut self.procs[who].backlog) {
-                        self.happens(event);
+            FaultKind::Stall => {
+                for process in targets {
+                    self.processes[process].stalled = false;
+                    self.checker.mark_reachable(self.now, process);
+                    for event in std::mem::take(&mut self.processes[process].backlog) {
+                        self.handle(event);
                     }
                     // Times that came while it was stopped.
-                    self.procs[who].wake = Nanos::MAX;
-                    self.schedule(who);
-                    if who < self.plan.control {
-                        self.controls[who].wake = self.now;
-                        self.asker(who);
-                        if self.controls[who].publisher.is_some() {
-                            self.publisher(who, |publisher, now, host| publisher.tick(now, host));
+                    self.processes[process].wake_at = Nanos::MAX;
+                    self.schedule_wake(process);
+                    if process < self.plan.control_machines {
+                        self.control_machines[process].wake_at = self.now;
+                        self.run_lease_client(process);
+                        if self.control_machines[process].publisher.is_some() {
+                            self.with_publisher(process, |publisher, now, host| publisher.tick(now, host));
                         }
                     }
                 }
             }
-            Kind::RegionCut => {
+            FaultKind::RegionCut => {
                 let Some(region) = fault.region else { return };
-                self.cut[region] = false;
-                for who in self.plan.control..self.procs.len() {
-                    let one = &self.procs[who];
-                    if self.sites[who].region == region && one.node.is_some() && !one.stalled && !one.slow {
-                        self.truth.back(self.now, who);
+                self.partitioned[region] = false;
+                for process in self.plan.control_machines..self.processes.len() {
+                    let one = &self.processes[process];
+                    if self.placements[process].region == region
+                        && one.node.is_some()
+                        && !one.stalled
+                        && !one.slow
+                    {
+                        self.checker.mark_reachable(self.now, process);
                     }
                 }
             }
-            Kind::Refused | Kind::Burst | Kind::ZoneReconnects => {}
+            FaultKind::Refused | FaultKind::Burst | FaultKind::ZoneReconnects => {}
         }
     }
 
-    pub(super) fn orphan(&mut self, links: &[LinkId]) {
+    pub(super) fn mark_orphaned(&mut self, links: &[LinkId]) {
         for id in links {
             let child = self.links[*id as usize].child;
-            self.procs[child].orphan = Some(self.now);
+            self.processes[child].orphaned_at = Some(self.now);
         }
     }
 
-    pub(super) fn dies(&mut self, who: usize, silent: bool) {
-        if self.procs[who].node.take().is_none() {
+    pub(super) fn kill(&mut self, process: usize, silent: bool) {
+        if self.processes[process].node.take().is_none() {
             return;
         }
-        self.truth.lost(who);
-        let one = &mut self.procs[who];
-        (one.vanished, one.orphan, one.dies_amid) = (silent, None, false);
+        self.checker.mark_unreachable(process);
+        let one = &mut self.processes[process];
+        (one.died_silently, one.orphaned_at, one.dies_during_delta) = (silent, None, false);
         one.backlog.clear();
-        let (up, down) = (one.up.take(), std::mem::take(&mut one.down));
+        let (up, down) = (one.parent_link.take(), std::mem::take(&mut one.child_links));
         let down: Vec<LinkId> = down.into_iter().collect();
-        self.orphan(&down);
+        self.mark_orphaned(&down);
         for (id, child) in down.iter().map(|id| (*id, false)).chain(up.map(|id| (id, true))) {
             if silent {
-                self.falls_silent(id);
+                self.schedule_silence(id);
             }
             self.close(id, child);
         }
-        if who < self.plan.control {
-            self.stop_publishing(who);
-            self.controls[who].token = None;
+        if process < self.plan.control_machines {
+            self.stop_publishing(process);
+            self.control_machines[process].token = None;
         }
     }
 
-    pub(super) fn starts(&mut self, who: usize, disk: Disk) {
-        if self.procs[who].node.is_some() {
+    pub(super) fn start(&mut self, process: usize, disk: DiskState) {
+        if self.processes[process].node.is_some() {
             return;
         }
-        let one = &mut self.procs[who];
-        one.life += 1;
-        let life = one.life;
-        one.clock.origin = self.now;
-        (one.wake, one.ticked, one.vanished, one.stalled) = (Nanos::MAX, self.now, false, false);
+        let one = &mut self.processes[process];
+        one.incarnation += 1;
+        let incarnation = one.incarnation;
+        one.clock.started_at = self.now;
+        (one.wake_at, one.ticked_at, one.died_silently, one.stalled) = (Nanos::MAX, self.now, false, false);
         match disk {
-            Disk::Kept => {}
-            Disk::Empty => one.disk = None,
-            Disk::Old => one.disk = one.old.clone(),
+            DiskState::Kept => {}
+            DiskState::Empty => one.disk = None,
+            DiskState::Old => one.disk = one.initial_disk.clone(),
         }
-        let kept = one.disk.clone();
-        one.holds = kept.as_ref().map_or(Version::default(), |kept| kept.version);
-        let now = one.clock.local(self.now);
-        let terms = fleet::terms(self.plan, &self.sites, who, life);
-        let mut host = Acts { acts: Vec::new(), random: &mut self.random, keeps: one.keeps };
-        one.node = Some(TreeNode::start(now, terms, kept, &mut host));
-        let acts = host.acts;
-        let seen = &mut self.truth.seen[who];
-        (seen.applied, seen.born) = (Applied::default(), self.now);
-        if !self.cut[self.sites[who].region] {
-            self.truth.back(self.now, who);
+        let snapshot = one.disk.clone();
+        one.held_version = snapshot.as_ref().map_or(Version::default(), |snapshot| snapshot.version);
+        let now = one.clock.local_time(self.now);
+        let config = fleet::node_config(self.plan, &self.placements, process, incarnation);
+        let mut host =
+            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: one.disk_is_read };
+        one.node = Some(TreeNode::start(now, config, snapshot, &mut host));
+        let effects = host.effects;
+        let state = &mut self.checker.processes[process];
+        (state.applied, state.started_at) = (Applied::default(), self.now);
+        if !self.partitioned[self.placements[process].region] {
+            self.checker.mark_reachable(self.now, process);
         }
-        for act in acts {
-            self.act(who, act);
+        for effect in effects {
+            self.perform(process, effect);
         }
-        self.schedule(who);
-        if who < self.plan.control {
-            let good = who % self.plan.voters;
-            self.controls[who] = Control::new(self.plan, now, &self.sites[who].name, life, good);
-            self.controls[who].wake = self.now + LEAST;
-            self.at(self.now + LEAST, Event::Asker(who));
+        self.schedule_wake(process);
+        if process < self.plan.control_machines {
+            let preferred_voter = process % self.plan.voters;
+            self.control_machines[process] = ControlMachine::new(
+                self.plan,
+                now,
+                &self.placements[process].name,
+                incarnation,
+                preferred_voter,
+            );
+            self.control_machines[process].wake_at = self.now + MIN_WAKE_GAP;
+            self.schedule(self.now + MIN_WAKE_GAP, Event::LeaseTimer(process));
         }
     }
 
     /// The link to the parent is reset.
-    pub(super) fn resets(&mut self, who: usize) {
-        if self.procs[who].node.is_some()
-            && let Some(id) = self.procs[who].up
+    pub(super) fn reset_parent_link(&mut self, process: usize) {
+        if self.processes[process].node.is_some()
+            && let Some(id) = self.processes[process].parent_link
         {
             self.close(id, true);
-            self.gone_at(id, true);
+            self.notify_closed(id, true);
         }
     }
 }
--- a/crates/lab/src/scale/virt/hosts.rs
+++ b/crates/lab/src/scale/virt/hosts.rs
@@ -7,79 +7,79 @@
 use rand::rngs::SmallRng;
 
 /// What a node asked for, in order.
-pub(super) enum Act {
-    Dial(String),
-    HangUp,
-    Up(ChildMessage),
-    Down(ChildId, ParentMessage),
-    Drop(ChildId),
-    Force(Version, Vec<Resource>),
-    Keep(Snapshot),
+pub(super) enum NodeEffect {
+    ConnectParent(String),
+    DisconnectParent,
+    SendToParent(ChildMessage),
+    SendToChild(ChildId, ParentMessage),
+    DisconnectChild(ChildId),
+    Apply(Version, Vec<Resource>),
+    Persist(Snapshot),
 }
 
-pub(super) struct Acts<'a> {
-    pub(super) acts: Vec<Act>,
+pub(super) struct NodeEffects<'a> {
+    pub(super) effects: Vec<NodeEffect>,
     pub(super) random: &'a mut SmallRng,
-    pub(super) keeps: bool,
+    pub(super) disk_is_read: bool,
 }
 
-impl Host for Acts<'_> {
+impl Host for NodeEffects<'_> {
     fn connect_parent(&mut self, parent: &str) {
-        self.acts.push(Act::Dial(parent.into()));
+        self.effects.push(NodeEffect::ConnectParent(parent.into()));
     }
     fn disconnect_parent(&mut self) {
-        self.acts.push(Act::HangUp);
+        self.effects.push(NodeEffect::DisconnectParent);
     }
     fn send_to_parent(&mut self, message: ChildMessage) {
-        self.acts.push(Act::Up(message));
+        self.effects.push(NodeEffect::SendToParent(message));
     }
     fn send_to_child(&mut self, child: ChildId, message: ParentMessage) {
-        self.acts.push(Act::Down(child, message));
+        self.effects.push(NodeEffect::SendToChild(child, message));
     }
     fn disconnect_child(&mut self, child: ChildId) {
-        self.acts.push(Act::Drop(child));
+        self.effects.push(NodeEffect::DisconnectChild(child));
     }
     fn apply(&mut self, version: Version, resources: Vec<Resource>) {
-        self.acts.push(Act::Force(version, resources));
+        self.effects.push(NodeEffect::Apply(version, resources));
     }
-    fn persist(&mut self, kept: &Snapshot) {
+    fn persist(&mut self, snapshot: &Snapshot) {
         // Of a disk that is never read again the version is enough.
-        let kept = match self.keeps {
-            true => kept.clone(),
-            false => Snapshot { version: kept.version, ..Snapshot::default() },
+        let snapshot = match self.disk_is_read {
+            true => snapshot.clone(),
+            false => Snapshot { version: snapshot.version, ..Snapshot::default() },
         };
-        self.acts.push(Act::Keep(kept));
+        self.effects.push(NodeEffect::Persist(snapshot));
     }
     fn random(&mut self) -> f64 {
         self.random.random_range(0.0..1.0)
     }
 }
 
-pub(super) enum PublisherAct {
+pub(super) enum PublisherEffect {
     Read,
     Write(String, u64),
     Publish(Version, Vec<Resource>),
     Answer(u64, ChangeOutcome),
-    GiveBack,
+    ReleaseLease,
 }
 
 #[derive(Default)]
-pub(super) struct PublisherActs(pub(super) Vec<PublisherAct>);
+pub(super) struct PublisherEffects(pub(super) Vec<PublisherEffect>);
 
-impl PublisherHost for PublisherActs {
+impl PublisherHost for PublisherEffects {
     fn read_record(&mut self) {
-        self.0.push(PublisherAct::Read);
+        self.0.push(PublisherEffect::Read);
     }
     fn write_record(&mut self, text: String, version: u64) {
-        self.0.push(PublisherAct::Write(text, version));
+        self.0.push(PublisherEffect::Write(text, version));
     }
     fn publish(&mut self, version: Version, resources: Vec<Resource>) {
-        self.0.push(PublisherAct::Publish(version, resources));
+        self.0.push(PublisherEffect::Publish(version, resources));
     }
     fn answer(&mut self, number: u64, outcome: ChangeOutcome) {
-        self.0.push(PublisherAct::Answer(number, outcome));
+        self.0.push(PublisherEffect::Answer(number, outcome));
     }
     fn release_lease(&mut self) {
-        self.0.push(PublisherAct::GiveBack);
+        self.0.push(PublisherEffect::ReleaseLease);
     }
 }
--- a/crates/lab/src/scale/virt/links.rs
+++ b/crates/lab/src/scale/virt/links.rs
@@ -1,94 +1,102 @@
 //! Links between processes: calls, delays, loss, cuts that are learned of by silence.
 
-use super::super::fleet::{self, Spot};
-use super::super::meter::{HELLO, OPENING, segments};
-use super::{BEAT, Event, Link, LinkId, Proc, SECOND, SILENT, World};
+use super::super::fleet::{self, Endpoint};
+use super::super::meter::{HANDSHAKE_SEGMENTS, HELLO_BYTES, segments};
+use super::{Event, HEARTBEAT_INTERVAL, Link, LinkId, SECOND, SILENCE_TIMEOUT, SimulatedProcess, Simulation};
 use pumicebay_carrier::{ChildId, Nanos};
 use rand::RngExt;
 
-impl World<'_> {
-    pub(super) fn spot(&self, who: usize) -> Spot {
-        fleet::spot(&self.sites[who])
+impl Simulation<'_> {
+    pub(super) fn endpoint(&self, process: usize) -> Endpoint {
+        fleet::endpoint(&self.placements[process])
     }
 
     /// Whether a cut lies between them.
-    pub(super) fn cut_between(&self, one: Spot, other: Spot) -> bool {
-        one.region != other.region && (self.cut[one.region] || self.cut[other.region])
+    pub(super) fn is_partitioned(&self, one: Endpoint, other: Endpoint) -> bool {
+        one.region != other.region && (self.partitioned[one.region] || self.partitioned[other.region])
     }
 
-    pub(super) fn silenced(&self, id: LinkId) -> bool {
+    pub(super) fn is_silent(&self, id: LinkId) -> bool {
         let link = &self.links[id as usize];
-        let (child, parent) = (&self.procs[link.child], &self.procs[link.parent]);
-        let mute = |one: &Proc| one.stalled || one.vanished;
+        let (child, parent) = (&self.processes[link.child], &self.processes[link.parent]);
+        let mute = |one: &SimulatedProcess| one.stalled || one.died_silently;
         // The other end may be gone without a word.
         !link.child_open
             || !link.parent_open
             || mute(child)
             || mute(parent)
             || child.slow
-            || self.cut_between(self.spot(link.child), self.spot(link.parent))
+            || self.is_partitioned(self.endpoint(link.child), self.endpoint(link.parent))
     }
 
-    pub(super) fn way(&mut self, from: Spot, to: Spot, segments: u64) -> Nanos {
-        fleet::way(self.plan, from, to, segments, &mut self.random)
+    pub(super) fn transit_time(&mut self, from: Endpoint, to: Endpoint, segments: u64) -> Nanos {
+        fleet::transit_time(self.plan, from, to, segments, &mut self.random)
     }
 
-    pub(super) fn dial(&mut self, who: usize, parent: &str) {
-        let Some(&parent) = self.by_name.get(parent) else { return };
-        self.calls_made += 1;
+    pub(super) fn connect_parent(&mut self, process: usize, parent: &str) {
+        let Some(&parent) = self.index_by_name.get(parent) else { return };
+        self.parent_dials += 1;
         let id = self.links.len() as LinkId;
-        self.links.push(Link { child: who, parent, child_open: true, called: self.now, ..Link::default() });
-        self.procs[who].up = Some(id);
-        let (here, there) = (self.spot(who), self.spot(parent));
-        let way = 3 * self.way(here, there, 1);
-        self.at(self.now + way, Event::Called(id));
+        self.links.push(Link {
+            child: process,
+            parent,
+            child_open: true,
+            dialed_at: self.now,
+            ..Link::default()
+        });
+        self.processes[process].parent_link = Some(id);
+        let (here, there) = (self.endpoint(process), self.endpoint(parent));
+        let transit = 3 * self.transit_time(here, there, 1);
+        self.schedule(self.now + transit, Event::DialArrived(id));
     }
 
     /// The connection is there, and so is the hello.
-    pub(super) fn called(&mut self, id: LinkId) {
-        let Link { child, parent, child_open, called, .. } = self.links[id as usize];
-        let fails = |world: &mut World, at: Nanos| {
-            let at = at.max(world.now + 1);
-            world.at(at, Event::Gone(id, true));
+    pub(super) fn dial_arrived(&mut self, id: LinkId) {
+        let Link { child, parent, child_open, dialed_at, .. } = self.links[id as usize];
+        let fails = |simulation: &mut Simulation, at: Nanos| {
+            let at = at.max(simulation.now + 1);
+            simulation.schedule(at, Event::LinkClosed(id, true));
         };
         if !child_open {
             return;
         }
-        let (here, there) = (self.spot(parent), self.spot(child));
-        let silent = self.cut_between(here, there) || self.procs[child].slow || self.procs[parent].vanished;
+        let (here, there) = (self.endpoint(parent), self.endpoint(child));
+        let silent = self.is_partitioned(here, there)
+            || self.processes[child].slow
+            || self.processes[parent].died_silently;
         if silent {
-            return fails(self, called + SILENT);
+            return fails(self, dialed_at + SILENCE_TIMEOUT);
         }
-        let way = self.way(here, there, 1);
-        if self.procs[parent].node.is_none() {
-            return fails(self, self.now + way);
+        let transit = self.transit_time(here, there, 1);
+        if self.processes[parent].node.is_none() {
+            return fails(self, self.now + transit);
         }
         let now = self.now;
-        for who in [child, parent] {
-            let meter = &mut self.procs[who].meter;
-            meter.sends(now, HELLO, OPENING);
-            meter.receives(now, HELLO, OPENING - 1);
+        for process in [child, parent] {
+            let meter = &mut self.processes[process].meter;
+            meter.record_sent(now, HELLO_BYTES, HANDSHAKE_SEGMENTS);
+            meter.record_received(now, HELLO_BYTES, HANDSHAKE_SEGMENTS - 1);
         }
         let link = &mut self.links[id as usize];
-        (link.parent_open, link.up, link.down) = (true, now, now + way);
-        self.procs[parent].down.insert(id);
-        self.procs[parent].meter.link(now, true);
-        self.at(now + way, Event::Connected(id));
-        self.node(parent, |node, now, host| node.child_connected(now, ChildId::from(id), host));
+        (link.parent_open, link.last_up_arrival, link.last_down_arrival) = (true, now, now + transit);
+        self.processes[parent].child_links.insert(id);
+        self.processes[parent].meter.link_changed(now, true);
+        self.schedule(now + transit, Event::Connected(id));
+        self.with_node(parent, |node, now, host| node.child_connected(now, ChildId::from(id), host));
     }
 
     pub(super) fn connected(&mut self, id: LinkId) {
         let Link { child, parent, child_open, .. } = self.links[id as usize];
-        if !child_open || self.silenced(id) {
+        if !child_open || self.is_silent(id) {
             return;
         }
         self.links[id as usize].connected = true;
-        self.procs[child].meter.link(self.now, true);
-        if let Some(since) = self.procs[child].orphan.take() {
-            self.orphans.push((self.now - since) as f64 / 1e9);
-            *self.herd.entry((self.deaths, parent)).or_default() += 1;
+        self.processes[child].meter.link_changed(self.now, true);
+        if let Some(since) = self.processes[child].orphaned_at.take() {
+            self.reparent_seconds.push((self.now - since) as f64 / 1e9);
+            *self.herd.entry((self.parent_failures, parent)).or_default() += 1;
         }
-        self.node(child, |node, now, host| node.parent_connected(now, host));
+        self.with_node(child, |node, now, host| node.parent_connected(now, host));
     }
 
     /// This end takes the link for gone, and the other end is told unless it can't be.
@@ -101,52 +109,53 @@
         let was_connected = link.connected;
         let (own, other) = if child { (link.child, link.parent) } else { (link.parent, link.child) };
         let other_open = if child { link.parent_open } else { link.child_open };
-        let last = if child { link.up } else { link.down };
+        let last = if child { link.last_up_arrival } else { link.last_down_arrival };
         if child {
-            if self.procs[own].up == Some(id) {
-                self.procs[own].up = None;
+            if self.processes[own].parent_link == Some(id) {
+                self.processes[own].parent_link = None;
             }
             if was_connected {
-                self.procs[own].meter.link(self.now, false);
+                self.processes[own].meter.link_changed(self.now, false);
             }
         } else {
-            self.procs[own].down.remove(&id);
-            self.procs[own].meter.link(self.now, false);
+            self.processes[own].child_links.remove(&id);
+            self.processes[own].meter.link_changed(self.now, false);
         }
-        let (here, there) = (self.spot(own), self.spot(other));
-        if other_open && !self.cut_between(here, there) && !self.procs[own].vanished {
-            let way = self.way(here, there, 1);
-            self.at((self.now + way).max(last + 1), Event::Gone(id, !child));
+        let (here, there) = (self.endpoint(own), self.endpoint(other));
+        if other_open && !self.is_partitioned(here, there) && !self.processes[own].died_silently {
+            let transit = self.transit_time(here, there, 1);
+            self.schedule((self.now + transit).max(last + 1), Event::LinkClosed(id, !child));
         }
     }
 
-    pub(super) fn gone(&mut self, id: LinkId, child: bool) {
+    pub(super) fn close_arrived(&mut self, id: LinkId, child: bool) {
         let Link { child: below, parent, child_open, parent_open, .. } = self.links[id as usize];
         let open = if child { child_open } else { parent_open };
         if !open
-            || (self.links[id as usize].connected && self.cut_between(self.spot(below), self.spot(parent)))
+            || (self.links[id as usize].connected
+                && self.is_partitioned(self.endpoint(below), self.endpoint(parent)))
         {
             return;
         }
         self.close(id, child);
-        self.gone_at(id, child);
+        self.notify_closed(id, child);
     }
 
     /// This end is told that its link is gone.
-    pub(super) fn gone_at(&mut self, id: LinkId, child: bool) {
+    pub(super) fn notify_closed(&mut self, id: LinkId, child: bool) {
         let Link { child: below, parent, .. } = self.links[id as usize];
         if child {
-            self.node(below, |node, now, host| node.parent_disconnected(now, host));
+            self.with_node(below, |node, now, host| node.parent_disconnected(now, host));
         } else {
-            self.node(parent, |node, now, host| node.child_disconnected(now, ChildId::from(id), host));
+            self.with_node(parent, |node, now, host| node.child_disconnected(now, ChildId::from(id), host));
         }
     }
 
     /// Both ends, or the one that can notice, learn of silence on a link.
-    pub(super) fn falls_silent(&mut self, id: LinkId) {
+    pub(super) fn schedule_silence(&mut self, id: LinkId) {
         for child in [true, false] {
-            let since = self.random.random_range(0..BEAT);
-            self.at(self.now + SILENT - since, Event::Silent(id, child));
+            let since = self.random.random_range(0..HEARTBEAT_INTERVAL);
+            self.schedule(self.now + SILENCE_TIMEOUT - since, Event::LinkSilent(id, child));
         }
     }
 
@@ -157,24 +166,24 @@
             return;
         }
         let segments = segments(bytes);
-        self.procs[from].meter.sends(self.now, bytes, segments);
-        let (here, there) = (self.spot(from), self.spot(to));
-        if self.cut_between(here, there) {
+        self.processes[from].meter.record_sent(self.now, bytes, segments);
+        let (here, there) = (self.endpoint(from), self.endpoint(to));
+        if self.is_partitioned(here, there) {
             return;
         }
-        let mut at = self.now + self.way(here, there, segments);
-        let slow = !up && self.procs[child].slow;
+        let mut at = self.now + self.transit_time(here, there, segments);
+        let slow = !up && self.processes[child].slow;
         let link = &mut self.links[id as usize];
-        let last = if up { &mut link.up } else { &mut link.down };
+        let last = if up { &mut link.last_up_arrival } else { &mut link.last_down_arrival };
         at = at.max(*last + 1);
         if slow {
             at += bytes as Nanos * SECOND;
         }
         *last = at;
-        self.at(at, event);
+        self.schedule(at, event);
     }
 
-    pub(super) fn received(&mut self, who: usize, bytes: usize) {
-        self.procs[who].meter.receives(self.now, bytes, segments(bytes));
+    pub(super) fn record_received(&mut self, process: usize, bytes: usize) {
+        self.processes[process].meter.record_received(self.now, bytes, segments(bytes));
     }
 }
--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -12,12 +12,12 @@
 mod publishing;
 mod voting;
 
-use super::agree::{self, Clock, Control, Seat};
-use super::fleet::{self, Role, Site};
-use super::meter::{FRAME, Meter};
-use super::plan::{Disk, Kind, Plan};
-use super::report::{Cost, Found};
-use super::truth::{Applied, Key, Seen, Truth};
+use super::agree::{self, Clock, ControlMachine, SimulatedVoter};
+use super::fleet::{self, Placement, Role};
+use super::meter::{FRAME_OVERHEAD, Meter};
+use super::plan::{DiskState, FaultKind, Plan};
+use super::report::{Report, RunCost};
+use super::truth::{Applied, Checker, ProcessState, TrackedResource};
 use pumicebay_accord::{Answer, Message, Operation, StoreId};
 use pumicebay_carrier::{ChildMessage, Nanos, ParentMessage, Scope, Snapshot, TreeNode, Version};
 use rand::rngs::SmallRng;
@@ -26,25 +26,25 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
 
-pub const MILLI: Nanos = 1_000_000;
-pub const SECOND: Nanos = 1_000 * MILLI;
+pub const MILLISECOND: Nanos = 1_000_000;
+pub const SECOND: Nanos = 1_000 * MILLISECOND;
 /// Without a beat for so long an end of a link takes it for gone; beats are sent twice a second.
-const SILENT: Nanos = 2 * SECOND;
-const BEAT: Nanos = SECOND / 2;
+const SILENCE_TIMEOUT: Nanos = 2 * SECOND;
+const HEARTBEAT_INTERVAL: Nanos = SECOND / 2;
 /// How often the root's sum is looked at, and who has caught up.
-const POLL: Nanos = 100 * MILLI;
-const LOOK: Nanos = 250 * MILLI;
+const SUMMARY_CHECK_INTERVAL: Nanos = 100 * MILLISECOND;
+const CATCH_UP_CHECK_INTERVAL: Nanos = 250 * MILLISECOND;
 /// A process does not wake more often than this.
-const LEAST: Nanos = MILLI;
+const MIN_WAKE_GAP: Nanos = MILLISECOND;
 /// Who offers a change and is turned away, or finds nobody that publishes, comes again after this.
-const OFFER_AGAIN: Nanos = 500 * MILLI;
+const REPROPOSE_DELAY: Nanos = 500 * MILLISECOND;
 /// Who got no answer comes again after this.
-const UNANSWERED: Nanos = 2 * SECOND;
+const UNANSWERED_DELAY: Nanos = 2 * SECOND;
 /// What the warm-up writes as one change, in bytes, and what a resource takes beside its patch.
-const GROUP: usize = 18 * 1024;
-const RESOURCE: usize = 160;
+const WARM_UP_CHANGE_BYTES: usize = 18 * 1024;
+const RESOURCE_OVERHEAD: usize = 160;
 /// One of so many calls of the decisions is timed.
-const SAMPLED: u64 = 32;
+const TIMING_SAMPLE_INTERVAL: u64 = 32;
 
 type LinkId = u32;
 
@@ -53,32 +53,32 @@
     /// A process looks at its clock.
     Wake(usize),
     /// A call arrives at the parent; its answer at the child.
-    Called(LinkId),
+    DialArrived(LinkId),
     Connected(LinkId),
     /// The end of the child, or else of the parent, learns that the link is gone.
-    Gone(LinkId, bool),
+    LinkClosed(LinkId, bool),
     /// The same by silence, if what silenced it still lasts.
-    Silent(LinkId, bool),
-    Up(LinkId, ChildMessage),
-    Down(LinkId, ParentMessage),
-    InForce(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
-    Kept(usize, u64, Snapshot),
-    Vote(StoreId, StoreId, Message),
-    Ask(usize, Operation),
-    Answer(Answer),
-    Voter(usize),
-    Asker(usize),
-    Publisher(usize),
-    Again(usize, u64, u64, usize),
-    Begins(usize),
-    Ends(usize),
-    Dies(usize, bool),
-    Starts(usize, Disk),
-    Resets(usize),
-    Offer(usize),
-    Poll,
-    Look,
-    Measure,
+    LinkSilent(LinkId, bool),
+    ToParent(LinkId, ChildMessage),
+    ToChild(LinkId, ParentMessage),
+    ApplyDone(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
+    PersistDone(usize, u64, Snapshot),
+    VoterMessage(StoreId, StoreId, Message),
+    VoterOperation(usize, Operation),
+    VoterAnswer(Answer),
+    VoterTimer(usize),
+    LeaseTimer(usize),
+    PublisherTimer(usize),
+    SendOperation(usize, u64, u64, usize),
+    FaultStart(usize),
+    FaultEnd(usize),
+    Kill(usize, bool),
+    Start(usize, DiskState),
+    ResetLink(usize),
+    Propose(usize),
+    CheckSummary,
+    CheckCatchUp,
+    StartMeasurement,
 }
 
 #[derive(Default)]
@@ -89,273 +89,278 @@
     child_open: bool,
     parent_open: bool,
     connected: bool,
-    called: Nanos,
+    dialed_at: Nanos,
     /// When the last of what was sent each way arrives.
-    up: Nanos,
-    down: Nanos,
+    last_up_arrival: Nanos,
+    last_down_arrival: Nanos,
 }
 
-pub(super) struct Proc {
+pub(super) struct SimulatedProcess {
     pub(super) node: Option<TreeNode>,
-    life: u64,
+    incarnation: u64,
     pub(super) clock: Clock,
-    wake: Nanos,
-    ticked: Nanos,
+    wake_at: Nanos,
+    ticked_at: Nanos,
     disk: Option<Snapshot>,
-    old: Option<Snapshot>,
+    initial_disk: Option<Snapshot>,
     /// Whether its disk is ever read again.
-    keeps: bool,
-    up: Option<LinkId>,
-    down: BTreeSet<LinkId>,
+    disk_is_read: bool,
+    parent_link: Option<LinkId>,
+    child_links: BTreeSet<LinkId>,
     stalled: bool,
     slow: bool,
     /// Nobody is told that it is dead.
-    vanished: bool,
+    died_silently: bool,
     backlog: VecDeque<Event>,
     pub(super) meter: Meter,
-    holds: Version,
+    held_version: Version,
     /// Since when it has lost a parent that died.
-    orphan: Option<Nanos>,
+    orphaned_at: Option<Nanos>,
     /// It dies as it sends the next part of a difference.
-    dies_amid: bool,
-    pub(super) published: bool,
+    dies_during_delta: bool,
+    pub(super) has_published: bool,
 }
 
-struct Offered {
+struct Proposal {
     changes: Vec<(usize, String)>,
-    first: Nanos,
+    first_proposed_at: Nanos,
     measured: bool,
 }
 
-pub struct World<'a> {
+pub struct Simulation<'a> {
     pub(super) plan: &'a Plan,
     pub(super) seed: u64,
-    pub(super) sites: Vec<Site>,
-    by_name: BTreeMap<String, usize>,
+    pub(super) placements: Vec<Placement>,
+    index_by_name: BTreeMap<String, usize>,
     random: SmallRng,
     now: Nanos,
-    pub(super) begin: Nanos,
+    pub(super) measure_start: Nanos,
     pub(super) end: Nanos,
-    heap: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
-    slots: Vec<Event>,
-    free: Vec<u32>,
-    last: u64,
-    pub(super) procs: Vec<Proc>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
+    event_slots: Vec<Event>,
+    free_slots: Vec<u32>,
+    last_sequence: u64,
+    pub(super) processes: Vec<SimulatedProcess>,
     links: Vec<Link>,
-    cut: Vec<bool>,
-    pub(super) seats: Vec<Seat>,
+    partitioned: Vec<bool>,
+    pub(super) voters: Vec<SimulatedVoter>,
     pub(super) voter_meters: Vec<Meter>,
-    controls: Vec<Control>,
-    pub(super) truth: Truth,
-    offered: Vec<Offered>,
-    groups: [Vec<usize>; 5],
+    control_machines: Vec<ControlMachine>,
+    pub(super) checker: Checker,
+    proposals: Vec<Proposal>,
+    resource_groups: [Vec<usize>; 5],
     /// Who a fault that names the root has hit.
-    hit: BTreeMap<usize, Vec<usize>>,
+    fault_targets: BTreeMap<usize, Vec<usize>>,
     /// How many came to one parent, of those whose parent died.
     pub(super) herd: BTreeMap<(usize, usize), usize>,
-    deaths: usize,
-    pub(super) orphans: Vec<f64>,
-    pub(super) offers_again: usize,
+    parent_failures: usize,
+    pub(super) reparent_seconds: Vec<f64>,
+    pub(super) unanswered_proposals: usize,
     /// Calls to parents.
-    pub(super) calls_made: usize,
-    pub(super) answered_full: usize,
-    pub(super) events: u64,
-    calls: u64,
-    pub(super) spent: BTreeMap<&'static str, (Duration, u64)>,
-    pub(super) measured_calls: BTreeMap<&'static str, u64>,
+    pub(super) parent_dials: usize,
+    pub(super) rejected_proposals: usize,
+    pub(super) event_count: u64,
+    decision_calls: u64,
+    pub(super) sampled_cpu: BTreeMap<&'static str, (Duration, u64)>,
+    pub(super) decision_counts: BTreeMap<&'static str, u64>,
 }
 
 /// Plays a plan, and what it cost this machine beside what was found.
-pub fn play(plan: &Plan, seed: u64) -> (Found, Cost) {
+pub fn run(plan: &Plan, seed: u64) -> (Report, RunCost) {
     let started = Instant::now();
-    let mut world = World::new(plan, seed);
-    world.run();
-    world.outcome(started)
+    let mut simulation = Simulation::new(plan, seed);
+    simulation.run();
+    simulation.outcome(started)
 }
 
-impl<'a> World<'a> {
-    fn new(plan: &'a Plan, seed: u64) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(plan: &'a Plan, seed: u64) -> Simulation<'a> {
         let mut random = SmallRng::seed_from_u64(seed);
-        let sites = fleet::everyone(plan);
+        let placements = fleet::place_processes(plan);
         let ppm = plan.clocks_ppm;
-        let mut drawn = SmallRng::seed_from_u64(seed ^ 0xc10c);
-        let mut clock = || Clock { ppm: if ppm > 0 { drawn.random_range(-ppm..=ppm) } else { 0 }, origin: 0 };
-        let seats = agree::seats(plan, &mut clock);
-        let by_name: BTreeMap<String, usize> =
-            sites.iter().enumerate().map(|(at, site)| (site.name.clone(), at)).collect();
-        let procs = sites.iter().map(|site| Proc {
+        let mut clock_random = SmallRng::seed_from_u64(seed ^ 0xc10c);
+        let mut clock =
+            || Clock { ppm: if ppm > 0 { clock_random.random_range(-ppm..=ppm) } else { 0 }, started_at: 0 };
+        let voters = agree::start_voters(plan, &mut clock);
+        let index_by_name: BTreeMap<String, usize> =
+            placements.iter().enumerate().map(|(at, site)| (site.name.clone(), at)).collect();
+        let processes = placements.iter().map(|site| SimulatedProcess {
             node: None,
-            life: 0,
+            incarnation: 0,
             clock: clock(),
-            wake: Nanos::MAX,
-            ticked: 0,
+            wake_at: Nanos::MAX,
+            ticked_at: 0,
             disk: None,
-            old: None,
-            keeps: site.role == Role::Control,
-            up: None,
-            down: BTreeSet::new(),
+            initial_disk: None,
+            disk_is_read: site.role == Role::Control,
+            parent_link: None,
+            child_links: BTreeSet::new(),
             stalled: false,
             slow: false,
-            vanished: false,
+            died_silently: false,
             backlog: VecDeque::new(),
             meter: Meter::default(),
-            holds: Version::default(),
-            orphan: None,
-            dies_amid: false,
-            published: false,
+            held_version: Version::default(),
+            orphaned_at: None,
+            dies_during_delta: false,
+            has_published: false,
         });
-        let procs: Vec<Proc> = procs.collect();
-        let controls =
-            (0..plan.control).map(|at| Control::new(plan, 0, &sites[at].name, 1, at % plan.voters)).collect();
-        let mut truth = Truth::default();
-        truth.names = by_name.clone();
-        truth.seen = vec![Seen::default(); sites.len()];
-        let mut groups: [Vec<usize>; 5] = Default::default();
-        for (group, scopes) in fleet::resources(plan, &sites).into_iter().enumerate() {
+        let processes: Vec<SimulatedProcess> = processes.collect();
+        let control_machines = (0..plan.control_machines)
+            .map(|at| ControlMachine::new(plan, 0, &placements[at].name, 1, at % plan.voters))
+            .collect();
+        let mut checker = Checker::default();
+        checker.index_by_name = index_by_name.clone();
+        checker.processes = vec![ProcessState::default(); placements.len()];
+        let mut resource_groups: [Vec<usize>; 5] = Default::default();
+        for (group, scopes) in fleet::resource_scopes(plan, &placements).into_iter().enumerate() {
             for scope in scopes {
-                groups[group].push(truth.keys.len());
-                truth.keys.push(Key { scope, versions: Vec::new() });
+                resource_groups[group].push(checker.resources.len());
+                checker.resources.push(TrackedResource { scope, versions: Vec::new() });
             }
         }
-        let begin = (plan.warm_seconds * 1e9) as Nanos;
-        let end = begin + (plan.seconds * 1e9) as Nanos;
+        let measure_start = (plan.warm_seconds * 1e9) as Nanos;
+        let end = measure_start + (plan.seconds * 1e9) as Nanos;
         let _: f64 = random.random_range(0.0..1.0);
-        World {
+        Simulation {
             plan,
             seed,
-            by_name,
+            index_by_name,
             random,
             now: 0,
-            begin,
+            measure_start,
             end,
-            heap: BinaryHeap::new(),
-            slots: Vec::new(),
-            free: Vec::new(),
-            last: 0,
-            procs,
+            queue: BinaryHeap::new(),
+            event_slots: Vec::new(),
+            free_slots: Vec::new(),
+            last_sequence: 0,
+            processes,
             links: Vec::new(),
-            cut: vec![false; plan.regions],
-            voter_meters: vec![Meter::default(); seats.len()],
-            seats,
-            controls,
-            truth,
-            offered: Vec::new(),
-            groups,
-            hit: BTreeMap::new(),
+            partitioned: vec![false; plan.regions],
+            voter_meters: vec![Meter::default(); voters.len()],
+            voters,
+            control_machines,
+            checker,
+            proposals: Vec::new(),
+            resource_groups,
+            fault_targets: BTreeMap::new(),
             herd: BTreeMap::new(),
-            deaths: 0,
-            orphans: Vec::new(),
-            offers_again: 0,
-            calls_made: 0,
-            answered_full: 0,
-            events: 0,
-            calls: 0,
-            spent: BTreeMap::new(),
-            measured_calls: BTreeMap::new(),
-            sites,
+            parent_failures: 0,
+            reparent_seconds: Vec::new(),
+            unanswered_proposals: 0,
+            parent_dials: 0,
+            rejected_proposals: 0,
+            event_count: 0,
+            decision_calls: 0,
+            sampled_cpu: BTreeMap::new(),
+            decision_counts: BTreeMap::new(),
+            placements,
         }
     }
 
     fn run(&mut self) {
-        self.begins();
-        while let Some(Reverse((at, _, slot))) = self.heap.pop() {
+        self.schedule_plan();
+        while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > self.end {
                 break;
             }
             self.now = at;
-            self.events += 1;
-            let event = std::mem::replace(&mut self.slots[slot as usize], Event::None);
-            self.free.push(slot);
-            self.happens(event);
+            self.event_count += 1;
+            let event = std::mem::replace(&mut self.event_slots[slot as usize], Event::None);
+            self.free_slots.push(slot);
+            self.handle(event);
         }
         self.now = self.end;
-        let sites = &self.sites;
-        self.truth.ended(self.end, &|who, scope| fleet::concerns(&sites[who], scope));
+        let placements = &self.placements;
+        self.checker
+            .check_final_state(self.end, &|process, scope| fleet::in_scope(&placements[process], scope));
     }
 
     /// What is known from the start: who starts when, what changes when, who restarts, and the faults.
-    fn begins(&mut self) {
+    fn schedule_plan(&mut self) {
         let plan = self.plan;
         for at in 0..plan.voters {
-            self.at(100 * MILLI, Event::Voter(at));
-            let links = plan.voters - 1 + plan.control;
-            (0..links).for_each(|_| self.voter_meters[at].link(0, true));
+            self.schedule(100 * MILLISECOND, Event::VoterTimer(at));
+            let links = plan.voters - 1 + plan.control_machines;
+            (0..links).for_each(|_| self.voter_meters[at].link_changed(0, true));
         }
-        for at in 0..plan.control {
-            (0..plan.voters).for_each(|_| self.procs[at].meter.link(0, true));
+        for at in 0..plan.control_machines {
+            (0..plan.voters).for_each(|_| self.processes[at].meter.link_changed(0, true));
         }
-        for at in 0..self.procs.len() {
+        for at in 0..self.processes.len() {
             // Proxies come when there is something to be had, relays first.
-            let warm = self.begin;
-            let within = match self.sites[at].role {
-                Role::Control => 0..200 * MILLI,
-                Role::Relay => warm * 45 / 100..warm * 52 / 100,
-                Role::Proxy => warm * 54 / 100..warm * 68 / 100,
+            let warm_up = self.measure_start;
+            let within = match self.placements[at].role {
+                Role::Control => 0..200 * MILLISECOND,
+                Role::Relay => warm_up * 45 / 100..warm_up * 52 / 100,
+                Role::Proxy => warm_up * 54 / 100..warm_up * 68 / 100,
             };
             let start = self.random.random_range(within);
-            self.at(start, Event::Starts(at, Disk::Empty));
+            self.schedule(start, Event::Start(at, DiskState::Empty));
         }
         // Each resource is written once while the fleet warms up, many as one change.
         let mut groups: Vec<Vec<(usize, String)>> = vec![Vec::new()];
         let mut bytes = 0;
-        for key in 0..self.truth.keys.len() {
-            let patch = self.drawn_patch(key);
-            bytes += patch.len() + RESOURCE;
-            if bytes > GROUP {
+        for resource_index in 0..self.checker.resources.len() {
+            let patch = self.draw_patch(resource_index);
+            bytes += patch.len() + RESOURCE_OVERHEAD;
+            if bytes > WARM_UP_CHANGE_BYTES {
                 (bytes, groups) = (0, [groups, vec![Vec::new()]].concat());
             }
-            groups.last_mut().expect("never empty").push((key, patch));
+            groups.last_mut().expect("never empty").push((resource_index, patch));
         }
-        let (from, until, count) = (SECOND, self.begin * 25 / 100, groups.len() as Nanos);
+        let (from, until, count) = (SECOND, self.measure_start * 25 / 100, groups.len() as Nanos);
         for (number, changes) in groups.into_iter().enumerate() {
             let at = from + until.saturating_sub(from) * number as Nanos / count;
-            self.offer_all(at, changes);
+            self.propose_all_at(at, changes);
         }
-        let mut at = self.begin;
+        let mut at = self.measure_start;
         loop {
-            at += self.gap(plan.changes_per_second);
+            at += self.exponential_gap(plan.changes_per_second);
             if at >= self.end {
                 break;
             }
-            let key = self.drawn_key();
-            self.offer_at(at, key);
+            let resource_index = self.draw_resource();
+            self.propose_at(at, resource_index);
         }
         let restarts = plan.restarts_per_day * plan.proxies as f64 / 86_400.0;
-        let mut at = self.begin;
+        let mut at = self.measure_start;
         loop {
-            at += self.gap(restarts);
+            at += self.exponential_gap(restarts);
             if at + 4 * SECOND >= self.end {
                 break;
             }
-            let who = plan.control + self.random.random_range(0..plan.proxies);
-            self.procs[who].keeps = true;
-            self.at(at, Event::Dies(who, false));
-            self.at(at + 2 * SECOND, Event::Starts(who, Disk::Kept));
+            let process = plan.control_machines + self.random.random_range(0..plan.proxies);
+            self.processes[process].disk_is_read = true;
+            self.schedule(at, Event::Kill(process, false));
+            self.schedule(at + 2 * SECOND, Event::Start(process, DiskState::Kept));
         }
         for (number, fault) in plan.faults.iter().enumerate() {
-            let begins = self.begin + (fault.at * 1e9) as Nanos;
-            self.at(begins, Event::Begins(number));
-            self.at(begins + (fault.seconds * 1e9) as Nanos, Event::Ends(number));
-            if let Some(who) = self.named(fault) {
-                self.procs[who].keeps = true;
+            let starts_at = self.measure_start + (fault.start_seconds * 1e9) as Nanos;
+            self.schedule(starts_at, Event::FaultStart(number));
+            self.schedule(starts_at + (fault.seconds * 1e9) as Nanos, Event::FaultEnd(number));
+            if let Some(process) = self.fault_target(fault) {
+                self.processes[process].disk_is_read = true;
             }
-            if fault.kind == Kind::HalfSite {
-                self.half_site(fault).into_iter().for_each(|who| self.procs[who].keeps = true);
+            if fault.kind == FaultKind::HalfSite {
+                self.half_site_processes(fault)
+                    .into_iter()
+                    .for_each(|process| self.processes[process].disk_is_read = true);
             }
-            if let (Kind::Burst, Some(count)) = (fault.kind, fault.count) {
+            if let (FaultKind::Burst, Some(count)) = (fault.kind, fault.count) {
                 for _ in 0..count {
-                    let at = begins + self.random.random_range(0..SECOND);
-                    let key = self.drawn_key();
-                    self.offer_at(at, key);
+                    let at = starts_at + self.random.random_range(0..SECOND);
+                    let resource_index = self.draw_resource();
+                    self.propose_at(at, resource_index);
                 }
             }
         }
-        self.at(self.begin, Event::Measure);
-        self.at(POLL, Event::Poll);
-        self.at(LOOK, Event::Look);
+        self.schedule(self.measure_start, Event::StartMeasurement);
+        self.schedule(SUMMARY_CHECK_INTERVAL, Event::CheckSummary);
+        self.schedule(CATCH_UP_CHECK_INTERVAL, Event::CheckCatchUp);
     }
 }
 
-pub fn size(what: &impl serde::Serialize) -> usize {
-    postcard::experimental::serialized_size(what).unwrap_or(0) + FRAME
+pub fn frame_bytes(message: &impl serde::Serialize) -> usize {
+    postcard::experimental::serialized_size(message).unwrap_or(0) + FRAME_OVERHEAD
 }
--- a/crates/lab/src/scale/voters.rs
+++ b/crates/lab/src/scale/voters.rs
@@ -2,12 +2,12 @@
 //! the whole record every few seconds, to see whether a value of it has changed. The voters are the real ones; links and
 //! beats are counted by their constants.
 
-use super::agree::{self, Clock, PATIENCE, Said, Seat};
-use super::fleet::{self, Site};
-use super::meter::{Meter, beats, segments};
+use super::agree::{self, ANSWER_TIMEOUT, Clock, SimulatedVoter, VoterOutput};
+use super::fleet::{self, Placement};
+use super::meter::{Meter, heartbeat_rates, segments};
 use super::plan::Plan;
-use super::report::{LIMIT, Times, times};
-use super::virt::{MILLI, SECOND, size};
+use super::report::{PROXY_BYTE_LIMIT, TimeStats, time_stats};
+use super::virt::{MILLISECOND, SECOND, frame_bytes};
 use pumicebay_accord::{Message, Operation, OperationId, OperationKind, ProcessId, Reply, StoreId};
 use pumicebay_carrier::Nanos;
 use rand::rngs::SmallRng;
@@ -18,113 +18,127 @@
 use std::fmt::Write;
 
 /// Links that a voter takes by default (`fleet.links`), and what its record may hold.
-const LINKS: usize = 1024;
+const MAX_VOTER_LINKS: usize = 1024;
 /// The configuration that the record has: as much as fits beside leases.
-const VALUE: usize = 60 * 1024;
+const VALUE_BYTES: usize = 60 * 1024;
 
 /// What came of it.
 #[derive(Debug, Default, PartialEq, Serialize)]
-pub struct Found {
+pub struct VotersOnlyReport {
     pub seed: u64,
     pub proxies: usize,
     pub voters: usize,
     pub seconds: f64,
     /// By arithmetic: links at each voter, the limit, and beats with headers that these links are a second.
     pub links: usize,
-    pub most_links: usize,
-    pub beats_per_second: f64,
+    #[serde(rename = "most_links")]
+    pub max_links: usize,
+    #[serde(rename = "beats_per_second")]
+    pub heartbeat_bytes_per_second: f64,
     /// Asks, those that one voter turned away or left open, and those that got an answer.
-    pub asks: usize,
-    pub turned_away: usize,
+    #[serde(rename = "asks")]
+    pub reads: usize,
+    #[serde(rename = "turned_away")]
+    pub rejected: usize,
     pub unanswered: usize,
     pub answered: usize,
     /// At a voter, as played without the limit on links: bytes a second without beats; the worst second with them.
     pub voter_bytes_per_second: f64,
-    pub voter_worst: u64,
-    pub proxy_worst: u64,
+    #[serde(rename = "voter_worst")]
+    pub voter_peak_bytes: u64,
+    #[serde(rename = "proxy_worst")]
+    pub proxy_peak_bytes: u64,
     pub record_bytes: usize,
     /// From a change's settling until the last proxy has read it.
-    pub seen: Times,
+    #[serde(rename = "latencies")]
+    pub read_latency: TimeStats,
     pub changes: usize,
     pub unfinished: usize,
     pub limits: Vec<String>,
 }
 
 enum Event {
-    Vote(StoreId, StoreId, Message),
-    Ask(usize, Operation),
-    Answer(usize, Reply, usize, u64),
-    Voter(usize),
+    VoterMessage(StoreId, StoreId, Message),
+    VoterOperation(usize, Operation),
+    VoterAnswer(usize, Reply, usize, u64),
+    VoterTimer(usize),
     Poll(usize),
-    Change,
-    Patience(usize, u64),
+    WriteValue,
+    AnswerTimeout(usize, u64),
 }
 
-struct Asker {
-    good: usize,
+struct PollingProxy {
+    preferred_voter: usize,
     number: u64,
     open: Option<(u64, Nanos)>,
-    seen: u64,
+    read_version: u64,
     meter: Meter,
 }
 
 struct Fleet<'a> {
     plan: &'a Plan,
-    sites: Vec<Site>,
+    placements: Vec<Placement>,
     random: SmallRng,
     now: Nanos,
-    heap: BinaryHeap<Reverse<(Nanos, u64)>>,
+    queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
-    last: u64,
-    seats: Vec<Seat>,
+    last_sequence: u64,
+    voters: Vec<SimulatedVoter>,
     meters: Vec<Meter>,
-    askers: Vec<Asker>,
+    polling_proxies: Vec<PollingProxy>,
     /// Versions of the record at which the value changed, when, and how many have not read them yet.
     changes: Vec<(u64, Nanos, usize, Option<Nanos>)>,
-    found: Found,
-    sizes: BTreeMap<u64, usize>,
+    report: VotersOnlyReport,
+    record_sizes: BTreeMap<u64, usize>,
     writes: u64,
 }
 
-pub fn play(plan: &Plan, seed: u64) -> Found {
+pub fn run(plan: &Plan, seed: u64) -> VotersOnlyReport {
     let mut random = SmallRng::seed_from_u64(seed);
-    let sites = fleet::everyone(plan);
+    let placements = fleet::place_processes(plan);
     let ppm = plan.clocks_ppm;
-    let mut clock = || Clock { ppm: if ppm > 0 { random.random_range(-ppm..=ppm) } else { 0 }, origin: 0 };
-    let seats = agree::seats(plan, &mut clock);
-    let askers = (0..plan.proxies)
-        .map(|at| Asker { good: at % plan.voters, number: 0, open: None, seen: 0, meter: Meter::default() })
+    let mut clock =
+        || Clock { ppm: if ppm > 0 { random.random_range(-ppm..=ppm) } else { 0 }, started_at: 0 };
+    let voters = agree::start_voters(plan, &mut clock);
+    let polling_proxies = (0..plan.proxies)
+        .map(|at| PollingProxy {
+            preferred_voter: at % plan.voters,
+            number: 0,
+            open: None,
+            read_version: 0,
+            meter: Meter::default(),
+        })
         .collect();
     let links = plan.proxies + plan.voters - 1;
-    let (_, beat, _) = beats();
-    let found = Found {
+    let (_, beat, _) = heartbeat_rates();
+    let report = VotersOnlyReport {
         seed,
         proxies: plan.proxies,
         voters: plan.voters,
         seconds: plan.seconds,
         links,
-        most_links: LINKS,
-        beats_per_second: (links as u64 * beat) as f64,
-        ..Found::default()
+        max_links: MAX_VOTER_LINKS,
+        heartbeat_bytes_per_second: (links as u64 * beat) as f64,
+        ..VotersOnlyReport::default()
     };
     let mut fleet = Fleet {
         plan,
-        sites,
+        placements,
         random,
         now: 0,
-        heap: BinaryHeap::new(),
+        queue: BinaryHeap::new(),
         events: BTreeMap::new(),
-        last: 0,
+        last_sequence: 0,
         meters: vec![Meter::default(); plan.voters],
-        seats,
-        askers,
+        voters,
+        polling_proxies,
         changes: Vec::new(),
-        found,
-        sizes: BTreeMap::new(),
+        report,
+        record_sizes: BTreeMap::new(),
         writes: 0,
     };
     fleet.run();
-    fleet.found
+    fleet.report
 }
 
 impl Fleet<'_> {
@@ -132,35 +146,35 @@
         let end = (self.plan.seconds * 1e9) as Nanos;
         let every = (self.plan.poll_seconds * 1e9) as Nanos;
         for voter in 0..self.plan.voters {
-            (0..self.found.links).for_each(|_| self.meters[voter].link(0, true));
-            self.at(100 * MILLI, Event::Voter(voter));
+            (0..self.report.links).for_each(|_| self.meters[voter].link_changed(0, true));
+            self.schedule(100 * MILLISECOND, Event::VoterTimer(voter));
         }
-        for who in 0..self.askers.len() {
-            (0..self.plan.voters).for_each(|_| self.askers[who].meter.link(0, true));
-            let first = SECOND + self.random.random_range(0..every);
-            self.at(first, Event::Poll(who));
+        for proxy in 0..self.polling_proxies.len() {
+            (0..self.plan.voters).for_each(|_| self.polling_proxies[proxy].meter.link_changed(0, true));
+            let initial_delay = SECOND + self.random.random_range(0..every);
+            self.schedule(initial_delay, Event::Poll(proxy));
         }
-        self.at(SECOND / 2, Event::Change);
-        while let Some(Reverse((at, number))) = self.heap.pop() {
+        self.schedule(SECOND / 2, Event::WriteValue);
+        while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.happens(event);
+                self.handle(event);
             }
         }
         self.now = end;
-        self.ended();
+        self.finish();
     }
 
-    fn ended(&mut self) {
-        let mut seen: Vec<f64> = Vec::new();
+    fn finish(&mut self) {
+        let mut latencies: Vec<f64> = Vec::new();
         // The first is the value itself, and what changed a moment ago had no time.
         for (_, settled, left, done) in self.changes.iter().skip(1) {
             match done {
-                Some(done) => seen.push((done - settled) as f64 / 1e9),
-                None => self.found.unfinished += usize::from(*left > 0 && settled + 9 * SECOND < self.now),
+                Some(done) => latencies.push((done - settled) as f64 / 1e9),
+                None => self.report.unfinished += usize::from(*left > 0 && settled + 9 * SECOND < self.now),
             }
         }
         let bytes = |meter: &Meter| {
@@ -168,120 +182,137 @@
             sent.frames + sent.headers + received.frames + received.headers
         };
         let seconds = self.plan.seconds;
-        let found = &mut self.found;
-        found.changes = self.changes.len().saturating_sub(1);
-        found.seen = times(&mut seen);
-        found.voter_bytes_per_second =
+        let report = &mut self.report;
+        report.changes = self.changes.len().saturating_sub(1);
+        report.read_latency = time_stats(&mut latencies);
+        report.voter_bytes_per_second =
             self.meters.iter().map(bytes).sum::<u64>() as f64 / seconds / self.meters.len() as f64;
-        found.voter_worst = self.meters.iter().map(|meter| meter.worst).max().unwrap_or(0);
-        found.proxy_worst = self.askers.iter().map(|asker| asker.meter.worst).max().unwrap_or(0);
-        found.record_bytes = self.sizes.values().copied().max().unwrap_or(0);
+        report.voter_peak_bytes = self.meters.iter().map(|meter| meter.peak_bytes).max().unwrap_or(0);
+        report.proxy_peak_bytes = self
+            .polling_proxies
+            .iter()
+            .map(|polling_proxy| polling_proxy.meter.peak_bytes)
+            .max()
+            .unwrap_or(0);
+        report.record_bytes = self.record_sizes.values().copied().max().unwrap_or(0);
         let mut limits = Vec::new();
-        if found.links > LINKS {
+        if report.links > MAX_VOTER_LINKS {
             limits.push(format!(
-                "links: {} at each voter, {LINKS} at most (fleet.links): broken from {} proxies on",
-                found.links,
-                LINKS + 2 - found.voters
+                "links: {} at each voter, {MAX_VOTER_LINKS} at most (fleet.links): broken from {} proxies on",
+                report.links,
+                MAX_VOTER_LINKS + 2 - report.voters
             ));
         }
-        let reads = found.record_bytes as f64 * found.proxies as f64 / self.plan.poll_seconds;
+        let read_bytes_per_second =
+            report.record_bytes as f64 * report.proxies as f64 / self.plan.poll_seconds;
         limits.push(format!(
             "bytes: {:.1} MB a second of records from the voters together, by arithmetic",
-            reads / 1e6
+            read_bytes_per_second / 1e6
         ));
-        if found.proxy_worst > LIMIT {
-            limits.push(format!("a proxy's {LIMIT} B a second: {} in its worst one", found.proxy_worst));
+        if report.proxy_peak_bytes > PROXY_BYTE_LIMIT {
+            limits.push(format!(
+                "a proxy's {PROXY_BYTE_LIMIT} B a second: {} in its worst one",
+                report.proxy_peak_bytes
+            ));
         }
-        found.limits = limits;
+        report.limits = limits;
     }
 
-    fn at(&mut self, at: Nanos, event: Event) {
-        self.last += 1;
-        self.events.insert(self.last, event);
-        self.heap.push(Reverse((at, self.last)));
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_sequence += 1;
+        self.events.insert(self.last_sequence, event);
+        self.queue.push(Reverse((at, self.last_sequence)));
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Vote(to, from, message) => {
+            Event::VoterMessage(to, from, message) => {
                 let at = to as usize - 1;
-                let bytes = size(&message);
-                self.meters[at].receives(self.now, bytes, segments(bytes));
-                self.voter(at, |voter, now, acts| voter.message_received(now, from, message, acts));
+                let bytes = frame_bytes(&message);
+                self.meters[at].record_received(self.now, bytes, segments(bytes));
+                self.with_voter(at, |voter, now, effects| {
+                    voter.message_received(now, from, message, effects)
+                });
+            }
+            Event::VoterOperation(at, operation) => {
+                let bytes = frame_bytes(&operation);
+                self.meters[at].record_received(self.now, bytes, segments(bytes));
+                self.with_voter(at, |voter, now, effects| voter.submit(now, operation, effects));
+            }
+            Event::VoterTimer(at) => {
+                self.with_voter(at, |voter, now, effects| voter.timer_fired(now, effects))
             }
-            Event::Ask(at, ask) => {
-                let bytes = size(&ask);
-                self.meters[at].receives(self.now, bytes, segments(bytes));
-                self.voter(at, |voter, now, acts| voter.submit(now, ask, acts));
+            Event::VoterAnswer(proxy, reply, bytes, number) => {
+                self.answer_received(proxy, reply, bytes, number)
             }
-            Event::Voter(at) => self.voter(at, |voter, now, acts| voter.timer_fired(now, acts)),
-            Event::Answer(who, reply, bytes, number) => self.answered(who, reply, bytes, number),
-            Event::Poll(who) => self.poll(who),
-            Event::Patience(who, number) => {
-                if self.askers[who].open.is_some_and(|(open, _)| open == number) {
-                    self.askers[who].good = (self.askers[who].good + 1) % self.plan.voters;
-                    self.askers[who].open = None;
-                    self.found.unanswered += 1;
-                    self.ask(who);
+            Event::Poll(proxy) => self.poll(proxy),
+            Event::AnswerTimeout(proxy, number) => {
+                if self.polling_proxies[proxy].open.is_some_and(|(open, _)| open == number) {
+                    self.polling_proxies[proxy].preferred_voter =
+                        (self.polling_proxies[proxy].preferred_voter + 1) % self.plan.voters;
+                    self.polling_proxies[proxy].open = None;
+                    self.report.unanswered += 1;
+                    self.submit_read(proxy);
                 }
             }
-            Event::Change => self.change(),
+            Event::WriteValue => self.write_value(),
         }
     }
 
     /// An operator writes the value anew, through the first voter.
-    fn change(&mut self) {
+    fn write_value(&mut self) {
         self.writes += 1;
-        let text = format!("{:0VALUE$}", self.writes);
-        let want =
+        let text = format!("{:0VALUE_BYTES$}", self.writes);
+        let kind =
             OperationKind::Put { name: "configuration".into(), text, expected_version: None, fence: None };
-        let who = ProcessId { name: "operator".into(), incarnation: 1 };
-        let ask = Operation { id: OperationId { process: who, number: self.writes }, kind: want };
-        self.at(self.now + MILLI, Event::Ask(0, ask));
+        let process = ProcessId { name: "operator".into(), incarnation: 1 };
+        let operation = Operation { id: OperationId { process, number: self.writes }, kind };
+        self.schedule(self.now + MILLISECOND, Event::VoterOperation(0, operation));
         let gap =
             -(1.0 - self.random.random_range(0.0..1.0f64)).ln() / self.plan.changes_per_second.max(1e-3);
-        let first = if self.writes == 1 { 2 * self.plan.poll_seconds as Nanos * SECOND } else { 0 };
-        self.at(self.now + first + (gap * 1e9) as Nanos, Event::Change);
+        let initial_delay = if self.writes == 1 { 2 * self.plan.poll_seconds as Nanos * SECOND } else { 0 };
+        self.schedule(self.now + initial_delay + (gap * 1e9) as Nanos, Event::WriteValue);
     }
 
-    fn poll(&mut self, who: usize) {
+    fn poll(&mut self, proxy: usize) {
         let every = (self.plan.poll_seconds * 1e9) as Nanos;
-        self.at(self.now + every, Event::Poll(who));
-        if self.askers[who].open.is_none() {
-            self.ask(who);
+        self.schedule(self.now + every, Event::Poll(proxy));
+        if self.polling_proxies[proxy].open.is_none() {
+            self.submit_read(proxy);
         }
     }
 
-    fn ask(&mut self, who: usize) {
-        self.found.asks += 1;
-        let asker = &mut self.askers[who];
-        asker.number += 1;
-        asker.open = Some((asker.number, self.now));
-        let (number, to) = (asker.number, asker.good);
-        let name = self.sites[self.plan.control + who].name.clone();
-        let id = OperationId { process: ProcessId { name, incarnation: who as u64 }, number };
-        let ask = Operation { id, kind: OperationKind::Read };
-        let bytes = size(&ask);
-        asker.meter.sends(self.now, bytes, segments(bytes));
-        let (here, there) = (fleet::spot(&self.sites[self.plan.control + who]), self.seats[to].spot);
-        let way = fleet::way(self.plan, here, there, segments(bytes), &mut self.random);
-        self.at(self.now + way, Event::Ask(to, ask));
-        self.at(self.now + PATIENCE, Event::Patience(who, number));
+    fn submit_read(&mut self, proxy: usize) {
+        self.report.reads += 1;
+        let polling_proxy = &mut self.polling_proxies[proxy];
+        polling_proxy.number += 1;
+        polling_proxy.open = Some((polling_proxy.number, self.now));
+        let (number, to) = (polling_proxy.number, polling_proxy.preferred_voter);
+        let name = self.placements[self.plan.control_machines + proxy].name.clone();
+        let id = OperationId { process: ProcessId { name, incarnation: proxy as u64 }, number };
+        let operation = Operation { id, kind: OperationKind::Read };
+        let bytes = frame_bytes(&operation);
+        polling_proxy.meter.record_sent(self.now, bytes, segments(bytes));
+        let (here, there) =
+            (fleet::endpoint(&self.placements[self.plan.control_machines + proxy]), self.voters[to].endpoint);
+        let transit = fleet::transit_time(self.plan, here, there, segments(bytes), &mut self.random);
+        self.schedule(self.now + transit, Event::VoterOperation(to, operation));
+        self.schedule(self.now + ANSWER_TIMEOUT, Event::AnswerTimeout(proxy, number));
     }
 
-    fn answered(&mut self, who: usize, reply: Reply, bytes: usize, number: u64) {
-        let asker = &mut self.askers[who];
-        asker.meter.receives(self.now, bytes, segments(bytes));
-        if asker.open.is_none_or(|(open, _)| open != number) {
+    fn answer_received(&mut self, proxy: usize, reply: Reply, bytes: usize, number: u64) {
+        let polling_proxy = &mut self.polling_proxies[proxy];
+        polling_proxy.meter.record_received(self.now, bytes, segments(bytes));
+        if polling_proxy.open.is_none_or(|(open, _)| open != number) {
             return;
         }
         match reply {
             Reply::Record(record) => {
-                self.found.answered += 1;
-                asker.open = None;
+                self.report.answered += 1;
+                polling_proxy.open = None;
                 let version = record.0.values.get("configuration").map_or(0, |entry| entry.version);
-                let before = asker.seen;
-                asker.seen = version.max(before);
+                let before = polling_proxy.read_version;
+                polling_proxy.read_version = version.max(before);
                 for (changed, _, left, done) in self.changes.iter_mut().rev() {
                     if *changed <= before {
                         break;
@@ -295,55 +326,59 @@
                 }
             }
             // Turned away: its patience ends, and the next is asked.
-            _ => self.found.turned_away += 1,
+            _ => self.report.rejected += 1,
         }
     }
 
-    fn voter(
+    fn with_voter(
         &mut self,
         at: usize,
-        what: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Effects),
+        call: impl FnOnce(&mut pumicebay_accord::Voter, Nanos, &mut pumicebay_accord::Effects),
     ) {
-        let chance = self.random.random_range(0.0..1.0);
-        let Said { messages, answers, wake, kept } = self.seats[at].act(self.now, chance, what);
-        if let Some(wake) = wake {
-            self.at(wake.max(self.now + MILLI), Event::Voter(at));
+        let random = self.random.random_range(0.0..1.0);
+        let VoterOutput { messages, answers, wake_at, persisted } =
+            self.voters[at].run(self.now, random, call);
+        if let Some(wake_at) = wake_at {
+            self.schedule(wake_at.max(self.now + MILLISECOND), Event::VoterTimer(at));
         }
-        let later = if kept { (self.plan.disk_ms * 1e6) as Nanos } else { 0 };
-        let here = self.seats[at].spot;
+        let later = if persisted { (self.plan.disk_ms * 1e6) as Nanos } else { 0 };
+        let here = self.voters[at].endpoint;
         for (to, message) in messages {
-            let there = self.seats[to as usize - 1].spot;
-            let bytes = size(&message);
-            self.meters[at].sends(self.now, bytes, segments(bytes));
-            let way = fleet::way(self.plan, here, there, segments(bytes), &mut self.random);
-            self.at(self.now + later + way, Event::Vote(to, at as StoreId + 1, message));
+            let there = self.voters[to as usize - 1].endpoint;
+            let bytes = frame_bytes(&message);
+            self.meters[at].record_sent(self.now, bytes, segments(bytes));
+            let transit = fleet::transit_time(self.plan, here, there, segments(bytes), &mut self.random);
+            self.schedule(self.now + later + transit, Event::VoterMessage(to, at as StoreId + 1, message));
         }
         for answer in answers {
             if answer.id.process.name == "operator" {
                 if let Reply::Written(version) = answer.reply {
-                    self.changes.push((version, self.now, self.askers.len(), None));
+                    self.changes.push((version, self.now, self.polling_proxies.len(), None));
                 }
                 continue;
             }
-            let who = answer.id.process.incarnation as usize;
+            let proxy = answer.id.process.incarnation as usize;
             // The same record goes to many: its size is taken once.
             let bytes = match &answer.reply {
                 Reply::Record(record) => {
                     let record_bytes =
-                        *self.sizes.entry(record.0.version).or_insert_with(|| record.0.encoded_size());
+                        *self.record_sizes.entry(record.0.version).or_insert_with(|| record.0.encoded_size());
                     record_bytes + 40
                 }
-                _ => size(&answer),
+                _ => frame_bytes(&answer),
             };
-            self.meters[at].sends(self.now, bytes, segments(bytes));
-            let there = fleet::spot(&self.sites[self.plan.control + who]);
-            let way = fleet::way(self.plan, here, there, 1, &mut self.random);
-            self.at(self.now + later + way, Event::Answer(who, answer.reply, bytes, answer.id.number));
+            self.meters[at].record_sent(self.now, bytes, segments(bytes));
+            let there = fleet::endpoint(&self.placements[self.plan.control_machines + proxy]);
+            let transit = fleet::transit_time(self.plan, here, there, 1, &mut self.random);
+            self.schedule(
+                self.now + later + transit,
+                Event::VoterAnswer(proxy, answer.reply, bytes, answer.id.number),
+            );
         }
     }
 }
 
-impl Found {
+impl VotersOnlyReport {
     pub fn summary(&self) -> String {
         let mut lines = format!(
             "seed {} (virtual, simulated, without the carrier): {} proxies at {} voters, {} s\n  by arithmetic: {} links at each voter, \
@@ -355,18 +390,18 @@
             self.voters,
             self.seconds,
             self.links,
-            self.beats_per_second / 1e6,
-            self.asks,
+            self.heartbeat_bytes_per_second / 1e6,
+            self.reads,
             self.answered,
-            self.turned_away,
+            self.rejected,
             self.unanswered,
             self.voter_bytes_per_second / 1e6,
-            self.voter_worst as f64 / 1e6,
-            self.proxy_worst,
+            self.voter_peak_bytes as f64 / 1e6,
+            self.proxy_peak_bytes,
             self.changes,
-            self.seen.median,
-            self.seen.longest,
-            self.seen.count,
+            self.read_latency.median,
+            self.read_latency.longest,
+            self.read_latency.count,
             self.unfinished,
         );
         for limit in &self.limits {
--- a/crates/lab/tests/carrier.rs
+++ b/crates/lab/tests/carrier.rs
@@ -16,9 +16,9 @@
 
 #[test]
 fn changes_come_through_faults_between_real_processes() {
-    let outcome = real::play(&plan(), 1, Path::new(LAB)).expect("a play");
-    println!("{}{}", real::head(), outcome.summary());
-    assert!(outcome.wrong.is_empty(), "{}\n{}", outcome.summary(), outcome.logs.join("\n"));
+    let outcome = real::run(&plan(), 1, Path::new(LAB)).expect("a play");
+    println!("{}{}", real::table_header(), outcome.summary());
+    assert!(outcome.violations.is_empty(), "{}\n{}", outcome.summary(), outcome.logs.join("\n"));
     assert!(
         outcome.faults.len() >= 2 && outcome.settled >= 3 && outcome.claims >= 1 && outcome.pairs >= 10,
         "hardly anything happened: {}",
@@ -29,6 +29,6 @@
 #[test]
 fn a_seed_draws_the_same_faults_again() {
     let plan = Plan { seconds: 60.0, ..plan() };
-    assert_eq!(real::drawn(&plan, 7), real::drawn(&plan, 7));
-    assert_ne!(real::drawn(&plan, 7), real::drawn(&plan, 8));
+    assert_eq!(real::draw_faults(&plan, 7), real::draw_faults(&plan, 7));
+    assert_ne!(real::draw_faults(&plan, 7), real::draw_faults(&plan, 8));
 }
