--- a/crates/lab/src/scale/agree.rs
+++ b/crates/lab/src/scale/agree.rs
@@ -1,5 +1,6 @@
-//! The voters, with the code that decides for them, their clocks and disks; and how a control machine asks them: for the
-//! lease `carrier`, for the record, and for a value to be written.
+//! Simulated voters, which run the voter code of the proxies with their own clocks and disks, and the state
+//! of control machines as their clients: for the lease `carrier`, for reads of the record, and for writes of
+//! a value.
 
 use super::fleet::Endpoint;
 use super::plan::Plan;
@@ -11,33 +12,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const MILLISECOND: Nanos = 1_000_000;
-/// The same as the processes have.
+/// Timeout of a quorum round, with the value of the real processes, as those of the next two constants.
 const ROUND_TIMEOUT: Nanos = 250 * MILLISECOND;
+/// Time after which a voter gives up an operation.
 const OPERATION_TIMEOUT: Nanos = 2_000 * MILLISECOND;
+/// Largest number of operations that a voter runs at once.
 const MAX_PENDING_OPERATIONS: usize = 1024;
-/// How long one voter has before the next is asked, and after one that could not say.
+/// Time that one voter has to answer before the operation is sent to the next one.
 pub const ANSWER_TIMEOUT: Nanos = 600 * MILLISECOND;
+/// Delay before the next voter is asked after one was busy or did not know the outcome.
 pub const BUSY_RETRY_DELAY: Nanos = 50 * MILLISECOND;
-/// How long an ask is tried at all.
+/// Time after which a control machine stops retrying an operation.
 pub const OPERATION_DEADLINE: Nanos = 2_000 * MILLISECOND;
 
-/// A clock that counts from the start of its process, somewhat too fast or too slow.
+/// Local clock of a process: counts from the start of the process, with a constant drift.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
+    /// Drift in parts per million; positive for a fast clock.
     pub ppm: i64,
+    /// Global time of the process start.
     pub started_at: Nanos,
 }
 
-/// What a process's clock shows at its start: spans below it must not go under zero.
+/// Local time at process start; large enough that subtracting a duration from a local time never goes below
+/// zero.
 const CLOCK_BASE: Nanos = 1_000_000_000_000;
 
 impl Clock {
+    /// Converts global simulated time to local time.
     pub fn local_time(self, global: Nanos) -> Nanos {
         let span = i128::from(global) - i128::from(self.started_at);
         (i128::from(CLOCK_BASE) + span * i128::from(1_000_000 + self.ppm) / 1_000_000) as Nanos
     }
 
-    /// When this clock will show that, rounded up.
+    /// Converts local time to the global time at which this clock shows it, rounded up; `Nanos::MAX` (never)
+    /// stays.
     pub fn global_time(self, local: Nanos) -> Nanos {
         if local == Nanos::MAX {
             return Nanos::MAX;
@@ -48,12 +57,17 @@
     }
 }
 
+/// A voter with its clock and location.
 pub struct SimulatedVoter {
+    /// The voter code of the real processes.
     pub voter: Voter,
+    /// Clock that all calls of the voter use.
     pub clock: Clock,
+    /// Location, for the delays of its messages.
     pub endpoint: Endpoint,
 }
 
+/// Starts all voters of a plan, with a bootstrapped record; each takes its clock from `next_clock`.
 pub fn start_voters(plan: &Plan, next_clock: &mut dyn FnMut() -> Clock) -> Vec<SimulatedVoter> {
     let members: Vec<Member> = (0..plan.voters)
         .map(|index| Member { name: format!("voter-{index}"), store: index as u64 + 1 })
@@ -80,37 +94,53 @@
     members.iter().enumerate().map(start).collect()
 }
 
-/// What an ask of a control machine is for.
+/// Why a control machine sent an operation.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum OperationPurpose {
+    /// Acquires, renews or releases the lease.
     Lease,
+    /// Reads the record for the publisher.
     Read,
+    /// Writes the record for the publisher.
     Write,
 }
 
+/// An operation that has no conclusive answer yet.
 pub struct PendingOperation {
+    /// The operation, sent again unchanged in each retry.
     pub operation: Operation,
+    /// Who receives the answer.
     pub purpose: OperationPurpose,
+    /// Global time of the first send.
     pub submitted_at: Nanos,
 }
 
-/// What a control machine is beside its node.
+/// State of a control machine beside its node of the tree.
 pub struct ControlMachine {
+    /// Identity of this incarnation.
     pub process: ProcessId,
+    /// Client side of the lease.
     pub lease_client: LeaseClient,
+    /// Number of the last operation.
     pub last_operation_number: u64,
+    /// Voter that is asked first: the last one asked.
     pub preferred_voter: usize,
+    /// Operations without a conclusive answer, by number.
     pub pending: BTreeMap<u64, PendingOperation>,
+    /// The publisher, while this machine holds the lease.
     pub publisher: Option<Publisher>,
+    /// Fencing token of the held lease.
     pub token: Option<u64>,
-    /// Changes that it was offered and has not answered.
+    /// Numbers of the proposals that it received and has not answered.
     pub proposals: BTreeSet<u64>,
-    /// Times at which it and its publisher look at their clocks.
+    /// Global time of the next timer of the lease client; `Nanos::MAX` for none.
     pub wake_at: Nanos,
+    /// Global time of the next timer of the publisher; `Nanos::MAX` for none.
     pub publisher_wake_at: Nanos,
 }
 
 impl ControlMachine {
+    /// State after a start at local time `now`.
     pub fn new(
         plan: &Plan,
         now: Nanos,
@@ -134,11 +164,13 @@
         }
     }
 
+    /// Takes the next operation number.
     pub fn next_operation_number(&mut self) -> u64 {
         self.last_operation_number += 1;
         self.last_operation_number
     }
 
+    /// Registers a new operation as pending and returns its number.
     pub fn start_operation(&mut self, purpose: OperationPurpose, now: Nanos, kind: OperationKind) -> u64 {
         let number = self.next_operation_number();
         let operation = Operation { id: OperationId { process: self.process.clone(), number }, kind };
@@ -147,16 +179,20 @@
     }
 }
 
-/// What a voter wants sent, to whom, and when it looks at its clock next.
+/// Effects of one call of a voter.
 pub struct VoterOutput {
+    /// Messages to other voters.
     pub messages: Vec<(StoreId, Message)>,
+    /// Answers to control machines and proxies.
     pub answers: Vec<Answer>,
+    /// Global time of the next timer.
     pub wake_at: Option<Nanos>,
-    /// Whether its disk was written before these go out.
+    /// Whether state was written to disk, which delays the messages and answers.
     pub persisted: bool,
 }
 
 impl SimulatedVoter {
+    /// Calls the voter at global time `now` and collects its effects.
     pub fn run(
         &mut self,
         now: Nanos,
@@ -176,7 +212,7 @@
     }
 }
 
-/// Whether an answer says anything: another voter may know what this one does not.
+/// Whether an answer ends its operation; otherwise another voter may know the outcome.
 pub fn is_conclusive(reply: &Reply) -> bool {
     !matches!(reply, Reply::Busy | Reply::Unknown)
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,38 +1,53 @@
-//! Who there is and where: control machines first, then proxies; names, places and ways.
+//! Processes of the fleet, control machines first, then proxies: names, locations, configuration, and network
+//! delays.
 
 use super::plan::Plan;
 use pumicebay_carrier::{Location, Member, Nanos, Scope, TreeNodeConfig};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// What a lost segment costs.
+/// Time after which a lost segment is sent again.
 const RETRANSMIT_DELAY: Nanos = 200_000_000;
 
+/// Role of a process in the distribution tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
+    /// Leaf.
     Proxy,
+    /// Proxy that accepts children of its site.
     Relay,
+    /// Control machine: the root while it publishes, otherwise a child of the root.
     Control,
 }
 
+/// A process with its role and location.
 pub struct Placement {
+    /// Unique name of the process.
     pub name: String,
+    /// Role in the distribution tree.
     pub role: Role,
+    /// Location as the carrier sees it, by names.
     pub location: Location,
+    /// Index of the region.
     pub region: usize,
+    /// Index of the zone.
     pub zone: usize,
-    /// Control machines have sites of their own.
+    /// Index of the site; control machines have sites of their own.
     pub site: usize,
 }
 
-/// A process that travels the same ways as these: voters are in regions of their own.
+/// Network location of a process or voter, which determines delays.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Endpoint {
+    /// Index of the region.
     pub region: usize,
+    /// Index of the site; unique for each voter.
     pub site: usize,
+    /// Whether the delays between voters apply.
     pub is_voter: bool,
 }
 
+/// Places all control machines and proxies of a plan.
 pub fn place_processes(plan: &Plan) -> Vec<Placement> {
     let location = |region: usize, zone: &str, site: &str| Location {
         region: format!("region-{region:02}"),
@@ -68,10 +83,13 @@
     control.chain(proxies).collect()
 }
 
+/// Name of the proxy with this index: site, then rank within the site.
 pub fn proxy_name(plan: &Plan, index: usize) -> String {
     format!("proxy-{:03}-{:02}", index % plan.sites, index / plan.sites)
 }
 
+/// Carrier configuration of the process with this index. Proxies try the relays of their site, then the
+/// control machines.
 pub fn node_config(plan: &Plan, placements: &[Placement], index: usize, incarnation: u64) -> TreeNodeConfig {
     let placement = &placements[index];
     let control: Vec<String> =
@@ -100,6 +118,7 @@
     }
 }
 
+/// Whether a resource of this scope applies to the process; none applies to control machines.
 pub fn in_scope(site: &Placement, scope: &Scope) -> bool {
     site.role != Role::Control
         && match scope {
@@ -111,7 +130,7 @@
         }
 }
 
-/// All resources of a plan, by scope: fleet, regions, zones, sites, proxies.
+/// Scopes of all resources of a plan, grouped into fleet, regions, zones, sites and proxies.
 pub fn resource_scopes(plan: &Plan, placements: &[Placement]) -> [Vec<Scope>; 5] {
     let per_location = |count: usize, scope: &dyn Fn(usize) -> Scope| {
         (0..count).flat_map(|index| vec![scope(index); plan.resources.per_location]).collect::<Vec<_>>()
@@ -132,11 +151,12 @@
     ]
 }
 
+/// Network location of a process.
 pub fn endpoint(site: &Placement) -> Endpoint {
     Endpoint { region: site.region, site: site.site, is_voter: false }
 }
 
-/// One message's time on its way.
+/// Draws the one-way delay of a message of so many segments, with the retransmission of lost ones.
 pub fn transit_time(
     plan: &Plan,
     from: Endpoint,
--- a/crates/lab/src/scale/meter.rs
+++ b/crates/lab/src/scale/meter.rs
@@ -1,53 +1,65 @@
-//! What a process sends and receives: all of it, and the worst second.
+//! Traffic of a process: totals, and the peak within any second.
 
 use pumicebay_carrier::Nanos;
 use serde::Serialize;
 
-/// What a frame has beside its message, and what TCP/IP puts before a segment of so many bytes at the most.
+/// Bytes of a frame beside its message: length and type.
 pub const FRAME_OVERHEAD: usize = 4 + 1;
+/// Bytes of the TCP/IP headers of a segment.
 pub const SEGMENT_HEADER_BYTES: u64 = 40;
+/// Largest payload of a segment in bytes.
 const MAX_SEGMENT_BYTES: usize = 1460;
-/// Both ends of a link beat twice a second with an empty frame.
+/// Bytes of a heartbeat, an empty frame; each end of a link sends one twice a second.
 const HEARTBEAT_BYTES: u64 = 4 + 2;
+/// Heartbeats that one end sends and receives on a link in a second.
 const HEARTBEATS_PER_SECOND: u64 = 4;
-/// A hello each way, as the fleet's links say it, and the segments that open a connection.
+/// Bytes of the hello frame that each end sends on a new link.
 pub const HELLO_BYTES: usize = 64;
-/// Headers of the segments that open a connection.
+/// Segments of the TCP handshake and the hello at the end that opens the connection.
 pub const HANDSHAKE_SEGMENTS: u64 = 3;
 
-/// Windows of a second that begin at each tenth.
+/// Number of slots of the sliding window of one second.
 const WINDOW_SLOTS: usize = 10;
+/// Duration of a slot: a tenth of a second.
 const SLOT_DURATION: Nanos = 100_000_000;
 
-/// Bytes of the frames, those with headers, and messages.
+/// Amount of traffic in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Flow {
+    /// Bytes of frames.
     pub frames: u64,
+    /// Bytes of TCP/IP headers.
     pub headers: u64,
+    /// Number of messages.
     pub messages: u64,
 }
 
+/// Counts the traffic of a process and tracks its peak second; times are global simulated times.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     slot_bytes: [u32; WINDOW_SLOTS],
     current_slot: u64,
     window_bytes: u64,
+    /// Sent without heartbeats.
     pub sent: Flow,
+    /// Received without heartbeats.
     pub received: Flow,
-    /// Both ways, with headers and beats, in the worst second; and when that ended.
+    /// Bytes of the peak second: both directions, with headers and heartbeats.
     pub peak_bytes: u64,
+    /// End of the peak second.
     pub peak_at: Nanos,
-    /// Links by time, for the beats.
+    /// Number of open links; `link_nanos` integrates it over time, to derive the traffic of heartbeats.
     pub links: u32,
     links_since: Nanos,
     link_nanos: u128,
 }
 
+/// Number of segments that carry so many bytes.
 pub fn segments(bytes: usize) -> u64 {
     bytes.div_ceil(MAX_SEGMENT_BYTES) as u64
 }
 
-/// What the beats of one link are a second at each end, without headers and with them, and how many.
+/// Heartbeats of one link at each end in a second: bytes of frames, bytes with headers, and number.
 pub fn heartbeat_rates() -> (u64, u64, u64) {
     (
         HEARTBEATS_PER_SECOND * HEARTBEAT_BYTES,
@@ -57,6 +69,7 @@
 }
 
 impl Meter {
+    /// Moves the window to `now` and drops the slots that left it.
     fn advance(&mut self, now: Nanos) {
         let slot = now / SLOT_DURATION;
         let steps = slot.saturating_sub(self.current_slot).min(WINDOW_SLOTS as u64);
@@ -68,6 +81,7 @@
         self.current_slot = slot;
     }
 
+    /// Adds bytes to the window and updates the peak.
     fn record(&mut self, now: Nanos, bytes: u64) {
         self.advance(now);
         self.slot_bytes[(self.current_slot % WINDOW_SLOTS as u64) as usize] += bytes as u32;
@@ -78,6 +92,7 @@
         }
     }
 
+    /// Counts a sent message.
     pub fn record_sent(&mut self, now: Nanos, bytes: usize, segments: u64) {
         self.sent.frames += bytes as u64;
         self.sent.headers += segments * SEGMENT_HEADER_BYTES;
@@ -85,6 +100,7 @@
         self.record(now, bytes as u64 + segments * SEGMENT_HEADER_BYTES);
     }
 
+    /// Counts a received message.
     pub fn record_received(&mut self, now: Nanos, bytes: usize, segments: u64) {
         self.received.frames += bytes as u64;
         self.received.headers += segments * SEGMENT_HEADER_BYTES;
@@ -92,7 +108,7 @@
         self.record(now, bytes as u64 + segments * SEGMENT_HEADER_BYTES);
     }
 
-    /// One link more, or one less.
+    /// Counts a link that was opened, or closed.
     pub fn link_changed(&mut self, now: Nanos, opened: bool) {
         self.link_nanos += u128::from(now - self.links_since) * u128::from(self.links);
         self.links_since = now;
@@ -100,7 +116,7 @@
         self.record(now, 0);
     }
 
-    /// Forgets what was before the measured time.
+    /// Clears all counts at the start of the measured time; open links stay.
     pub fn reset(&mut self, now: Nanos) {
         *self = Meter {
             links: self.links,
@@ -110,7 +126,7 @@
         };
     }
 
-    /// Beats of all links until now, as a share of two ends: frames, headers, messages.
+    /// Heartbeats that this end sent and received on all links until `now`.
     pub fn heartbeat_traffic(&self, now: Nanos) -> Flow {
         let nanos = self.link_nanos + u128::from(now - self.links_since) * u128::from(self.links);
         let seconds = nanos as f64 / 1e9;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,17 +1,19 @@
-//! Plays of a whole fleet that takes its configuration by the carrier: 16,000 proxies, the control machines, the voters.
+//! Tests the distribution of configuration to a whole fleet by the carrier, which passes changes down a tree
+//! of processes: 16,000 proxies, the control machines and the voters in virtual time, or some dozens of real
+//! processes.
 //!
-//! | file | job |
+//! | file | purpose |
 //! | --- | --- |
-//! | `plan.rs` | what is played, from a file |
-//! | `fleet.rs` | who there is, where, and the ways between |
-//! | `virt.rs` | all of them in virtual time, by one heap of events |
-//! | `agree.rs` | voters, and control machines that ask them |
-//! | `truth.rs` | what is in force where, and whether what is said of it holds |
-//! | `meter.rs` | bytes and messages of a process, and its worst second |
-//! | `outcome.rs` | what is measured, taken together |
-//! | `voters.rs` | the same fleet without the carrier |
-//! | `report.rs` | what came of it, in words, and as a page |
-//! | `real.rs` | some dozens of real processes on loopback, under faults |
+//! | `plan.rs` | plan files: fleet size, rate of changes, faults |
+//! | `fleet.rs` | processes, their locations, and the delays between them |
+//! | `virt/` | discrete-event simulation of all processes in virtual time |
+//! | `agree.rs` | the voters, and the control machines as their clients |
+//! | `truth.rs` | checker: what is in force where, and whether the reported summary is right |
+//! | `meter.rs` | bytes and messages of a process, and its peak second |
+//! | `outcome.rs` | builds the report of a simulation |
+//! | `voters.rs` | baseline without the carrier: proxies poll the voters |
+//! | `report.rs` | report as JSON fields, text and HTML |
+//! | `real.rs` | real processes on loopback, under faults |
 
 mod agree;
 mod fleet;
@@ -30,16 +32,22 @@
 use report::{Report, RunCost};
 use std::path::Path;
 
-/// What a call wants beside its plan and seeds.
+/// Options of a run beside its plan and seeds.
 pub struct Options<'a> {
+    /// Starts real processes on loopback instead of simulating the fleet in virtual time.
     pub real: bool,
-    /// Keys of the plan set to other values.
+    /// Plan keys with the values that replace those of the file.
     pub overrides: &'a [(String, String)],
+    /// File for the results as JSON.
     pub json: Option<&'a Path>,
+    /// File for the HTML page; written for simulations with the carrier only.
     pub report: Option<&'a Path>,
 }
 
-/// Plays a plan under these seeds; whether nothing went wrong.
+/// Runs the plan at `path` once for each seed, prints the summaries and writes the requested files.
+///
+/// Returns whether no run violated a rule; runs without the carrier have none and always return true. Fails
+/// if the plan is invalid, real processes can't be started, or a file can't be written.
 pub fn run(
     path: &Path,
     seeds: std::ops::RangeInclusive<u64>,
--- a/crates/lab/src/scale/outcome.rs
+++ b/crates/lab/src/scale/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a play in virtual time, taken together.
+//! Builds the report and the cost of a simulation.
 
 use super::meter::{Flow, Meter};
 use super::report::{PROXY_BYTE_LIMIT, Report, RunCost, Traffic, time_stats};
@@ -8,12 +8,13 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What a map's entry and an allocation take beside what is in them, about.
+/// Estimated bytes of a map entry and an allocation beside their content.
 const MAP_ENTRY_BYTES: usize = 120;
-/// What is known of a child, without names.
+/// Estimated bytes of the state of a child, without names.
 const CHILD_STATE_BYTES: usize = 700;
 
 impl Simulation<'_> {
+    /// Report of the finished simulation, and what it cost since `started`.
     pub(super) fn outcome(&self, started: Instant) -> (Report, RunCost) {
         let plan = self.plan;
         let seconds = |from: Nanos, to: Nanos| to.saturating_sub(from) as f64 / 1e9;
@@ -29,7 +30,8 @@
         }
         let late = |all: &[f64]| all.iter().filter(|time| **time > CONVERGENCE_TARGET).count();
         let late = (late(&from_offer), late(&in_force));
-        // What was settled a moment before the end had no time.
+        // Changes that settled too shortly before the end had no time to be applied and are not counted as
+        // unfinished.
         let had_time = |settled: Nanos| settled + (CONVERGENCE_TARGET * 1e9) as Nanos <= self.end;
         let not_done = measured
             .iter()
@@ -67,7 +69,8 @@
         (report, self.cost(started))
     }
 
-    /// From when the last fault was undone until everybody that can be reached has what was settled by then.
+    /// Seconds from the end of the last fault until all reachable processes have the changes settled by then;
+    /// `None` if some never had them.
     fn convergence_seconds(&self) -> Option<f64> {
         let ends = self
             .plan
@@ -89,7 +92,7 @@
         Some((catch_up_times.max().unwrap_or(last).max(latest) - last) as f64 / 1e9)
     }
 
-    /// Of the root: members, and exceptions, named or not.
+    /// Members in the summary of the root at the end, and exceptions, listed or only counted.
     fn summary_at_end(&self) -> (u32, u32) {
         let root = self.root().and_then(|at| Some((at, self.processes[at].node.as_ref()?)));
         root.map_or((0, 0), |(at, node)| {
@@ -98,7 +101,8 @@
         })
     }
 
-    /// A control machine that has published is counted as publisher, all the while.
+    /// Role for the traffic report: a control machine that ever published counts as publisher for the whole
+    /// run.
     fn reported_role(&self, process: usize) -> &'static str {
         match self.role(process) {
             "control" if self.processes[process].has_published => "publisher",
@@ -154,7 +158,7 @@
         let mut processes: BTreeMap<&str, usize> = BTreeMap::new();
         let mut memory: BTreeMap<String, f64> = BTreeMap::new();
         for process in 0..self.processes.len() {
-            // Whoever publishes is one at a time.
+            // Uses the role at the end of the run: only one control machine publishes at a time.
             *processes.entry(self.role(process)).or_default() += 1;
             if let Some(node) = &self.processes[process].node {
                 *memory.entry(self.role(process).into()).or_default() += node_state_bytes(node) as f64;
@@ -181,7 +185,8 @@
     }
 }
 
-/// In bytes, about: resources stand in a map by name and in one by version, those that concern the process in one more.
+/// Estimated bytes of the state of a node: resources are held in a map by name and in a map by version, those
+/// in scope of the process in a third one.
 fn node_state_bytes(node: &TreeNode) -> usize {
     let resources = node.resources().map(|resource| {
         let scope = match &resource.scope {
@@ -195,6 +200,7 @@
     size_of::<TreeNode>() + resources.sum::<usize>() + node.child_count() * CHILD_STATE_BYTES
 }
 
+/// Resident memory of this process in bytes, by pages of 4096; 0 where /proc is missing.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -1,73 +1,85 @@
-//! What is played: how large the fleet is, what changes, and which fault begins when.
+//! Plan files: size of the fleet, sizes and rates of changes, delays, and faults with their start times.
 
 use anyhow::{Context, Result, bail, ensure};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// The most that a plan may ask for: above it a play would not end in a sitting.
+/// Largest number of proxies in a plan: the run of a larger fleet would not end in reasonable time.
 const MAX_PROXIES: usize = 100_000;
 
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process `who` dies, and is back after `seconds`, with the disk that `disk` says.
+    /// The process `who` dies and restarts after `seconds`, with its disk in the state `disk`.
     Dies,
     /// Half of the proxies of `site` restart at once.
     HalfSite,
-    /// All links of the proxies of `zone` are reset within one second.
+    /// The parent links of all proxies of `zone` are reset within one second.
     ZoneReconnects,
-    /// `region` is cut off for `seconds`: what is sent is lost, and nobody is told.
+    /// `region` is partitioned for `seconds`: messages to and from it are lost without an error.
     RegionCut,
-    /// `count` changes within one second.
+    /// `count` changes are proposed within one second.
     Burst,
-    /// `who` reads one byte a second.
+    /// The process `who` reads one byte a second from its parent.
     SlowChild,
-    /// `who` is stopped (SIGSTOP) and goes on later.
+    /// The process `who` is stopped, as by SIGSTOP, and resumed after `seconds`.
     Stall,
-    /// All control machines are gone.
+    /// All control machines die, and restart after `seconds`.
     ControlGone,
-    /// `who` refuses the next change that concerns it.
+    /// The process `who` refuses one resource of fleet scope, beginning with its next change.
     Refused,
 }
 
+/// Disk of a process that restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskState {
+    /// Unchanged.
     #[default]
     Kept,
+    /// Lost.
     Empty,
-    /// A copy from the beginning of the play.
+    /// Restored from a copy that was taken at the start of the measured time.
     Old,
 }
 
+/// A fault of a plan; which of the optional fields it needs depends on its kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// What fails.
     pub kind: FaultKind,
-    /// In seconds from the start, and how long it lasts.
+    /// Start, in seconds from the start of the measured time.
     #[serde(rename = "at")]
     pub start_seconds: f64,
     #[serde(default = "two")]
+    /// Duration in seconds.
     pub seconds: f64,
-    /// `proxy-N`, `relay-N`, `control-N`, or `root`: whoever publishes then.
+    /// `proxy-N`, `relay-N`, `control-N`, or `root` for the control machine that publishes at that time.
     #[serde(default)]
     #[serde(rename = "who")]
     pub target: Option<String>,
+    /// Index of the site of `half_site`.
     #[serde(default)]
     pub site: Option<usize>,
+    /// Index of the zone of `zone_reconnects`.
     #[serde(default)]
     pub zone: Option<usize>,
+    /// Index of the region of `region_cut`.
     #[serde(default)]
     pub region: Option<usize>,
+    /// Number of changes of `burst`.
     #[serde(default)]
     pub count: Option<usize>,
+    /// State of the disk at the restart of a process that died.
     #[serde(default)]
     pub disk: DiskState,
-    /// It dies as it sends the next part of a difference, not before.
+    /// The process dies while it sends the next part of a delta, not at the start of the fault.
     #[serde(default)]
     #[serde(rename = "amid")]
     pub during_delta: bool,
-    /// The machine is gone, so that nobody is told: others learn it by silence.
+    /// The machine fails with the process, so its links are not reset: peers detect it by missing heartbeats.
     #[serde(default)]
     #[serde(rename = "silent")]
     pub without_reset: bool,
@@ -77,114 +89,152 @@
     2.0
 }
 
-/// So many of a hundred changes are of this size.
+/// One size of changes, and the share of changes that have it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSize {
+    /// Size of the patch in bytes.
     pub bytes: usize,
+    /// Between 0 and 1; the shares of all sizes add up to 1.
     pub share: f64,
 }
 
-/// So many for the fleet, so many for each region, zone and site, and one for each of this share of the proxies.
+/// Numbers of resources by scope.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
+    /// Resources of the whole fleet.
     pub fleet: usize,
+    /// Resources of each region, of each zone and of each site.
     #[serde(rename = "each")]
     pub per_location: usize,
+    /// Share of the proxies, between 0 and 1, that have one resource of their own.
     pub proxies: f64,
 }
 
-/// Shares of the changes by scope.
+/// Shares of the changes by scope; they add up to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scopes {
+    /// Share of the changes that concern the whole fleet.
     pub fleet: f64,
+    /// Share of the changes that concern one region.
+    /// Share of the changes that concern one region.
     pub region: f64,
+    /// Share of the changes that concern one zone.
     pub zone: f64,
+    /// Share of the changes that concern one site.
+    /// Share of the changes that concern one site.
     pub site: f64,
+    /// Share of the changes that concern one proxy.
     pub proxy: f64,
 }
 
-/// How long a message travels one way, in milliseconds.
+/// One-way delays of messages, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delays {
+    /// Within a site.
     pub site: f64,
+    /// Between sites of a region.
     pub region: f64,
+    /// Between regions.
     #[serde(rename = "between")]
     pub inter_region: f64,
-    /// Between voters: they are put near each other, as a round of theirs lasts 250 ms at most.
+    /// Between voters, which are placed near each other because one of their quorum rounds lasts 250 ms at
+    /// most.
     pub voters: f64,
 }
 
+/// A run: the fleet, its load and its faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
+    /// Free text, shown in the report.
     #[serde(default)]
     #[serde(rename = "about")]
     pub description: String,
+    /// Number of proxies, relays among them.
     pub proxies: usize,
+    /// Number of sites; proxies are spread over them evenly.
     pub sites: usize,
+    /// Number of zones; sites are spread over them evenly.
     pub zones: usize,
+    /// Number of regions; zones are spread over them evenly.
     pub regions: usize,
-    /// Control machines, and voters, which are processes of their own here.
+    /// Number of control machines, the processes of which one publishes changes.
     #[serde(rename = "control")]
     pub control_machines: usize,
+    /// Number of voters, 3 or 5; in virtual time they are separate processes.
     #[serde(default = "five")]
     pub voters: usize,
+    /// Mean rate of proposed changes.
     pub changes_per_second: f64,
-    /// Not played: for the arithmetic of the capacity page.
+    /// Rate of purges; not simulated, only used in capacity calculations.
     pub purges_per_second: f64,
-    /// Measured time; `warm_seconds` before it, in which the fleet starts and the resources are written, count for nothing.
+    /// Measured time, which follows the `warm_seconds`.
     pub seconds: f64,
+    /// Unmeasured time before, in which the fleet starts and each resource is written once.
     #[serde(default = "warm")]
     pub warm_seconds: f64,
-    /// Proxies of each site that take children; none: all call the control machines.
+    /// Number of relays, proxies that accept children, at each site; with 0 all proxies connect to the
+    /// control machines.
     #[serde(default)]
     pub relays_per_site: usize,
-    /// Different resources, each written once before the measured time.
+    /// Resources of the fleet, each written once before the measured time.
     #[serde(default = "resources")]
     pub resources: Resources,
+    /// Distribution of the sizes of changes.
     #[serde(default = "sizes")]
     pub change_bytes: Vec<ChangeSize>,
+    /// Distribution of the scopes of changes.
     #[serde(default = "scopes")]
     pub scopes: Scopes,
-    /// Of each proxy.
+    /// Mean number of restarts of each proxy in a day.
     #[serde(default)]
     pub restarts_per_day: f64,
-    /// The stated drift, and how far clocks are off at the most, in millionths.
+    /// Bound on clock drift that leases and voters assume, in parts per million.
     #[serde(default = "drift")]
     pub drift_ppm: u64,
+    /// Largest real drift of a clock, in parts per million.
     #[serde(default)]
     pub clocks_ppm: i64,
+    /// One-way delays of messages.
     #[serde(default = "delays")]
     pub delays_ms: Delays,
-    /// Of segments; a lost one is sent again after 200 ms.
+    /// Share of lost segments, between 0 and 1; a lost one is sent again after 200 ms.
     #[serde(default)]
     pub loss: f64,
+    /// Duration of the lease that the publishing control machine holds.
     #[serde(default = "lease")]
     pub lease_seconds: f64,
-    /// How long a disk takes, and putting a change in force.
+    /// Time of one write to disk, in milliseconds.
     #[serde(default = "disk")]
     pub disk_ms: f64,
+    /// Time to put a change in force, in milliseconds.
     #[serde(default = "apply")]
     pub apply_ms: f64,
+    /// Largest number of children of one process.
     #[serde(default = "children")]
     #[serde(rename = "children")]
     pub max_children: usize,
+    /// Send rate to one child, in bytes a second.
     #[serde(default = "budget")]
     pub child_bytes_per_second: u64,
+    /// Size of one part of a delta, in bytes.
     #[serde(default = "part")]
     pub part_bytes: usize,
+    /// Largest number of exceptions that a summary lists by name; further ones are only counted.
     #[serde(default = "named")]
     #[serde(rename = "named")]
     pub max_exceptions: usize,
-    /// Without it proxies ask the voters, every so many seconds.
+    /// Whether the carrier distributes changes; without it proxies poll the voters.
     #[serde(default = "yes")]
     pub carrier: bool,
+    /// Interval of polls of one proxy without the carrier, in seconds.
     #[serde(default = "poll")]
     pub poll_seconds: f64,
+    /// Injected faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -240,22 +290,24 @@
 }
 
 impl Plan {
+    /// Reads a plan; fails if the file can't be read or the plan is invalid.
     pub fn read(path: &Path) -> Result<Plan> {
         Plan::read_with(path, &[])
     }
 
-    /// With these keys set instead, as `--set KEY=VALUE` has them.
+    /// Reads a plan with the given keys replaced, as by `--set KEY=VALUE`; values are TOML expressions.
     pub fn read_with(path: &Path, set: &[(String, String)]) -> Result<Plan> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let mut table: toml::Table = toml::from_str(&text).with_context(|| path.display().to_string())?;
         for (key, value) in set {
             let value: toml::Table = toml::from_str(&format!("value = {value}"))
-                .with_context(|| format!("--set {key}: {value:?} is no value"))?;
+                .with_context(|| format!("--set {key}: {value:?} is not a TOML value"))?;
             table.extend(value.into_iter().map(|(_, value)| (key.clone(), value)));
         }
         Plan::parse(&toml::to_string(&table)?).with_context(|| path.display().to_string())
     }
 
+    /// Parses and validates a plan; errors begin with the key that is wrong.
     pub fn parse(text: &str) -> Result<Plan> {
         let plan: Plan = toml::from_str(text)?;
         let counts = [
@@ -313,10 +365,11 @@
         Ok(plan)
     }
 
+    /// Validates one fault against the size of the fleet; errors begin with the key that is wrong.
     fn check_fault(&self, fault: &Fault) -> Result<()> {
         let end = fault.start_seconds + fault.seconds;
         ensure!(fault.start_seconds >= 0.0 && fault.seconds >= 0.0, "at, seconds: expected zero or more");
-        ensure!(end <= self.seconds, "seconds: ends at {end}, after the play");
+        ensure!(end <= self.seconds, "seconds: ends at {end}, after the end of the run");
         let number = |key: &str, given: Option<usize>, most: usize| {
             let found = given.with_context(|| format!("{key}: missing"))?;
             ensure!(found < most, "{key}: expected less than {most}, found {found}");
@@ -342,14 +395,14 @@
                     ("relay", Some(number)) => number < relays,
                     _ => bail!("who: expected proxy-N, relay-N, control-N or root, found {who:?}"),
                 };
-                ensure!(fits, "who: nobody of this fault is {who:?}");
+                ensure!(fits, "who: {who:?} does not exist or cannot have this fault");
                 Ok(())
             }
         }
     }
 }
 
-/// Shares that add up to one.
+/// Checks that no share is negative and that all add up to 1.
 fn check_shares(key: &str, shares: &[f64]) -> Result<()> {
     let sum: f64 = shares.iter().sum();
     ensure!(shares.iter().all(|share| *share >= 0.0), "{key}: expected no share below zero");
@@ -358,12 +411,14 @@
 }
 
 impl Scopes {
+    /// Shares in the order fleet, region, zone, site, proxy.
     pub fn shares(&self) -> [f64; 5] {
         [self.fleet, self.region, self.zone, self.site, self.proxy]
     }
 }
 
 impl Fault {
+    /// One line for the report: start, kind, target and duration.
     pub fn describe(&self) -> String {
         let mut text = format!("{:.1} s {:?}", self.start_seconds, self.kind);
         if let Some(who) = &self.target {
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -1,6 +1,9 @@
-//! Real processes of the program on loopback as one fleet that takes its configuration by the carrier, with faults drawn
-//! from a seed. A witness outside them asks each, all the while, at its operators' door what it holds and as a client
-//! which classes it knows; what is known of a class is what is in force, whatever the carrier says of it.
+//! Runs a fleet of real processes on loopback that get their configuration from the carrier, with faults
+//! drawn from a seed.
+//!
+//! Outside the processes, a prober asks each one continuously: at its operator endpoint which version it
+//! holds, and as a client which request classes it accepts. An accepted class proves that its change is in
+//! force, independent of what the carrier reports.
 
 use super::plan::Plan;
 use crate::operator;
@@ -27,48 +30,64 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// More would not be served by one machine within the bounds below.
+/// Largest number of processes: one machine could not serve more within the timeouts below.
 const MAX_PROCESSES: usize = 64;
+/// Number of voters; they run in the first control machines.
 const VOTERS: usize = 3;
-/// From one question of the witness to a process to the next one.
+/// Pause between two probes of a process.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a probe.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of the first write of the fleet record.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// A link that is lost as processes start on a busy machine has its member lost for a minute.
+/// Time for the fleet to form. If a link is lost while processes start on a busy machine, the carrier counts
+/// its member as lost for a minute.
 const FORMATION_TIMEOUT: Duration = Duration::from_secs(80);
-/// After the last fault all that live have what was settled last within this time, and within this one it is said so: what
-/// is lost is carried for 75 s.
+/// Time after the last fault within which all processes must have the newest settled change.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after the last fault within which the publisher must report that: the carrier keeps lost members for
+/// 75 s.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(90);
-/// Between faults, on the average, and before the first.
+/// Mean time between the starts of two faults, in seconds.
 const MEAN_FAULT_GAP: f64 = 3.5;
+/// Time before the first fault, in seconds.
 const FIRST_FAULT_AT: f64 = 2.0;
-/// Who restarted is counted as it was until its link is gone.
+/// For this long after a restart a process is not checked: it is counted with its previous state until its
+/// old link closes.
 const STARTUP_GRACE: Duration = Duration::from_secs(3);
-/// A change's class stays for so many more changes, so that one who is late is seen to be.
+/// Number of changes for which the class of a change stays configured, so that a late process is detected.
 const CLASS_WINDOW: u64 = 8;
 
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
+    /// SIGKILL to a relay, and a restart at the end of the fault.
     KillRelay,
+    /// SIGKILL to the control machine that publishes, and a restart at the end of the fault.
     KillPublisher,
+    /// SIGKILL to a proxy that is no relay, and a restart at the end of the fault.
     KillLeaf,
-    /// SIGSTOP, and later SIGCONT.
+    /// SIGSTOP to a relay, and SIGCONT at the end of the fault.
     StopRelay,
-    /// All links of the carrier from and to it are swallowed, delayed, or reset again and again.
+    /// All bytes on the links of the carrier from and to the process are dropped.
     Drop,
+    /// All bytes on these links are delayed by this many milliseconds.
     Delay(u64),
     Reset,
 }
 
+/// A fault on one process.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fault {
+    /// What fails.
     pub kind: FaultKind,
+    /// Start, in seconds after the fleet has formed.
     #[serde(rename = "at")]
     pub start_seconds: f64,
+    /// Duration in seconds.
     pub seconds: f64,
-    /// `None`: whoever publishes then.
+    /// Name of the process; `None` for the one that publishes at that time.
     #[serde(rename = "target")]
     pub target: Option<String>,
 }
@@ -80,40 +99,50 @@
     }
 }
 
-/// What came of a play.
+/// Results of a run.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
+    /// Seed of the run.
     pub seed: u64,
+    /// Number of processes.
     pub processes: usize,
+    /// Injected faults.
     pub faults: Vec<Fault>,
+    /// Number of settled changes.
     pub settled: usize,
-    /// Not known to be written, and known not to be.
+    /// Number of changes with an unknown outcome.
     pub unknown: usize,
+    /// Number of changes that were not written.
     pub refused: usize,
+    /// Error output of the last one that was not written.
     #[serde(rename = "refusal_reason")]
     pub refusal_reason: String,
-    /// What `fleet changes` said, and how often it was judged by the witness.
+    /// Number of reports of `fleet changes` that were compared with probes.
     pub claims: usize,
-    /// After the last fault was undone, in seconds: all have it in force, and the publisher says so.
+    /// Seconds from the end of the last fault until all processes had the newest settled change in force.
     pub converged: Option<f64>,
+    /// Seconds from the end of the last fault until the publisher reported that.
     #[serde(rename = "reported")]
     pub reported: Option<f64>,
-    /// From settled to in force at a process, each pair of a change and a process that lived all the while: the middle one,
-    /// the 99th of a hundred, the longest.
+    /// Seconds from the settling of a change until it was in force at a process, over all pairs of a change
+    /// and a process that ran all the time: median, 99th percentile, maximum.
     pub in_force: (f64, f64, f64),
+    /// Number of these pairs.
     pub pairs: usize,
+    /// Descriptions of the first 10 violations.
     #[serde(rename = "violations")]
     pub violations: Vec<String>,
-    /// The last lines of each process's log that speak of the carrier, where something went wrong.
+    /// Last log lines of each process that mention the carrier, if there are violations.
     pub logs: Vec<String>,
 }
 
-/// Heads of the columns of `row`.
+/// Column names of the first line of `Outcome::summary`.
 pub fn table_header() -> &'static str {
     "seed  processes  faults  changes  unknown  refused  claims  wrong  converged s  said s  in force s: middle  99 in 100  longest\n"
 }
 
 impl Outcome {
+    /// Text of the results: a table row, the faults, and the violations.
     pub fn summary(&self) -> String {
         let seconds = |time: Option<f64>| time.map_or("never".into(), |time| format!("{time:.1}"));
         let (median, p99, longest) = self.in_force;
@@ -142,7 +171,7 @@
     }
 }
 
-/// Who there is: control machines of which the first three vote, and of each site relays and leaves.
+/// Names of the processes: control machines, of which the first three vote, and relays and leaves by site.
 struct ProcessNames {
     control: Vec<String>,
     relays: Vec<Vec<String>>,
@@ -163,7 +192,7 @@
     }
 }
 
-/// The faults of a seed: one after the other begins, each on somebody whom neither of the two before hits.
+/// Draws the faults of a seed, ordered by start; each hits another process than the two before it.
 pub fn draw_faults(plan: &Plan, seed: u64) -> Vec<Fault> {
     let (names, mut random) = (ProcessNames::new(plan), SmallRng::seed_from_u64(seed));
     let (relays, leaves) = (names.relays.concat(), names.leaves.concat());
@@ -199,48 +228,56 @@
     faults
 }
 
-/// What the witness saw of one life of a process.
+/// Observations of one incarnation of a process.
 #[derive(Default)]
 struct Incarnation {
+    /// Time of the start.
     started_at: Option<Instant>,
-    /// The version that it holds, and the last change that is in force.
+    /// Version that it holds, by its operator endpoint.
     held_version: Option<(u64, u64)>,
+    /// Number of the newest change in force, by its classes.
     newest_in_force: u64,
-    /// When a change was first seen to be in force.
+    /// Time when each change was first observed in force.
     first_seen: BTreeMap<u64, Instant>,
-    /// When it last answered.
+    /// Time of its last answer.
     answered_at: Option<Instant>,
 }
 
+/// A started process with its addresses and files.
 struct ManagedProcess {
+    /// Address for clients.
     listen: SocketAddr,
+    /// Address of the operator endpoint.
     operator_address: SocketAddr,
     config: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// The lives so far, of which the last is now's while `child` is there.
+    /// Incarnations so far; the last one is the current one while `child` is set.
     incarnations: Vec<Incarnation>,
+    /// TCP relays in front of its possible parents, by name, which inject network faults.
     relays: BTreeMap<String, Relay>,
 }
 
+/// Processes and all that was observed of them.
 #[derive(Default)]
 struct Observations {
     processes: BTreeMap<String, ManagedProcess>,
-    /// The newest change that somebody may have; all were numbered, those too that came to nothing.
+    /// Number of the newest proposed change; refused and unknown ones have numbers too.
     newest: u64,
-    /// When each was settled, and at which version.
+    /// Time and version of each settled change, by its number.
     settled: BTreeMap<u64, (Instant, (u64, u64))>,
     unknown: usize,
     refused: usize,
-    /// What was said to the last one.
+    /// Error output of the last refused change.
     refusal_reason: String,
     claims: usize,
     publisher: Option<String>,
-    /// Since when it is said that all have the newest version.
+    /// Time and version of the last report that all processes have a version in force.
     reported: Option<(Instant, (u64, u64))>,
     violations: BTreeSet<String>,
 }
 
+/// Handle of a running fleet.
 #[derive(Clone)]
 struct RealFleet {
     program: PathBuf,
@@ -250,6 +287,10 @@
     observations: Arc<Mutex<Observations>>,
 }
 
+/// Runs a plan on real processes of `program`, with faults drawn from the seed.
+///
+/// Fails if the plan does not fit real processes, or a process or file can't be created; violations are part
+/// of the outcome.
 pub fn run(plan: &Plan, seed: u64, program: &Path) -> Result<Outcome> {
     ensure!(
         plan.proxies + plan.control_machines <= MAX_PROCESSES,
@@ -297,7 +338,11 @@
         let fault = &faults[number];
         if begins {
             let publisher = fleet.observations().publisher.clone();
-            let target = fault.target.clone().or(publisher).context("nobody ever published")?;
+            let target = fault
+                .target
+                .clone()
+                .or(publisher)
+                .context("KillPublisher: no control machine has published yet")?;
             fleet.start_fault(fault.kind, &target).await?;
             hit.insert(number, target);
         } else if let Some(target) = hit.remove(&number) {
@@ -329,7 +374,8 @@
     }
 
     async fn start(plan: &Plan, program: &Path) -> Result<RealFleet> {
-        let folder = Arc::new(tempfile::tempdir().context("a folder for the processes")?);
+        let folder =
+            Arc::new(tempfile::tempdir().context("creating a temporary directory for the processes")?);
         let operator_config = folder.path().join("operator.json");
         let observations = Arc::new(Mutex::new(Observations::default()));
         let fleet =
@@ -371,7 +417,7 @@
                 "settings": {
                     "fleet-size": 1, "me": 0, "skus": ["cache", "origin"], "failure-domains": ["a"],
                     "domain": {"mode": "aside", "origin-kind": 1}, "routes": routes(0),
-                    // There from the first: a section that a file lacks can't come by a patch.
+                    // Present from the start: a patch can't add a section that the file lacks.
                     "permissions": {"most-upstream-tries": 2},
                 },
                 "fleet": {"name": "real", "zone": "hall", "voters": address_map(&votes), "folder": folder.join("voter"),
@@ -392,11 +438,12 @@
             fleet.spawn(name)?;
         }
         operator::fleet(&fleet.program, &["found"], &fleet.operator_config, START_TIMEOUT).await?;
-        // Links come up: what is played begins with a fleet that is whole.
+        // Waits until all links are up, so that faults start on a complete fleet.
         fleet.wait_until_formed().await?;
         Ok(fleet)
     }
 
+    /// Waits until `fleet changes` reports a complete fleet; fails after `FORMATION_TIMEOUT`.
     async fn wait_until_formed(&self) -> Result<()> {
         let until = Instant::now() + FORMATION_TIMEOUT;
         loop {
@@ -406,14 +453,16 @@
             }
             let output_text = String::from_utf8_lossy(&output.stdout).to_string()
                 + &String::from_utf8_lossy(&output.stderr);
-            ensure!(Instant::now() < until, "the fleet is not whole before any fault: {output_text}");
+            ensure!(Instant::now() < until, "the fleet did not form before the first fault: {output_text}");
             sleep(PROBE_INTERVAL).await;
         }
     }
 
+    /// Starts a process as a new incarnation.
     fn spawn(&self, name: &str) -> Result<()> {
         let mut observations = self.observations();
-        let process = observations.processes.get_mut(name).with_context(|| format!("nobody is {name:?}"))?;
+        let process =
+            observations.processes.get_mut(name).with_context(|| format!("no process is named {name:?}"))?;
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&process.log)?;
         let mut command = Command::new(&self.program);
         command.args(["as-proxy", "serve", "--config"]).arg(&process.config);
@@ -472,7 +521,7 @@
         }
     }
 
-    /// Those that it dials, and those that others dial to it.
+    /// Sets the mode of the relays on all links that the process opens and that others open to it.
     fn set_link_mode(&self, target: &str, mode: Mode) {
         for (name, process) in &self.observations().processes {
             for (_, relay) in process.relays.iter().filter(|(parent, _)| name == target || *parent == target)
@@ -482,26 +531,27 @@
         }
     }
 
-    /// Notices who ended by itself.
+    /// Records processes that exited without a fault.
     fn check_exits(&self) {
         let mut observations = self.observations();
         let Observations { processes, violations, .. } = &mut *observations;
         for (name, process) in processes {
             if let Some(status) = process.child.as_mut().and_then(|child| child.try_wait().ok().flatten()) {
                 process.child = None;
-                violations.insert(format!("{name} ended by itself: {status}"));
+                violations.insert(format!("{name} exited unexpectedly: {status}"));
             }
         }
     }
 
-    /// The output of `pumicebay fleet` with these words.
+    /// Runs `pumicebay fleet` with these arguments.
     async fn fleet_command(&self, words: &[&str]) -> Result<std::process::Output> {
         let mut command = Command::new(&self.program);
         command.args(["as-proxy", "fleet"]).args(words).arg("--config").arg(&self.operator_config);
         Ok(command.stdin(Stdio::null()).kill_on_drop(true).output().await?)
     }
 
-    /// The routes of the fleet with a class more; every third one concerns a site alone, and is seen by its version.
+    /// Submits a change that adds a class to the routes of the fleet. Each third change concerns one site
+    /// only and adds no class, so it is observed by its version.
     async fn submit_change(&self) -> Result<()> {
         let number = {
             let mut observations = self.observations();
@@ -524,8 +574,9 @@
                 if let Some((before, (_, was))) = observations.settled.last_key_value()
                     && *was >= version
                 {
-                    let text =
-                        format!("change {number} was settled at {version:?}, {before} before it at {was:?}");
+                    let text = format!(
+                        "change {number} settled at version {version:?}, not after change {before} at {was:?}"
+                    );
                     observations.violations.insert(text);
                 }
                 observations.settled.insert(number, (Instant::now(), version));
@@ -539,7 +590,7 @@
         Ok(())
     }
 
-    /// Asks one process, all the while.
+    /// Probes one process continuously.
     async fn probe(&self, name: &str) {
         loop {
             let now = {
@@ -567,7 +618,7 @@
         }
     }
 
-    /// Judges what the publisher says to be in force.
+    /// Polls the report of the publisher and checks each complete one.
     async fn poll_claims(&self) {
         loop {
             sleep(PROBE_INTERVAL * 2).await;
@@ -587,8 +638,9 @@
         }
     }
 
-    /// Whoever is counted and not excepted has it in force by now; what is in force does not go back in a life, so that asking
-    /// after the claim is no harder than what was claimed.
+    /// Checks a report: each process that it counts and does not list as an exception must have the change in
+    /// force. Processes are probed after the report, which is not stricter than the report, since a change in
+    /// force never goes back within an incarnation.
     async fn check_claim(&self, claim: &Json, heard: Instant) {
         let Some(in_force) = claim["in_force"].as_str().and_then(parse_version) else { return };
         let of = claim["version"].as_str().and_then(parse_version);
@@ -641,7 +693,7 @@
         if lacking.len() > all.saturating_sub(members) + unnamed {
             let lacking = lacking.join(", ");
             observations.violations.insert(format!(
-                "said to be in force is change {wanted} at {members} members, but {lacking}: {claim}"
+                "change {wanted} is reported in force at {members} members, but {lacking}: {claim}"
             ));
         }
         if claim["everywhere"] == true && members == all {
@@ -649,7 +701,7 @@
         }
     }
 
-    /// When the last one was seen to have the newest that was settled, if all have.
+    /// Time when the last process was observed with the newest settled change; `None` while any lacks it.
     fn converged_at(&self) -> Option<Instant> {
         let observations = self.observations();
         let (_, (_, version)) = observations.settled.last_key_value()?;
@@ -666,6 +718,7 @@
         last
     }
 
+    /// Time of the report that all processes have the newest settled version, if there was one.
     fn reported_everywhere_at(&self) -> Option<Instant> {
         let observations = self.observations();
         let (_, (_, version)) = observations.settled.last_key_value()?;
@@ -717,12 +770,14 @@
             let last =
                 observations.settled.last_key_value().map(|(number, (_, version))| (*number, *version));
             violations.insert(format!(
-                "not converged in {} s on {last:?}: {behind}",
+                "not converged within {} s on {last:?} (change, version): {behind}",
                 CONVERGENCE_TIMEOUT.as_secs()
             ));
         } else if reported.is_none() {
-            violations
-                .insert(format!("in force everywhere, but not said so in {} s", REPORT_TIMEOUT.as_secs()));
+            violations.insert(format!(
+                "in force everywhere, but not reported so within {} s",
+                REPORT_TIMEOUT.as_secs()
+            ));
         }
         let logs = if violations.is_empty() { Vec::new() } else { observations.logs() };
         Outcome {
@@ -745,14 +800,15 @@
 }
 
 impl Observations {
-    /// Whether this life of it goes on.
+    /// Whether this incarnation of the process still runs.
     fn is_current(&self, name: &str, incarnation: usize) -> bool {
         self.processes
             .get(name)
             .is_some_and(|process| process.child.is_some() && process.incarnations.len() == incarnation)
     }
 
-    /// What a process answered; nothing in it may be older than what it answered before.
+    /// Records the answers of a process; a version or change older than in its previous answers is a
+    /// violation.
     fn record_probe(&mut self, name: &str, number: usize, holds: Option<(u64, u64)>, known: Option<u64>) {
         if !self.is_current(name, number) {
             return;
@@ -764,14 +820,17 @@
         };
         incarnation.answered_at = Some(Instant::now());
         if holds < incarnation.held_version {
-            self.violations.insert(format!("{name} held {:?} and then {holds:?}", incarnation.held_version));
+            self.violations.insert(format!(
+                "{name} held version {:?} and then the older {holds:?}",
+                incarnation.held_version
+            ));
         }
         incarnation.held_version = holds;
-        // `None`: older than all classes that were asked for.
+        // `None`: the process accepts none of the probed classes, its newest one is older.
         let known = known.unwrap_or(0);
         if known != 0 && known < incarnation.newest_in_force {
             self.violations.insert(format!(
-                "{name} had change {} in force and then {known}",
+                "{name} had change {} in force and then the older {known}",
                 incarnation.newest_in_force
             ));
         }
@@ -781,6 +840,7 @@
         }
     }
 
+    /// Last log lines of each process that mention the carrier.
     fn logs(&self) -> Vec<String> {
         let last = |(name, process): (&String, &ManagedProcess)| {
             let text = std::fs::read_to_string(&process.log).unwrap_or_default();
@@ -791,11 +851,12 @@
     }
 }
 
+/// JSON object of names and addresses.
 fn address_map(of: &BTreeMap<String, SocketAddr>) -> Json {
     of.iter().map(|(name, at)| (name.clone(), json!(at.to_string()))).collect()
 }
 
-/// The classes that are known once this change is in force.
+/// Routes, one for each class, that are configured once this change is in force.
 fn routes(number: u64) -> Json {
     let first = (number + 1).saturating_sub(CLASS_WINDOW);
     let route = |number: u64| {
@@ -805,13 +866,13 @@
     (first..=number).map(route).collect()
 }
 
-/// A version as it is written: when it was founded, and a number.
+/// Parses a version, `EPOCH.NUMBER`; the epoch is the founding time of the fleet record.
 fn parse_version(text: &str) -> Option<(u64, u64)> {
     let (epoch, number) = text.split_once('.')?;
     Some((epoch.parse().ok()?, number.parse().ok()?))
 }
 
-/// The version that a process says it holds; `None` before it holds any.
+/// Version that a process holds by its operator endpoint; `None` before it holds any.
 async fn held_version(operator_address: SocketAddr) -> Result<Option<(u64, u64)>> {
     let mut stream = TcpStream::connect(operator_address).await?;
     stream.write_all(b"GET /status HTTP/1.1\r\nContent-Length: 0\r\n\r\n").await?;
@@ -821,7 +882,7 @@
     Ok(parse_version(after.split([' ', ',']).next().unwrap_or_default()))
 }
 
-/// The newest change whose class a client may ask for.
+/// Newest change whose class the process accepts from a client; `None` if it accepts none of the probed ones.
 async fn newest_class(listen: SocketAddr, newest: u64) -> Result<Option<u64>> {
     let mut stream = BufReader::new(TcpStream::connect(listen).await?);
     let asked: Vec<u64> = ((newest + 1).saturating_sub(2 * CLASS_WINDOW)..=newest).rev().collect();
@@ -836,7 +897,7 @@
         stream.write_all(text.as_bytes()).await?;
         text.clear();
         stream.read_line(&mut text).await?;
-        ensure!(!text.is_empty(), "closed");
+        ensure!(!text.is_empty(), "the process closed the connection without a reply");
         if !text.contains("unknown or missing class") {
             return Ok(Some(*number));
         }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What came of a play, in words and as a page.
+//! Report of a simulation: fields for JSON, a text summary, and an HTML page.
 
 use super::plan::{Fault, Plan};
 use super::truth::{CONVERGENCE_TARGET, Violations};
@@ -6,42 +6,51 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A proxy's whole traffic for control must stay below this in every second.
+/// Limit on the control traffic of a proxy in any second, in bytes, both directions.
 pub const PROXY_BYTE_LIMIT: u64 = 8_192;
 
-/// Of times in seconds: the middle one, that of 99 in 100, the longest, and how many.
+/// Distribution of durations, in seconds: median, 99th percentile (99 in 100), maximum, and count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TimeStats {
+    /// 50th percentile.
     pub median: f64,
+    /// 99th percentile.
     #[serde(rename = "most")]
     pub p99: f64,
+    /// Maximum.
     pub longest: f64,
+    /// Number of durations.
     pub count: usize,
 }
 
-/// What the processes of one role send and receive.
+/// Traffic of the processes of one role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Traffic {
+    /// Number of processes.
     pub processes: usize,
-    /// Means of one process: bytes a second of its frames, of headers, of beats with theirs, both ways.
+    /// Mean bytes a second of the frames of one process, both directions.
     pub frames: f64,
+    /// Mean bytes a second of the TCP/IP headers of these frames.
     pub headers: f64,
+    /// Mean bytes a second of heartbeats with their headers.
     #[serde(rename = "beats")]
     pub heartbeats: f64,
-    /// Messages a second both ways, without beats.
+    /// Mean messages a second, both directions, without heartbeats.
     pub messages: f64,
-    /// The worst second of any one, with headers and beats; whose, and when.
+    /// Bytes of the peak second of any process, with headers and heartbeats.
     pub worst: u64,
+    /// Name of that process.
     pub worst_of: String,
+    /// End of that second, in seconds from the start of the measured time.
     pub worst_at: f64,
-    /// Processes that were over the limit in some second.
+    /// Number of processes that exceeded `PROXY_BYTE_LIMIT` in some second.
     #[serde(rename = "over")]
     pub over_limit: usize,
-    /// Children at the end, the most of any one.
+    /// Largest number of children of one process at the end.
     pub children: usize,
 }
 
-/// The same bytes for the same plan and seed.
+/// Results of a simulation. Deterministic: the same plan and seed give the same bytes of JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
     pub seed: u64,
@@ -49,53 +58,65 @@
     pub relays_per_site: usize,
     pub seconds: f64,
     pub changes: usize,
-    /// From the offer, and from when it was settled, until it was in force everywhere; until the root's sum said so, from
-    /// when it was settled.
+    /// Time from the first proposal of a change until it was in force at all reachable processes in its
+    /// scope.
     pub from_offer: TimeStats,
+    /// The same from when the change settled, that is, was committed.
     pub in_force: TimeStats,
+    /// Time from when a change settled until the summary of the root reported it in force.
     #[serde(rename = "told")]
     pub reported: TimeStats,
-    /// Changes that took longer than is aimed at, from the offer and from the settling.
+    /// Changes that exceeded `CONVERGENCE_TARGET`, measured from the proposal and from when they settled.
     pub late: (usize, usize),
-    /// Changes that were not in force everywhere at the end, and of which the root's sum did not say so.
+    /// Changes that were not in force everywhere at the end, and changes that the summary of the root did not
+    /// report.
     pub unfinished: (usize, usize),
-    /// Offers that were turned away, and that got no answer.
+    /// Proposals that the publisher refused.
     #[serde(rename = "turned_away")]
     pub rejected: usize,
+    /// Proposals that got no answer.
     pub unanswered: usize,
-    /// Calls to parents in the measured time, first ones after a start among them.
+    /// Connection attempts to parents in the measured time, with the first ones after a start.
     #[serde(rename = "calls")]
     pub parent_dials: usize,
-    /// Members and exceptions of the root's sum at the end.
+    /// Members and exceptions in the summary of the root at the end.
     #[serde(rename = "sum_at_end")]
     pub summary_at_end: (u32, u32),
+    /// Traffic by role.
     pub traffic: BTreeMap<String, Traffic>,
-    /// From the loss of a parent until there is another; the most that came to one parent, of one death.
+    /// Time from the failure of a parent until its child is connected to another one.
     #[serde(rename = "orphans")]
     pub reparenting: TimeStats,
+    /// Largest number of children that moved to the same parent after one failure.
     pub herd: usize,
-    /// From being back, or started anew, until caught up.
+    /// Time from being reachable again, or from a start, until the process caught up.
     pub caught_up: TimeStats,
-    /// After the last fault was undone until all that can be reached had what was settled by then.
+    /// Seconds from the end of the last fault until all reachable processes had the changes settled by then.
     pub converged: Option<f64>,
+    /// Processes whose refusal the summary of the root listed.
     pub refusals_named: usize,
+    /// Violated rules.
     #[serde(rename = "wrong")]
     pub violations: Violations,
 }
 
-/// What this machine spent: another run gives other figures.
+/// Resources that the simulation itself used; not deterministic.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RunCost {
     pub seed: u64,
     pub seconds: f64,
+    /// Number of simulated events.
     pub events: u64,
-    /// Processor time of the decisions alone, without sockets: in millionths of a core for one process, from a sample.
+    /// CPU time of the node, publisher and voter code alone, without sockets: millionths of a core for one
+    /// process, by role, estimated from a sample of calls.
     pub decisions: BTreeMap<String, f64>,
-    /// Bytes of what one process holds for its decisions, estimated from what it keeps; by role.
+    /// Estimated bytes of the state of one process, by role.
     pub memory: BTreeMap<String, f64>,
+    /// Resident memory of the simulating process, in bytes.
     pub resident: u64,
 }
 
+/// Sorts the durations and computes their distribution; zeros for none.
 pub fn time_stats(values: &mut [f64]) -> TimeStats {
     values.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
@@ -124,9 +145,9 @@
             relays => format!("{relays} relays a site"),
         };
         let mut lines = format!(
-            "seed {} (virtual, simulated): {} proxies, {relays}, {} s, {} changes\n  in force everywhere after: {} from the offer; {} \
-             from the settling; by the root's sum {}\n  over {CONVERGENCE_TARGET} s: {} from the offer, {} from the settling; unfinished {}, untold {}; offers \
-             turned away {}, unanswered {}\n",
+            "seed {} (virtual, simulated): {} proxies, {relays}, {} s, {} changes\n  in force everywhere after: {} from the proposal; {} \
+             from the commit; reported by the root's summary after {}\n  over {CONVERGENCE_TARGET} s: {} from the proposal, {} from the commit; unfinished {}, unreported {}; proposals \
+             refused {}, unanswered {}\n",
             self.seed,
             self.proxies,
             self.seconds,
@@ -144,7 +165,7 @@
         for (role, traffic) in &self.traffic {
             let _ = writeln!(
                 lines,
-                "  {role} ({}): {:.0} B/s of frames, {:.0} of headers, {:.0} of beats, {:.1} messages a second; worst second {} B \
+                "  {role} ({}): {:.0} B/s of frames, {:.0} of headers, {:.0} of heartbeats, {:.1} messages a second; peak second {} B \
                  ({} at {:.1} s), {} over {PROXY_BYTE_LIMIT}; {} children at most",
                 traffic.processes,
                 traffic.frames,
@@ -161,7 +182,7 @@
         let converged = self.converged.map_or("no".into(), |converged| format!("after {converged:.2} s"));
         let _ = writeln!(
             lines,
-            "  another parent after {}, {} to one at most; caught up after {}; converged {converged}; {} calls to parents; refusals named {}; the root's sum at the \
+            "  new parent after {}, at most {} to the same one; caught up after {}; converged {converged}; {} calls to parents; refusals named {}; the root's summary at the \
              end: {} members, {} exceptions",
             self.reparenting.describe(),
             self.herd,
@@ -174,7 +195,7 @@
         let violations = &self.violations;
         let _ = writeln!(
             lines,
-            "  wrong: {} went back, {} claimed what was not in force, {} not converged",
+            "  violations: {} version regressions, {} false claims of changes in force, {} not converged",
             violations.regressions, violations.false_claims, violations.not_converged
         );
         violations
@@ -195,7 +216,7 @@
                 .join(", ")
         };
         format!(
-            "  cost, which no two runs share: {:.1} s, {} events, {} MB resident; decisions alone, without sockets: {}; state: {}\n",
+            "  cost (differs between runs): {:.1} s, {} events, {} MB resident; CPU without sockets: {}; state: {}\n",
             self.seconds,
             self.events,
             self.resident / 1_000_000,
@@ -205,6 +226,7 @@
     }
 }
 
+/// HTML page of all runs of a plan.
 pub fn html_page(plan: &Plan, runs: &[(Report, RunCost)]) -> String {
     let mut text = String::new();
     for (report, cost) in runs {
@@ -214,7 +236,7 @@
     let faults: Vec<String> = plan.faults.iter().map(Fault::describe).collect();
     format!(
         "<!doctype html><meta charset='utf-8'><title>scale</title><style>body{{font:13px sans-serif}}</style><h1>{} proxies, \
-         {} control machines</h1><p>{}</p><p>Purges ({} a second) are not played.</p><pre>{}</pre><pre>{}</pre>\n",
+         {} control machines</h1><p>{}</p><p>Purges ({} a second) are not simulated.</p><pre>{}</pre><pre>{}</pre>\n",
         plan.proxies,
         plan.control_machines,
         escape(&plan.description),
--- a/crates/lab/src/scale/truth.rs
+++ b/crates/lab/src/scale/truth.rs
@@ -1,43 +1,56 @@
-//! What is in force where, as it truly is, and whether what is said of it holds.
+//! Checker of the simulation: tracks which version each process really has in force, and compares it with the
+//! summary of the root.
 
 use pumicebay_carrier::{Nanos, Scope, Summary, Version};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// From one change on, in force everywhere within this time is the aim, in seconds.
+/// Target for the time until a change is in force everywhere, in seconds.
 pub const CONVERGENCE_TARGET: f64 = 9.0;
-/// So long after its start what a process had in force in its last life may still be counted.
+/// For this long after its start a summary may still count a process with the version of its previous
+/// incarnation.
 const STARTUP_GRACE: Nanos = 10_000_000_000;
-/// Who could be reached for so long has to have caught up.
+/// A process that was reachable for this long must have caught up.
 const CATCH_UP_LIMIT: Nanos = 30_000_000_000;
 
-/// One resource: its scope, and every version that was settled for it.
+/// A resource of the configuration.
 pub struct TrackedResource {
+    /// Processes that the resource applies to.
     pub scope: Scope,
+    /// Versions of all its settled changes.
     pub versions: Vec<Version>,
 }
 
+/// A settled change of one resource.
 pub struct TrackedChange {
+    /// Index of the resource.
     pub resource: usize,
-    /// When it was offered first, and settled.
+    /// Time of its first proposal.
     pub proposed_at: Nanos,
+    /// Time when it settled, that is, was committed.
     pub settled_at: Nanos,
     pub version: Version,
-    /// Whom it concerns and who could be reached all the while, but does not have it in force.
+    /// Bit set of the processes in its scope that were reachable all the time and do not have it in force.
     missing: Vec<u64>,
+    /// Number of bits that are set in `missing`.
     missing_count: usize,
+    /// Time when the last process put it in force.
     last_applied_at: Nanos,
-    /// When it was in force everywhere, and when the root's own sum first said so.
+    /// Time when it was in force everywhere.
     pub in_force_at: Option<Nanos>,
+    /// Time when the summary of the root first reported it in force.
     pub reported_at: Option<Nanos>,
+    /// Whether it was proposed in the measured time.
     pub measured: bool,
 }
 
 impl TrackedChange {
+    /// Whether the process should have the change in force but does not.
     pub fn is_missing_at(&self, process: usize) -> bool {
         self.missing[process / 64] >> (process % 64) & 1 == 1
     }
 
+    /// Clears the bit of a process, and notes the time when no bit is left.
     fn mark_applied(&mut self, process: usize, now: Nanos) {
         self.missing[process / 64] &= !(1 << (process % 64));
         self.missing_count -= 1;
@@ -48,11 +61,11 @@
     }
 }
 
-/// What one process has in force.
+/// Configuration that a process has in force.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     pub version: Version,
-    /// Resources by number, in order.
+    /// Index and version of each resource, ordered by index.
     pub resources: Vec<(u32, Version)>,
 }
 
@@ -63,64 +76,82 @@
     }
 }
 
-/// A process as the judge sees it.
+/// Real state of a process.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessState {
+    /// Configuration in force.
     pub applied: Applied,
+    /// Start of this incarnation.
     pub started_at: Nanos,
-    /// Whether it lives and can be reached.
+    /// Whether the process runs and can be reached.
     pub reachable: bool,
-    /// Since when it is back, and which version it has to catch up with.
+    /// While it catches up: since when it is reachable again, and the version that it has to reach.
     pub catching_up: Option<(Nanos, Version)>,
-    /// The resource that it refuses, and from which version on.
+    /// Index of the resource that it refuses, and the first refused version.
     pub refuses: Option<(usize, Version)>,
 }
 
+/// Counts of violated rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Violations {
+    /// Times that a process went back to an older version.
     #[serde(rename = "went_back")]
     pub regressions: usize,
+    /// Times that the summary of the root reported a change in force at a process that did not have it.
     #[serde(rename = "claimed")]
     pub false_claims: usize,
+    /// Processes that lacked an old change at the end, or whose refusal was never listed.
     pub not_converged: usize,
-    /// The first few, in words.
+    /// Descriptions of the first 12 violations.
     #[serde(rename = "description")]
     pub descriptions: Vec<String>,
 }
 
 impl Violations {
+    /// Adds a description, unless there are enough.
     pub fn note(&mut self, description: String) {
         if self.descriptions.len() < 12 {
             self.descriptions.push(description);
         }
     }
 
+    /// Number of violations of all rules.
     pub fn total(&self) -> usize {
         self.regressions + self.false_claims + self.not_converged
     }
 }
 
+/// Real state of all processes and changes, and the violations found so far.
 #[derive(Default)]
 pub struct Checker {
+    /// Resources by index.
     pub resources: Vec<TrackedResource>,
+    /// Settled changes, in the order of settling.
     pub changes: Vec<TrackedChange>,
-    /// Changes that are not in force everywhere, or of which the root's sum does not say so.
+    /// Indexes of the changes that are not in force everywhere.
     pub not_in_force: Vec<usize>,
+    /// Indexes of the changes that the summary of the root has not reported in force.
     pub unreported: Vec<usize>,
+    /// Processes by index.
     pub processes: Vec<ProcessState>,
+    /// Indexes of processes by name.
     pub index_by_name: BTreeMap<String, usize>,
+    /// Newest settled version.
     pub latest_settled: Version,
+    /// Violations found so far.
     pub violations: Violations,
-    /// Since when each was back that has caught up, and when it had.
+    /// Start and end of each completed catch-up.
     pub caught_up: Vec<(Nanos, Nanos)>,
+    /// Newest version that a summary reported in force.
     highest_claimed: Version,
+    /// Indexes of the processes that are catching up.
     pub catching_up: BTreeSet<usize>,
-    /// When the refusal was first named by the root's sum.
+    /// Time when the summary of the root first listed the refusal of a process.
     pub refusal_named: BTreeMap<usize, Nanos>,
 }
 
 impl Checker {
-    /// A change is settled: it concerns these.
+    /// Records a settled change and the processes in its scope.
     pub fn change_settled(
         &mut self,
         now: Nanos,
@@ -160,7 +191,8 @@
         self.changes.push(change);
     }
 
-    /// A process has this in force now.
+    /// Records the configuration that a process put in force; reports a regression if it is older than the
+    /// previous one.
     pub fn applied(&mut self, now: Nanos, process: usize, applied: Applied) {
         if applied.version < self.processes[process].applied.version {
             self.violations.regressions += 1;
@@ -179,7 +211,7 @@
         processes[process].applied = applied;
     }
 
-    /// It can't be reached any more, so nothing is wanted of it; or a refusal excuses it.
+    /// Records that a process can't be reached, which excuses it from all open changes.
     pub fn mark_unreachable(&mut self, process: usize) {
         self.processes[process].reachable = false;
         self.processes[process].catching_up = None;
@@ -195,12 +227,15 @@
         self.not_in_force.retain(|&number| changes[number].in_force_at.is_none());
     }
 
+    /// Records that a process can be reached again and must catch up with the newest settled version.
     pub fn mark_reachable(&mut self, now: Nanos, process: usize) {
         self.processes[process].reachable = true;
         self.processes[process].catching_up = Some((now, self.latest_settled));
         self.catching_up.insert(process);
     }
 
+    /// Whether a process has all resources in its scope, except a refused one, at their newest version up to
+    /// `until`.
     fn has_all_until(
         &self,
         process: usize,
@@ -217,7 +252,7 @@
         })
     }
 
-    /// Those that are back: who has caught up?
+    /// Checks which processes have caught up.
     pub fn check_catch_up(&mut self, now: Nanos, in_scope: &dyn Fn(usize, &Scope) -> bool) {
         let waiting: Vec<usize> = self.catching_up.iter().copied().collect();
         for process in waiting {
@@ -230,7 +265,7 @@
         }
     }
 
-    /// What the root says of the whole: does it hold? `all`: processes that are to be counted.
+    /// Checks the summary of the root against the real state; `process_count` is the size of the whole fleet.
     pub fn check_summary(
         &mut self,
         now: Nanos,
@@ -261,7 +296,8 @@
                 !reported
             });
         }
-        // Who lacks what the sum says is in force, though it was there long enough to be counted by what it says itself?
+        // Processes that lack a change that the summary reports in force, and started long enough ago that
+        // the summary counts their own reports.
         let mut lacking: BTreeSet<usize> = BTreeSet::new();
         let past_startup = |state: &ProcessState| now >= state.started_at + STARTUP_GRACE;
         for &number in &self.not_in_force {
@@ -281,8 +317,9 @@
                 lacking.insert(process);
             }
         }
-        // With all counted, each that lacks must be named, or be among so many more. A member that moves is counted twice for a
-        // while, which claims nothing of anybody.
+        // If the summary counts all processes, each one that lacks a change must be a listed exception or be
+        // among the unlisted ones. The check needs the full count because a member that moves between parents
+        // is counted twice for a while.
         let exception_count = summary.exceptions.len() + summary.unnamed as usize;
         let unnamed: Vec<usize> = lacking.difference(&named).copied().collect();
         let false_claim = summary.members as usize >= process_count
@@ -291,7 +328,7 @@
             self.violations.false_claims += 1;
             let process = unnamed.first().copied().unwrap_or_default();
             self.violations.note(format!(
-                "{:.3} s: the sum claims {} at {} of {process_count} with {} exceptions, and {} lack it, as process {process}",
+                "{:.3} s: the summary reports {} in force at {} of {process_count} with {} exceptions, but {} processes lack it unlisted, among them process {process}",
                 seconds(now),
                 summary.in_force,
                 summary.members,
@@ -302,7 +339,8 @@
         self.highest_claimed = self.highest_claimed.max(summary.in_force);
     }
 
-    /// At the end: who could be reached for long and lacks what was settled long ago?
+    /// Final check: reports processes that were reachable for `CATCH_UP_LIMIT` and lack a change that is as
+    /// old.
     pub fn check_final_state(&mut self, now: Nanos, in_scope: &dyn Fn(usize, &Scope) -> bool) {
         self.check_catch_up(now, in_scope);
         let mut lacking = BTreeMap::new();
@@ -335,7 +373,8 @@
             });
             if overdue && !self.refusal_named.contains_key(&process) {
                 self.violations.not_converged += 1;
-                self.violations.note(format!("the refusal of process {process} was never named"));
+                self.violations
+                    .note(format!("the refusal of process {process} was never listed by the root"));
             }
         }
     }
--- a/crates/lab/src/scale/virt/changes.rs
+++ b/crates/lab/src/scale/virt/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration: drawn, offered, and what became of them.
+//! Changes of configuration: random choice, proposal to the publisher, and its outcome.
 
 use super::super::fleet::{self};
 use super::{Event, Proposal, REPROPOSE_DELAY, SUMMARY_CHECK_INTERVAL, Simulation};
@@ -7,12 +7,14 @@
 use rand::seq::IndexedRandom;
 
 impl Simulation<'_> {
-    /// Until the next of what happens so often a second by chance.
+    /// Draws the time to the next event of a Poisson process with this rate; the end of the run if the rate
+    /// is zero.
     pub(super) fn exponential_gap(&mut self, per_second: f64) -> Nanos {
         let drawn = -(1.0 - self.random.random_range(0.0..1.0f64)).ln();
         if per_second > 0.0 { (drawn / per_second * 1e9) as Nanos } else { self.end }
     }
 
+    /// Draws the resource of a change by the shares of scopes; a fleet resource if the drawn scope has none.
     pub(super) fn draw_resource(&mut self) -> usize {
         let drawn = self.random.random_range(0.0..1.0);
         let mut sum = 0.0;
@@ -27,6 +29,7 @@
         self.resource_groups[0][0]
     }
 
+    /// Makes a patch of a random size.
     pub(super) fn draw_patch(&mut self, resource_index: usize) -> String {
         let drawn = self.random.random_range(0.0..1.0);
         let (mut sum, mut bytes) = (0.0, self.plan.change_bytes[0].bytes);
@@ -41,17 +44,20 @@
         format!("{{\"a\":\"{number:0width$}\"}}", width = bytes.saturating_sub(8).max(1))
     }
 
+    /// Schedules a change of one resource.
     pub(super) fn propose_at(&mut self, at: Nanos, resource_index: usize) {
         let patch = self.draw_patch(resource_index);
         self.propose_all_at(at, vec![(resource_index, patch)]);
     }
 
+    /// Schedules one change of several resources.
     pub(super) fn propose_all_at(&mut self, at: Nanos, changes: Vec<(usize, String)>) {
         let measured = at >= self.measure_start;
         self.proposals.push(Proposal { changes, first_proposed_at: at, measured });
         self.schedule(at, Event::Propose(self.proposals.len() - 1));
     }
 
+    /// Proposes a change to the publisher; tries again later if none can be reached.
     pub(super) fn propose(&mut self, number: usize) {
         let Some(root) = self.root().filter(|root| !self.partitioned[self.placements[*root].region]) else {
             return self.schedule(self.now + REPROPOSE_DELAY, Event::Propose(number));
@@ -67,6 +73,7 @@
         });
     }
 
+    /// Records a settled change, or schedules its next proposal.
     pub(super) fn proposal_answered(&mut self, number: usize, outcome: ChangeOutcome) {
         match outcome {
             ChangeOutcome::Settled(version) => {
@@ -99,12 +106,13 @@
         }
     }
 
+    /// Lets the checker compare the summary of the root with the real state.
     pub(super) fn check_summary(&mut self) {
         self.schedule(self.now + SUMMARY_CHECK_INTERVAL, Event::CheckSummary);
         let Some(root) = self.root() else { return };
-        let one = &self.processes[root];
-        let Some(node) = &one.node else { return };
-        let summary = node.summary(one.clock.local_time(self.now));
+        let state = &self.processes[root];
+        let Some(node) = &state.node else { return };
+        let summary = node.summary(state.clock.local_time(self.now));
         let all = self.processes.len();
         let placements = &self.placements;
         self.checker.check_summary(self.now, &summary, all, &|process, scope| {
--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -1,4 +1,4 @@
-//! The event loop of processes: what happens to whom, and what their nodes ask for.
+//! Handling of events, calls of the nodes, and execution of the effects that they request.
 
 use super::super::fleet::{self, Role};
 use super::super::truth::Applied;
@@ -12,6 +12,7 @@
 use std::time::Instant;
 
 impl Simulation<'_> {
+    /// Schedules an event.
     pub(super) fn schedule(&mut self, at: Nanos, event: Event) {
         self.last_sequence += 1;
         let slot = match self.free_slots.pop() {
@@ -27,7 +28,7 @@
         self.queue.push(Reverse((at, self.last_sequence, slot)));
     }
 
-    /// Whose turn an event is, where that process may be stopped.
+    /// Process that receives an event and may be stopped; `None` for other events.
     pub(super) fn target_process(&self, event: &Event) -> Option<usize> {
         let link = |link: &LinkId| &self.links[*link as usize];
         match event {
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Handles an event, or queues it while its process is stopped.
     pub(super) fn handle(&mut self, event: Event) {
         if let Some(process) = self.target_process(&event)
             && self.processes[process].stalled
@@ -145,7 +147,7 @@
             }
             Event::StartMeasurement => {
                 let now = self.now;
-                self.processes.iter_mut().for_each(|one| one.meter.reset(now));
+                self.processes.iter_mut().for_each(|state| state.meter.reset(now));
                 self.voter_meters.iter_mut().for_each(|meter| meter.reset(now));
                 self.sampled_cpu.clear();
                 self.decision_counts.clear();
@@ -160,21 +162,23 @@
         }
     }
 
+    /// Runs the timer of a node; ignores a timer that was replaced by a later one.
     pub(super) fn wake(&mut self, process: usize) {
-        let one = &mut self.processes[process];
-        if one.wake_at != self.now {
+        let state = &mut self.processes[process];
+        if state.wake_at != self.now {
             return;
         }
-        one.wake_at = Nanos::MAX;
-        let Some(node) = &one.node else { return };
-        if node.due() <= one.clock.local_time(self.now) {
-            one.ticked_at = self.now;
+        state.wake_at = Nanos::MAX;
+        let Some(node) = &state.node else { return };
+        if node.due() <= state.clock.local_time(self.now) {
+            state.ticked_at = self.now;
             self.with_node(process, |node, now, host| node.tick(now, host));
         } else {
             self.schedule_wake(process);
         }
     }
 
+    /// Current role of a process, as reports name it.
     pub(in crate::scale) fn role(&self, process: usize) -> &'static str {
         match self.placements[process].role {
             Role::Proxy => "proxy",
@@ -184,7 +188,8 @@
         }
     }
 
-    /// Something happens to a process's node; what it asks for is carried out.
+    /// Calls the node of a process and performs the effects that it requests; reports a version that went
+    /// back.
     pub(super) fn with_node(
         &mut self,
         process: usize,
@@ -193,22 +198,23 @@
         self.decision_calls += 1;
         let timed =
             self.decision_calls.is_multiple_of(TIMING_SAMPLE_INTERVAL) && self.now >= self.measure_start;
-        let one = &mut self.processes[process];
-        let now = one.clock.local_time(self.now);
-        let Some(node) = &mut one.node else { return };
+        let state = &mut self.processes[process];
+        let now = state.clock.local_time(self.now);
+        let Some(node) = &mut state.node else { return };
         let mut host =
-            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: one.disk_is_read };
+            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: state.disk_is_read };
         let started = timed.then(Instant::now);
         call(node, now, &mut host);
         let took = started.map(|started| started.elapsed());
         let effects = host.effects;
         let holds = node.version();
-        if holds < one.held_version {
+        if holds < state.held_version {
             self.checker.violations.regressions += 1;
-            let words = format!("{} holds {holds} after {}", self.placements[process].name, one.held_version);
+            let words =
+                format!("{} holds {holds} after {}", self.placements[process].name, state.held_version);
             self.checker.violations.note(words);
         }
-        one.held_version = holds;
+        state.held_version = holds;
         let role = self.role(process);
         *self.decision_counts.entry(role).or_default() += 1;
         if let Some(took) = took {
@@ -221,20 +227,22 @@
         self.schedule_wake(process);
     }
 
+    /// Schedules the timer of a node, unless an earlier one is scheduled.
     pub(super) fn schedule_wake(&mut self, process: usize) {
-        let one = &mut self.processes[process];
-        let Some(node) = &one.node else { return };
+        let state = &mut self.processes[process];
+        let Some(node) = &state.node else { return };
         let due = node.due();
         if due == Nanos::MAX {
             return;
         }
-        let due = one.clock.global_time(due).max(self.now + 1).max(one.ticked_at + MIN_WAKE_GAP);
-        if due < one.wake_at {
-            one.wake_at = due;
+        let due = state.clock.global_time(due).max(self.now + 1).max(state.ticked_at + MIN_WAKE_GAP);
+        if due < state.wake_at {
+            state.wake_at = due;
             self.schedule(due, Event::Wake(process));
         }
     }
 
+    /// Performs an effect that a node requested.
     pub(super) fn perform(&mut self, process: usize, effect: NodeEffect) {
         if self.processes[process].node.is_none() {
             return;
@@ -273,12 +281,13 @@
         }
     }
 
+    /// Starts to put resources in force, except a refused one, which keeps its previous version.
     pub(super) fn apply(&mut self, process: usize, version: Version, resources: Vec<Resource>) {
         let mut applied = Applied { version, resources: Vec::with_capacity(resources.len()) };
         let mut refused = Vec::new();
         let refuses = self.checker.processes[process].refuses;
         for resource in resources {
-            // Resources are named by their number.
+            // The name of a resource is `r` and its index.
             let Some(resource_index) = resource.name.strip_prefix('r').and_then(|number| number.parse().ok())
             else {
                 continue;
@@ -291,7 +300,7 @@
                 let before = &self.checker.processes[process].applied.resources;
                 let before = before.iter().find(|(had, _)| *had == resource_index);
                 in_force = before.map_or(Version::default(), |(_, version)| *version);
-                refused.push((resource.scope, resource.name, "refused by the play".into()));
+                refused.push((resource.scope, resource.name, "refused by the simulation".into()));
             }
             applied.resources.push((resource_index, in_force));
         }
--- a/crates/lab/src/scale/virt/faults.rs
+++ b/crates/lab/src/scale/virt/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong by the plan: processes that die, stop or start again, regions and links that are cut.
+//! Faults of the plan: processes that die, stop or restart, resets of links, and partitions of regions.
 
 use super::super::agree::ControlMachine;
 use super::super::fleet::{self};
@@ -11,21 +11,24 @@
 use rand::seq::IndexedRandom;
 
 impl Simulation<'_> {
+    /// Index of the process that a fault names; `None` for `root` or no name.
     pub(super) fn fault_target(&self, fault: &Fault) -> Option<usize> {
         let (kind, number) = fault.target.as_deref()?.rsplit_once('-')?;
         let number: usize = number.parse().ok()?;
         Some(if kind == "control" { number } else { self.plan.control_machines + number })
     }
 
+    /// Half of the proxies of the site of a fault.
     pub(super) fn half_site_processes(&self, fault: &Fault) -> Vec<usize> {
         let site = fault.site.unwrap_or_default();
         let all: Vec<usize> = (self.plan.control_machines..self.processes.len())
             .filter(|process| self.placements[*process].site == site)
             .collect();
-        // Every other one, relays among them.
+        // Every second proxy, relays among them.
         all.into_iter().step_by(2).collect()
     }
 
+    /// Starts a fault.
     pub(super) fn start_fault(&mut self, number: usize) {
         let plan = self.plan;
         let fault = &plan.faults[number];
@@ -50,7 +53,7 @@
                 self.parent_failures += 1;
                 targets.into_iter().for_each(|process| self.kill(process, fault.without_reset));
                 if fault.kind == FaultKind::ControlGone {
-                    self.processes.iter_mut().for_each(|one| one.orphaned_at = None);
+                    self.processes.iter_mut().for_each(|state| state.orphaned_at = None);
                 }
             }
             FaultKind::SlowChild => {
@@ -107,6 +110,7 @@
         }
     }
 
+    /// Ends a fault and restores its processes.
     pub(super) fn end_fault(&mut self, number: usize) {
         let fault = &self.plan.faults[number];
         let targets = self.fault_targets.remove(&number).unwrap_or_default();
@@ -130,7 +134,7 @@
                     for event in std::mem::take(&mut self.processes[process].backlog) {
                         self.handle(event);
                     }
-                    // Times that came while it was stopped.
+                    // Handles the timers that expired while it was stopped.
                     self.processes[process].wake_at = Nanos::MAX;
                     self.schedule_wake(process);
                     if process < self.plan.control_machines {
@@ -146,11 +150,11 @@
                 let Some(region) = fault.region else { return };
                 self.partitioned[region] = false;
                 for process in self.plan.control_machines..self.processes.len() {
-                    let one = &self.processes[process];
+                    let state = &self.processes[process];
                     if self.placements[process].region == region
-                        && one.node.is_some()
-                        && !one.stalled
-                        && !one.slow
+                        && state.node.is_some()
+                        && !state.stalled
+                        && !state.slow
                     {
                         self.checker.mark_reachable(self.now, process);
                     }
@@ -160,6 +164,7 @@
         }
     }
 
+    /// Notes that the children of these links lost their parent now.
     pub(super) fn mark_orphaned(&mut self, links: &[LinkId]) {
         for id in links {
             let child = self.links[*id as usize].child;
@@ -167,15 +172,16 @@
         }
     }
 
+    /// Kills a process; if `silent`, its peers detect it by missing heartbeats only.
     pub(super) fn kill(&mut self, process: usize, silent: bool) {
         if self.processes[process].node.take().is_none() {
             return;
         }
         self.checker.mark_unreachable(process);
-        let one = &mut self.processes[process];
-        (one.died_silently, one.orphaned_at, one.dies_during_delta) = (silent, None, false);
-        one.backlog.clear();
-        let (up, down) = (one.parent_link.take(), std::mem::take(&mut one.child_links));
+        let state = &mut self.processes[process];
+        (state.died_silently, state.orphaned_at, state.dies_during_delta) = (silent, None, false);
+        state.backlog.clear();
+        let (up, down) = (state.parent_link.take(), std::mem::take(&mut state.child_links));
         let down: Vec<LinkId> = down.into_iter().collect();
         self.mark_orphaned(&down);
         for (id, child) in down.iter().map(|id| (*id, false)).chain(up.map(|id| (id, true))) {
@@ -190,30 +196,32 @@
         }
     }
 
+    /// Starts a dead process as a new incarnation.
     pub(super) fn start(&mut self, process: usize, disk: DiskState) {
         if self.processes[process].node.is_some() {
             return;
         }
-        let one = &mut self.processes[process];
-        one.incarnation += 1;
-        let incarnation = one.incarnation;
-        one.clock.started_at = self.now;
-        (one.wake_at, one.ticked_at, one.died_silently, one.stalled) = (Nanos::MAX, self.now, false, false);
+        let state = &mut self.processes[process];
+        state.incarnation += 1;
+        let incarnation = state.incarnation;
+        state.clock.started_at = self.now;
+        (state.wake_at, state.ticked_at, state.died_silently, state.stalled) =
+            (Nanos::MAX, self.now, false, false);
         match disk {
             DiskState::Kept => {}
-            DiskState::Empty => one.disk = None,
-            DiskState::Old => one.disk = one.initial_disk.clone(),
+            DiskState::Empty => state.disk = None,
+            DiskState::Old => state.disk = state.initial_disk.clone(),
         }
-        let snapshot = one.disk.clone();
-        one.held_version = snapshot.as_ref().map_or(Version::default(), |snapshot| snapshot.version);
-        let now = one.clock.local_time(self.now);
+        let snapshot = state.disk.clone();
+        state.held_version = snapshot.as_ref().map_or(Version::default(), |snapshot| snapshot.version);
+        let now = state.clock.local_time(self.now);
         let config = fleet::node_config(self.plan, &self.placements, process, incarnation);
         let mut host =
-            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: one.disk_is_read };
-        one.node = Some(TreeNode::start(now, config, snapshot, &mut host));
+            NodeEffects { effects: Vec::new(), random: &mut self.random, disk_is_read: state.disk_is_read };
+        state.node = Some(TreeNode::start(now, config, snapshot, &mut host));
         let effects = host.effects;
-        let state = &mut self.checker.processes[process];
-        (state.applied, state.started_at) = (Applied::default(), self.now);
+        let checked = &mut self.checker.processes[process];
+        (checked.applied, checked.started_at) = (Applied::default(), self.now);
         if !self.partitioned[self.placements[process].region] {
             self.checker.mark_reachable(self.now, process);
         }
@@ -235,7 +243,7 @@
         }
     }
 
-    /// The link to the parent is reset.
+    /// Resets the link of a process to its parent.
     pub(super) fn reset_parent_link(&mut self, process: usize) {
         if self.processes[process].node.is_some()
             && let Some(id) = self.processes[process].parent_link
--- a/crates/lab/src/scale/virt/hosts.rs
+++ b/crates/lab/src/scale/virt/hosts.rs
@@ -1,4 +1,4 @@
-//! What nodes and publishers ask for, noted down in order.
+//! Hosts of nodes and publishers that record the requested effects, in order.
 
 use pumicebay_carrier::{
     ChangeOutcome, ChildId, ChildMessage, Host, ParentMessage, PublisherHost, Resource, Snapshot, Version,
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// What a node asked for, in order.
+/// Effect that a node requests.
 pub(super) enum NodeEffect {
     ConnectParent(String),
     DisconnectParent,
@@ -17,6 +17,7 @@
     Persist(Snapshot),
 }
 
+/// Host of a node during one call.
 pub(super) struct NodeEffects<'a> {
     pub(super) effects: Vec<NodeEffect>,
     pub(super) random: &'a mut SmallRng,
@@ -43,7 +44,7 @@
         self.effects.push(NodeEffect::Apply(version, resources));
     }
     fn persist(&mut self, snapshot: &Snapshot) {
-        // Of a disk that is never read again the version is enough.
+        // A disk that is never read needs only the version, which saves memory.
         let snapshot = match self.disk_is_read {
             true => snapshot.clone(),
             false => Snapshot { version: snapshot.version, ..Snapshot::default() },
@@ -55,6 +56,7 @@
     }
 }
 
+/// Effect that a publisher requests.
 pub(super) enum PublisherEffect {
     Read,
     Write(String, u64),
@@ -63,6 +65,7 @@
     ReleaseLease,
 }
 
+/// Host of a publisher during one call.
 #[derive(Default)]
 pub(super) struct PublisherEffects(pub(super) Vec<PublisherEffect>);
 
--- a/crates/lab/src/scale/virt/links.rs
+++ b/crates/lab/src/scale/virt/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes: calls, delays, loss, cuts that are learned of by silence.
+//! Links between processes: connections, delays, loss, and failures that are detected by missing heartbeats.
 
 use super::super::fleet::{self, Endpoint};
 use super::super::meter::{HANDSHAKE_SEGMENTS, HELLO_BYTES, segments};
@@ -7,20 +7,22 @@
 use rand::RngExt;
 
 impl Simulation<'_> {
+    /// Network location of a process.
     pub(super) fn endpoint(&self, process: usize) -> Endpoint {
         fleet::endpoint(&self.placements[process])
     }
 
-    /// Whether a cut lies between them.
-    pub(super) fn is_partitioned(&self, one: Endpoint, other: Endpoint) -> bool {
-        one.region != other.region && (self.partitioned[one.region] || self.partitioned[other.region])
+    /// Whether a partition separates the two.
+    pub(super) fn is_partitioned(&self, first: Endpoint, second: Endpoint) -> bool {
+        first.region != second.region && (self.partitioned[first.region] || self.partitioned[second.region])
     }
 
+    /// Whether heartbeats are missing on a link.
     pub(super) fn is_silent(&self, id: LinkId) -> bool {
         let link = &self.links[id as usize];
         let (child, parent) = (&self.processes[link.child], &self.processes[link.parent]);
-        let mute = |one: &SimulatedProcess| one.stalled || one.died_silently;
-        // The other end may be gone without a word.
+        let mute = |state: &SimulatedProcess| state.stalled || state.died_silently;
+        // The other end may have closed the link without a notification.
         !link.child_open
             || !link.parent_open
             || mute(child)
@@ -29,10 +31,12 @@
             || self.is_partitioned(self.endpoint(link.child), self.endpoint(link.parent))
     }
 
+    /// Draws the one-way delay of a message.
     pub(super) fn transit_time(&mut self, from: Endpoint, to: Endpoint, segments: u64) -> Nanos {
         fleet::transit_time(self.plan, from, to, segments, &mut self.random)
     }
 
+    /// Connects a process to a parent; the handshake takes three one-way delays.
     pub(super) fn connect_parent(&mut self, process: usize, parent: &str) {
         let Some(&parent) = self.index_by_name.get(parent) else { return };
         self.parent_dials += 1;
@@ -50,7 +54,8 @@
         self.schedule(self.now + transit, Event::DialArrived(id));
     }
 
-    /// The connection is there, and so is the hello.
+    /// Accepts a connection with its hello at the parent, or fails it: at once if the parent is dead, by
+    /// timeout if it is silent.
     pub(super) fn dial_arrived(&mut self, id: LinkId) {
         let Link { child, parent, child_open, dialed_at, .. } = self.links[id as usize];
         let fails = |simulation: &mut Simulation, at: Nanos| {
@@ -85,6 +90,7 @@
         self.with_node(parent, |node, now, host| node.child_connected(now, ChildId::from(id), host));
     }
 
+    /// The connection is established at the child.
     pub(super) fn connected(&mut self, id: LinkId) {
         let Link { child, parent, child_open, .. } = self.links[id as usize];
         if !child_open || self.is_silent(id) {
@@ -99,7 +105,7 @@
         self.with_node(child, |node, now, host| node.parent_connected(now, host));
     }
 
-    /// This end takes the link for gone, and the other end is told unless it can't be.
+    /// Closes one end of a link, and notifies the other end if it can be reached.
     pub(super) fn close(&mut self, id: LinkId, child: bool) {
         let link = &mut self.links[id as usize];
         let open = if child { &mut link.child_open } else { &mut link.parent_open };
@@ -128,6 +134,7 @@
         }
     }
 
+    /// Handles the notification that the other end closed the link.
     pub(super) fn close_arrived(&mut self, id: LinkId, child: bool) {
         let Link { child: below, parent, child_open, parent_open, .. } = self.links[id as usize];
         let open = if child { child_open } else { parent_open };
@@ -141,7 +148,7 @@
         self.notify_closed(id, child);
     }
 
-    /// This end is told that its link is gone.
+    /// Tells the node at one end that its link is closed.
     pub(super) fn notify_closed(&mut self, id: LinkId, child: bool) {
         let Link { child: below, parent, .. } = self.links[id as usize];
         if child {
@@ -151,7 +158,7 @@
         }
     }
 
-    /// Both ends, or the one that can notice, learn of silence on a link.
+    /// Schedules the heartbeat timeouts of both ends of a link that became silent.
     pub(super) fn schedule_silence(&mut self, id: LinkId) {
         for child in [true, false] {
             let since = self.random.random_range(0..HEARTBEAT_INTERVAL);
@@ -159,6 +166,7 @@
         }
     }
 
+    /// Sends a message on a link, in order; a partition loses it.
     pub(super) fn send(&mut self, id: LinkId, up: bool, bytes: usize, event: Event) {
         let Link { child, parent, child_open, parent_open, .. } = self.links[id as usize];
         let (from, to, open) = if up { (child, parent, child_open) } else { (parent, child, parent_open) };
@@ -183,6 +191,7 @@
         self.schedule(at, event);
     }
 
+    /// Counts a message at its receiver.
     pub(super) fn record_received(&mut self, process: usize, bytes: usize) {
         self.processes[process].meter.record_received(self.now, bytes, segments(bytes));
     }
--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -1,8 +1,9 @@
-//! A whole fleet in virtual time: the decisions of every process, with the code that the proxies have, over links with delay
-//! and loss. Same plan and seed, same bytes.
+//! Discrete-event simulation of a whole fleet in virtual time: runs the decision code of the proxies for each
+//! process, over links with delay and loss. Deterministic: the same plan and seed give the same results.
 //!
-//! One heap of events. A process that is stopped gets its events when it goes on; a link that is cut loses what is sent on
-//! it, and both ends learn of it by silence; a process that dies has its links reset, unless its machine died with it.
+//! All events are in one priority queue. A stopped process gets its events when it resumes. A partitioned
+//! link loses its messages, and both ends detect that by missing heartbeats. A process that dies has its
+//! links reset, unless its machine died with it.
 
 mod changes;
 mod events;
@@ -26,107 +27,156 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
 
+/// A millisecond of simulated time.
 pub const MILLISECOND: Nanos = 1_000_000;
+/// A second of simulated time.
 pub const SECOND: Nanos = 1_000 * MILLISECOND;
-/// Without a beat for so long an end of a link takes it for gone; beats are sent twice a second.
+/// An end of a link closes it after this time without a heartbeat; heartbeats are sent twice a second.
 const SILENCE_TIMEOUT: Nanos = 2 * SECOND;
 const HEARTBEAT_INTERVAL: Nanos = SECOND / 2;
-/// How often the root's sum is looked at, and who has caught up.
+/// Interval at which the summary of the root is checked.
 const SUMMARY_CHECK_INTERVAL: Nanos = 100 * MILLISECOND;
+/// Interval at which the checker looks for processes that have caught up.
 const CATCH_UP_CHECK_INTERVAL: Nanos = 250 * MILLISECOND;
-/// A process does not wake more often than this.
+/// Shortest interval between two timers of a process.
 const MIN_WAKE_GAP: Nanos = MILLISECOND;
-/// Who offers a change and is turned away, or finds nobody that publishes, comes again after this.
+/// Delay before a change is proposed again that was refused or had an unknown outcome, or found no publisher.
 const REPROPOSE_DELAY: Nanos = 500 * MILLISECOND;
-/// Who got no answer comes again after this.
+/// Delay before a change is proposed again whose publisher stopped without an answer.
 const UNANSWERED_DELAY: Nanos = 2 * SECOND;
-/// What the warm-up writes as one change, in bytes, and what a resource takes beside its patch.
+/// Largest size of one change in the warm-up, in bytes.
 const WARM_UP_CHANGE_BYTES: usize = 18 * 1024;
+/// Bytes that a resource takes beside its patch.
 const RESOURCE_OVERHEAD: usize = 160;
-/// One of so many calls of the decisions is timed.
+/// One of this many calls of the decision code is timed.
 const TIMING_SAMPLE_INTERVAL: u64 = 32;
 
 type LinkId = u32;
 
+/// Simulated event. Processes, voters, proposals and faults are given by index; `u64` after a process is its
+/// incarnation.
 enum Event {
+    /// Empty slot.
     None,
-    /// A process looks at its clock.
+    /// Timer of the node of a process.
     Wake(usize),
-    /// A call arrives at the parent; its answer at the child.
+    /// A connection arrives at the parent.
     DialArrived(LinkId),
+    /// The connection is established at the child.
     Connected(LinkId),
-    /// The end of the child, or else of the parent, learns that the link is gone.
+    /// The child (`true`) or the parent learns that the other end closed the link.
     LinkClosed(LinkId, bool),
-    /// The same by silence, if what silenced it still lasts.
+    /// The child (`true`) or the parent closes the link for missing heartbeats, if the cause still lasts.
     LinkSilent(LinkId, bool),
+    /// A message arrives at the parent.
     ToParent(LinkId, ChildMessage),
+    /// A message arrives at the child.
     ToChild(LinkId, ParentMessage),
+    /// A process finished putting a version in force, with the resources that it refused: scope, name,
+    /// reason.
     ApplyDone(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
+    /// A process finished writing a snapshot to disk.
     PersistDone(usize, u64, Snapshot),
+    /// A message arrives at the first voter from the second one.
     VoterMessage(StoreId, StoreId, Message),
+    /// An operation arrives at a voter.
     VoterOperation(usize, Operation),
+    /// An answer of a voter arrives at a control machine.
     VoterAnswer(Answer),
+    /// Timer of a voter.
     VoterTimer(usize),
+    /// Timer of the lease client of a control machine.
     LeaseTimer(usize),
+    /// Timer of the publisher of a control machine.
     PublisherTimer(usize),
+    /// A control machine sends a pending operation again: machine, incarnation, operation number, voter.
     SendOperation(usize, u64, u64, usize),
+    /// A fault of the plan starts.
     FaultStart(usize),
+    /// A fault of the plan ends.
     FaultEnd(usize),
+    /// A process dies; `true`: with its machine, so that its links are not reset.
     Kill(usize, bool),
+    /// A process starts with its disk in the given state.
     Start(usize, DiskState),
+    /// The link of a process to its parent is reset.
     ResetLink(usize),
+    /// A change is proposed to the publisher.
     Propose(usize),
+    /// The summary of the root is checked.
     CheckSummary,
+    /// The checker looks for processes that have caught up.
     CheckCatchUp,
+    /// The measured time starts.
     StartMeasurement,
 }
 
+/// Connection of a child to a parent.
 #[derive(Default)]
 struct Link {
     child: usize,
     parent: usize,
-    /// Whether each end takes it for there.
+    /// Whether the child considers the link open.
     child_open: bool,
+    /// Whether the parent considers the link open.
     parent_open: bool,
+    /// Whether the connection was established at the child.
     connected: bool,
+    /// Time when the child began to connect.
     dialed_at: Nanos,
-    /// When the last of what was sent each way arrives.
+    /// Arrival time of the last message to the parent; later ones arrive after it.
     last_up_arrival: Nanos,
+    /// Arrival time of the last message to the child; later ones arrive after it.
     last_down_arrival: Nanos,
 }
 
+/// A process of the fleet.
 pub(super) struct SimulatedProcess {
+    /// Its node of the tree; `None` while the process is dead.
     pub(super) node: Option<TreeNode>,
+    /// Number of its starts.
     incarnation: u64,
     pub(super) clock: Clock,
+    /// Global time of its next timer; `Nanos::MAX` for none.
     wake_at: Nanos,
+    /// Global time of its last timer.
     ticked_at: Nanos,
+    /// Snapshot on its disk.
     disk: Option<Snapshot>,
+    /// Copy of its disk from the start of the measured time.
     initial_disk: Option<Snapshot>,
-    /// Whether its disk is ever read again.
+    /// Whether the run ever reads its disk; if not, snapshots keep only the version, to save memory.
     disk_is_read: bool,
     parent_link: Option<LinkId>,
     child_links: BTreeSet<LinkId>,
+    /// Whether it is stopped; its events wait in `backlog`.
     stalled: bool,
+    /// Whether it reads one byte a second.
     slow: bool,
-    /// Nobody is told that it is dead.
+    /// Whether it died with its machine, so that its peers were not notified.
     died_silently: bool,
     backlog: VecDeque<Event>,
     pub(super) meter: Meter,
+    /// Newest version that its node holds.
     held_version: Version,
-    /// Since when it has lost a parent that died.
+    /// Time when it lost a parent that failed, until it has another one.
     orphaned_at: Option<Nanos>,
-    /// It dies as it sends the next part of a difference.
+    /// Whether it dies while it sends the next part of a delta.
     dies_during_delta: bool,
+    /// Whether it ever was the publisher.
     pub(super) has_published: bool,
 }
 
+/// A proposed change of one or more resources.
 struct Proposal {
+    /// Index and patch of each resource.
     changes: Vec<(usize, String)>,
     first_proposed_at: Nanos,
+    /// Whether it was first proposed in the measured time.
     measured: bool,
 }
 
+/// State of a simulation; all times are global simulated times.
 pub struct Simulation<'a> {
     pub(super) plan: &'a Plan,
     pub(super) seed: u64,
@@ -136,36 +186,47 @@
     now: Nanos,
     pub(super) measure_start: Nanos,
     pub(super) end: Nanos,
+    /// Scheduled events: time, sequence number to break ties, index into `event_slots`.
     queue: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
     event_slots: Vec<Event>,
+    /// Indexes of the unused `event_slots`.
     free_slots: Vec<u32>,
     last_sequence: u64,
     pub(super) processes: Vec<SimulatedProcess>,
     links: Vec<Link>,
+    /// Whether each region is partitioned.
     partitioned: Vec<bool>,
     pub(super) voters: Vec<SimulatedVoter>,
     pub(super) voter_meters: Vec<Meter>,
     control_machines: Vec<ControlMachine>,
     pub(super) checker: Checker,
     proposals: Vec<Proposal>,
+    /// Indexes of resources by the kind of their scope, as in `Scopes::shares`.
     resource_groups: [Vec<usize>; 5],
-    /// Who a fault that names the root has hit.
+    /// Processes that each running fault hit, so that its end restores the same ones.
     fault_targets: BTreeMap<usize, Vec<usize>>,
-    /// How many came to one parent, of those whose parent died.
+    /// Number of orphaned children that connected to a parent, by the number of the failure and the parent.
     pub(super) herd: BTreeMap<(usize, usize), usize>,
+    /// Number of failures of processes so far.
     parent_failures: usize,
+    /// Time from the loss of a failed parent to the connection to another one, in seconds.
     pub(super) reparent_seconds: Vec<f64>,
+    /// Proposals without an answer, or with an unknown outcome.
     pub(super) unanswered_proposals: usize,
-    /// Calls to parents.
+    /// Connection attempts to parents.
     pub(super) parent_dials: usize,
+    /// Proposals that the publisher refused.
     pub(super) rejected_proposals: usize,
     pub(super) event_count: u64,
+    /// Number of calls of the decision code, to choose the timed ones.
     decision_calls: u64,
+    /// Total time and number of the timed calls, by role.
     pub(super) sampled_cpu: BTreeMap<&'static str, (Duration, u64)>,
+    /// Number of all calls in the measured time, by role.
     pub(super) decision_counts: BTreeMap<&'static str, u64>,
 }
 
-/// Plays a plan, and what it cost this machine beside what was found.
+/// Simulates a plan; returns the report, and what the simulation cost this machine.
 pub fn run(plan: &Plan, seed: u64) -> (Report, RunCost) {
     let started = Instant::now();
     let mut simulation = Simulation::new(plan, seed);
@@ -276,7 +337,7 @@
             .check_final_state(self.end, &|process, scope| fleet::in_scope(&placements[process], scope));
     }
 
-    /// What is known from the start: who starts when, what changes when, who restarts, and the faults.
+    /// Schedules all that the plan determines: starts, changes, restarts and faults.
     fn schedule_plan(&mut self) {
         let plan = self.plan;
         for at in 0..plan.voters {
@@ -288,7 +349,7 @@
             (0..plan.voters).for_each(|_| self.processes[at].meter.link_changed(0, true));
         }
         for at in 0..self.processes.len() {
-            // Proxies come when there is something to be had, relays first.
+            // Proxies start once the resources are written, relays before the others.
             let warm_up = self.measure_start;
             let within = match self.placements[at].role {
                 Role::Control => 0..200 * MILLISECOND,
@@ -298,7 +359,7 @@
             let start = self.random.random_range(within);
             self.schedule(start, Event::Start(at, DiskState::Empty));
         }
-        // Each resource is written once while the fleet warms up, many as one change.
+        // Writes each resource once in the warm-up, many in one change.
         let mut groups: Vec<Vec<(usize, String)>> = vec![Vec::new()];
         let mut bytes = 0;
         for resource_index in 0..self.checker.resources.len() {
@@ -361,6 +422,7 @@
     }
 }
 
+/// Bytes of a message as a frame.
 pub fn frame_bytes(message: &impl serde::Serialize) -> usize {
     postcard::experimental::serialized_size(message).unwrap_or(0) + FRAME_OVERHEAD
 }
--- a/crates/lab/src/scale/virt/publishing.rs
+++ b/crates/lab/src/scale/virt/publishing.rs
@@ -1,4 +1,4 @@
-//! The publisher at the control machine that has the lease.
+//! The publisher at the control machine that holds the lease.
 
 use super::super::agree::{self, OperationPurpose};
 use super::hosts::{PublisherEffect, PublisherEffects};
@@ -8,6 +8,7 @@
 use std::time::Instant;
 
 impl Simulation<'_> {
+    /// Calls the publisher of a control machine, if any, and performs its effects.
     pub(super) fn with_publisher(
         &mut self,
         at: usize,
@@ -29,6 +30,7 @@
         self.perform_publisher_effects(at, effects);
     }
 
+    /// Performs the effects that a publisher requested, and schedules its timer.
     pub(super) fn perform_publisher_effects(&mut self, at: usize, effects: PublisherEffects) {
         for effect in effects.0 {
             match effect {
@@ -88,19 +90,20 @@
         }
     }
 
-    /// What a majority of the control machines has on disk, to whoever publishes.
+    /// Tells the publisher the newest version that a majority of the control machines has on disk.
     pub(super) fn report_majority(&mut self, at: usize) {
         if at >= self.plan.control_machines || self.control_machines[at].publisher.is_none() {
             return;
         }
         let Some(node) = &self.processes[at].node else { return };
         let mut versions: Vec<Version> = node.persisted_versions().map(|(_, version)| version).collect();
-        versions.sort_unstable_by(|one, other| other.cmp(one));
+        versions.sort_unstable_by(|first, second| second.cmp(first));
         if let Some(&majority) = versions.get(self.plan.control_machines / 2) {
             self.with_publisher(at, |publisher, now, host| publisher.majority_persisted(now, majority, host));
         }
     }
 
+    /// Control machine that publishes; the one with the highest token if several do.
     pub(in crate::scale) fn root(&self) -> Option<usize> {
         let publishes = |at: &usize| {
             self.control_machines[*at].publisher.is_some()
--- a/crates/lab/src/scale/virt/voting.rs
+++ b/crates/lab/src/scale/virt/voting.rs
@@ -1,4 +1,4 @@
-//! Voters, and the control machines that ask them for the lease, reads and writes.
+//! Voters, and the operations of control machines: lease, reads and writes.
 
 use super::super::agree::{
     self, ANSWER_TIMEOUT, BUSY_RETRY_DELAY, OPERATION_DEADLINE, OperationPurpose, VoterOutput,
@@ -12,10 +12,12 @@
 use std::time::Instant;
 
 impl Simulation<'_> {
+    /// Counts a message at a voter.
     pub(super) fn record_voter_received(&mut self, at: usize, bytes: usize) {
         self.voter_meters[at].record_received(self.now, bytes, segments(bytes));
     }
 
+    /// Calls a voter and sends its messages and answers, after the write to disk if it wrote.
     pub(super) fn with_voter(
         &mut self,
         at: usize,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A control machine looks at its lease.
+    /// Runs the timer of the lease client of a control machine.
     pub(super) fn run_lease_client(&mut self, at: usize) {
         let control = &mut self.control_machines[at];
         if control.wake_at != self.now || self.processes[at].node.is_none() {
@@ -81,7 +83,8 @@
         self.update_lease(at);
     }
 
-    /// Follows what the lease says: who publishes, and when to look again.
+    /// Starts or stops the publisher as the lease was acquired or lost, and schedules the timer of the lease
+    /// client.
     pub(super) fn update_lease(&mut self, at: usize) {
         let now = self.processes[at].clock.local_time(self.now);
         let control = &mut self.control_machines[at];
@@ -100,7 +103,7 @@
         if token.is_some() {
             let mut effects = PublisherEffects::default();
             self.control_machines[at].publisher = Some(Publisher::start(now, &mut effects));
-            // Who publishes has no parent, and needs none.
+            // The publisher is the root of the tree and needs no parent.
             (self.processes[at].has_published, self.processes[at].orphaned_at) = (true, None);
             let name = self.placements[at].name.clone();
             self.with_node(at, |node, now, host| node.set_root(now, Some(&name), host));
@@ -110,6 +113,7 @@
         }
     }
 
+    /// Stops the publisher; its unanswered changes are proposed again later.
     pub(super) fn stop_publishing(&mut self, at: usize) {
         self.control_machines[at].publisher = None;
         self.control_machines[at].publisher_wake_at = Nanos::MAX;
@@ -119,13 +123,15 @@
         }
     }
 
+    /// Submits a new operation to the preferred voter.
     pub(super) fn submit(&mut self, at: usize, purpose: OperationPurpose, kind: OperationKind) {
         let number = self.control_machines[at].start_operation(purpose, self.now, kind);
         let preferred_voter = self.control_machines[at].preferred_voter;
         self.send_operation(at, number, preferred_voter);
     }
 
-    /// Sends an ask to this voter, and to the next where it does not answer.
+    /// Sends a pending operation to this voter, and schedules a retry with the next one; gives up after
+    /// `OPERATION_DEADLINE`.
     pub(super) fn send_operation(&mut self, at: usize, number: u64, to: usize) {
         let now = self.now;
         let Some(open) = self.control_machines[at].pending.get(&number) else { return };
@@ -150,6 +156,7 @@
         );
     }
 
+    /// Handles an answer of a voter; retries with the next voter if it is not conclusive.
     pub(super) fn answer_received(&mut self, answer: Answer) {
         let Some(&at) = self.index_by_name.get(&answer.id.process.name) else { return };
         if self.processes[at].node.is_none() || self.control_machines[at].process != answer.id.process {
@@ -167,6 +174,7 @@
         self.operation_finished(at, number, open.purpose, &answer.reply);
     }
 
+    /// Passes the outcome of an operation to the lease client or the publisher.
     pub(super) fn operation_finished(
         &mut self,
         at: usize,
@@ -183,7 +191,7 @@
                     && self.control_machines[at].token.is_none()
                 {
                     let name = holder.name.clone();
-                    // Its own last life may still have the lease.
+                    // The holder may be the previous incarnation of this machine, which is not a parent.
                     let root = (name != self.placements[at].name).then_some(name);
                     self.with_node(at, |node, now, host| node.set_root(now, root.as_deref(), host));
                 }
--- a/crates/lab/src/scale/voters.rs
+++ b/crates/lab/src/scale/voters.rs
@@ -1,6 +1,6 @@
-//! The same fleet without the carrier: every proxy keeps a link to every voter, as it does today, and asks one of them for
-//! the whole record every few seconds, to see whether a value of it has changed. The voters are the real ones; links and
-//! beats are counted by their constants.
+//! Baseline without the carrier: each proxy keeps a link to each voter, as it does today, and reads the whole
+//! record from one of them every few seconds, to see whether a value has changed. The voters run the real
+//! code; links and heartbeats are computed from their constants.
 
 use super::agree::{self, ANSWER_TIMEOUT, Clock, SimulatedVoter, VoterOutput};
 use super::fleet::{self, Placement};
@@ -17,64 +17,93 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write;
 
-/// Links that a voter takes by default (`fleet.links`), and what its record may hold.
+/// Links that a voter accepts by default (`fleet.links`).
 const MAX_VOTER_LINKS: usize = 1024;
-/// The configuration that the record has: as much as fits beside leases.
+/// Bytes of the configuration in the record: as much as fits beside the leases.
 const VALUE_BYTES: usize = 60 * 1024;
 
-/// What came of it.
+/// Results of a run without the carrier.
 #[derive(Debug, Default, PartialEq, Serialize)]
 pub struct VotersOnlyReport {
+    /// Seed of the run.
     pub seed: u64,
+    /// Number of proxies.
     pub proxies: usize,
+    /// Number of voters.
     pub voters: usize,
+    /// Simulated time.
     pub seconds: f64,
-    /// By arithmetic: links at each voter, the limit, and beats with headers that these links are a second.
+    /// Links at each voter, computed from the size of the fleet.
     pub links: usize,
+    /// Links that a voter accepts.
     #[serde(rename = "most_links")]
     pub max_links: usize,
+    /// Bytes a second of heartbeats with headers at each voter, computed from the number of links.
     #[serde(rename = "beats_per_second")]
     pub heartbeat_bytes_per_second: f64,
-    /// Asks, those that one voter turned away or left open, and those that got an answer.
+    /// Reads sent, retries among them.
     #[serde(rename = "asks")]
     pub reads: usize,
+    /// Reads that a voter rejected.
     #[serde(rename = "turned_away")]
     pub rejected: usize,
+    /// Reads without an accepted answer in time.
     pub unanswered: usize,
+    /// Reads that returned the record.
     pub answered: usize,
-    /// At a voter, as played without the limit on links: bytes a second without beats; the worst second with them.
+    /// Mean bytes a second at a voter without heartbeats, simulated without the limit on links.
     pub voter_bytes_per_second: f64,
+    /// Bytes of the peak second of any voter, with heartbeats.
     #[serde(rename = "voter_worst")]
     pub voter_peak_bytes: u64,
+    /// Bytes of the peak second of any proxy, with heartbeats.
     #[serde(rename = "proxy_worst")]
     pub proxy_peak_bytes: u64,
+    /// Largest size of the record.
     pub record_bytes: usize,
-    /// From a change's settling until the last proxy has read it.
+    /// Time from the write of a value until the last proxy has read it.
     #[serde(rename = "latencies")]
     pub read_latency: TimeStats,
+    /// Number of writes after the first one.
     pub changes: usize,
+    /// Writes that some proxy had not read at the end, though there was time.
     pub unfinished: usize,
+    /// Limits that the fleet reaches or exceeds, in words.
     pub limits: Vec<String>,
 }
 
+/// Simulated event.
 enum Event {
+    /// Message to the first voter from the second one.
     VoterMessage(StoreId, StoreId, Message),
+    /// Operation arrives at the voter with this index.
     VoterOperation(usize, Operation),
+    /// Answer arrives at a proxy: proxy, reply, bytes, operation number.
     VoterAnswer(usize, Reply, usize, u64),
+    /// Timer of a voter.
     VoterTimer(usize),
+    /// Poll timer of a proxy.
     Poll(usize),
+    /// An operator writes the value.
     WriteValue,
+    /// The answer to an operation of a proxy is overdue: proxy, operation number.
     AnswerTimeout(usize, u64),
 }
 
+/// A proxy that polls the voters.
 struct PollingProxy {
+    /// Voter that the next read goes to.
     preferred_voter: usize,
+    /// Number of the last operation.
     number: u64,
+    /// Number and start of the read without an answer.
     open: Option<(u64, Nanos)>,
+    /// Newest version of the value that it has read.
     read_version: u64,
     meter: Meter,
 }
 
+/// The simulated fleet.
 struct Fleet<'a> {
     plan: &'a Plan,
     placements: Vec<Placement>,
@@ -86,13 +115,16 @@
     voters: Vec<SimulatedVoter>,
     meters: Vec<Meter>,
     polling_proxies: Vec<PollingProxy>,
-    /// Versions of the record at which the value changed, when, and how many have not read them yet.
+    /// Writes of the value: version of the record, time, number of proxies that have not read it, and time
+    /// when all have.
     changes: Vec<(u64, Nanos, usize, Option<Nanos>)>,
     report: VotersOnlyReport,
+    /// Size of the record by version.
     record_sizes: BTreeMap<u64, usize>,
     writes: u64,
 }
 
+/// Simulates a plan without the carrier in virtual time.
 pub fn run(plan: &Plan, seed: u64) -> VotersOnlyReport {
     let mut random = SmallRng::seed_from_u64(seed);
     let placements = fleet::place_processes(plan);
@@ -168,9 +200,11 @@
         self.finish();
     }
 
+    /// Computes the report.
     fn finish(&mut self) {
         let mut latencies: Vec<f64> = Vec::new();
-        // The first is the value itself, and what changed a moment ago had no time.
+        // The first write creates the value and is not measured; writes shortly before the end had no time to
+        // be read.
         for (_, settled, left, done) in self.changes.iter().skip(1) {
             match done {
                 Some(done) => latencies.push((done - settled) as f64 / 1e9),
@@ -198,7 +232,7 @@
         let mut limits = Vec::new();
         if report.links > MAX_VOTER_LINKS {
             limits.push(format!(
-                "links: {} at each voter, {MAX_VOTER_LINKS} at most (fleet.links): broken from {} proxies on",
+                "links: {} at each voter, {MAX_VOTER_LINKS} at most (fleet.links): exceeded from {} proxies on",
                 report.links,
                 MAX_VOTER_LINKS + 2 - report.voters
             ));
@@ -206,12 +240,12 @@
         let read_bytes_per_second =
             report.record_bytes as f64 * report.proxies as f64 / self.plan.poll_seconds;
         limits.push(format!(
-            "bytes: {:.1} MB a second of records from the voters together, by arithmetic",
+            "bytes: {:.1} MB a second of records from all voters together (computed)",
             read_bytes_per_second / 1e6
         ));
         if report.proxy_peak_bytes > PROXY_BYTE_LIMIT {
             limits.push(format!(
-                "a proxy's {PROXY_BYTE_LIMIT} B a second: {} in its worst one",
+                "traffic of a proxy: at most {PROXY_BYTE_LIMIT} B in any second, peak second {} B",
                 report.proxy_peak_bytes
             ));
         }
@@ -259,7 +293,7 @@
         }
     }
 
-    /// An operator writes the value anew, through the first voter.
+    /// An operator writes a new value through the first voter.
     fn write_value(&mut self) {
         self.writes += 1;
         let text = format!("{:0VALUE_BYTES$}", self.writes);
@@ -274,6 +308,7 @@
         self.schedule(self.now + initial_delay + (gap * 1e9) as Nanos, Event::WriteValue);
     }
 
+    /// Schedules the next poll, and reads the record unless a read is under way.
     fn poll(&mut self, proxy: usize) {
         let every = (self.plan.poll_seconds * 1e9) as Nanos;
         self.schedule(self.now + every, Event::Poll(proxy));
@@ -325,7 +360,7 @@
                     }
                 }
             }
-            // Turned away: its patience ends, and the next is asked.
+            // Rejected: the read times out, and the next voter is asked.
             _ => self.report.rejected += 1,
         }
     }
@@ -358,7 +393,7 @@
                 continue;
             }
             let proxy = answer.id.process.incarnation as usize;
-            // The same record goes to many: its size is taken once.
+            // The same record goes to many proxies, so its size is computed once for each version.
             let bytes = match &answer.reply {
                 Reply::Record(record) => {
                     let record_bytes =
@@ -381,10 +416,10 @@
 impl VotersOnlyReport {
     pub fn summary(&self) -> String {
         let mut lines = format!(
-            "seed {} (virtual, simulated, without the carrier): {} proxies at {} voters, {} s\n  by arithmetic: {} links at each voter, \
-             beats {:.1} MB a second there\n  played as if there were no limit on links: {} asks, {} answered, {} turned away, {} \
-             without an answer in time; a voter {:.1} MB a second, worst second {:.1} MB; a proxy's worst second {} B; {} changes, read \
-             by all after {:.2} s, longest {:.2} ({}), {} not by the end\n",
+            "seed {} (virtual, simulated, without the carrier): {} proxies at {} voters, {} s\n  computed: {} links at each voter, \
+             {:.1} MB a second of heartbeats there\n  simulated without a limit on links: {} reads, {} answered, {} refused, {} \
+             without an answer in time; a voter {:.1} MB a second, peak second {:.1} MB; peak second of a proxy {} B; {} changes, read \
+             by all after {:.2} s (median), longest {:.2} ({}), {} not by the end\n",
             self.seed,
             self.proxies,
             self.voters,
--- a/crates/lab/tests/carrier.rs
+++ b/crates/lab/tests/carrier.rs
@@ -1,5 +1,6 @@
-//! Real processes that take their configuration by the carrier, under faults: nothing goes back, nothing is said to be in
-//! force that is not, and all is in force everywhere once the faults are undone.
+//! Real processes that get their configuration from the carrier, under faults: no process goes back to an
+//! older version, no change is reported in force that is not, and all changes are in force everywhere once
+//! the faults have ended.
 
 use pumicebay_lab::scale::{plan::Plan, real};
 use std::path::Path;
@@ -15,19 +16,19 @@
 }
 
 #[test]
-fn changes_come_through_faults_between_real_processes() {
-    let outcome = real::run(&plan(), 1, Path::new(LAB)).expect("a play");
+fn changes_reach_all_real_processes_despite_faults() {
+    let outcome = real::run(&plan(), 1, Path::new(LAB)).expect("the run failed");
     println!("{}{}", real::table_header(), outcome.summary());
     assert!(outcome.violations.is_empty(), "{}\n{}", outcome.summary(), outcome.logs.join("\n"));
     assert!(
         outcome.faults.len() >= 2 && outcome.settled >= 3 && outcome.claims >= 1 && outcome.pairs >= 10,
-        "hardly anything happened: {}",
+        "too few faults, changes or reports to test anything: {}",
         outcome.summary()
     );
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_again() {
+fn a_seed_always_draws_the_same_faults() {
     let plan = Plan { seconds: 60.0, ..plan() };
     assert_eq!(real::draw_faults(&plan, 7), real::draw_faults(&plan, 7));
     assert_ne!(real::draw_faults(&plan, 7), real::draw_faults(&plan, 8));
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Plays of the carrier over a whole fleet: plans that can't be are turned away by key, a play tells the same twice, and
-//! nothing of what must hold breaks on the small plan, which has every kind of fault.
+//! Simulations of a whole fleet with the carrier: invalid plans are refused with the wrong key, a simulation
+//! is deterministic, and the small plan, which has each kind of fault, violates no rule.
 
 use pumicebay_lab::scale::plan::Plan;
 use pumicebay_lab::scale::{real, virt, voters};
@@ -10,7 +10,7 @@
     Plan::read(&path).unwrap()
 }
 
-/// Of a plan that fits but for one line.
+/// Error of a plan that is valid but for one line, which is replaced, added, or with ` missing` removed.
 fn parse_error(line: &str) -> String {
     let mut lines: Vec<String> =
         "proxies = 40\nsites = 4\nzones = 2\nregions = 2\ncontrol = 3\nchanges_per_second = 1.0\n\
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_is_refused_by_its_key() {
+fn an_invalid_plan_is_refused_with_the_wrong_key() {
     let fault = |rest: &str| parse_error(&format!("[[fault]]\n{rest}"));
     for (error, key) in [
         (parse_error("proxies missing"), "proxies"),
@@ -48,7 +48,7 @@
         (fault("kind = \"dies\"\nat = 9\nwho = \"root\""), "fault 0: seconds: ends at 11"),
         (
             fault("kind = \"dies\"\nat = 1\nwho = \"control-3\""),
-            "fault 0: who: nobody of this fault is \"control-3\"",
+            "fault 0: who: \"control-3\" does not exist or cannot have this fault",
         ),
         (fault("kind = \"refused\"\nat = 1\nwho = \"root\""), "fault 0: who"),
         (
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_play_tells_the_same_twice_and_nothing_goes_wrong() {
+fn a_simulation_is_deterministic_and_violates_no_rule() {
     let plan = shipped_plan("small.toml");
     let (first, _) = virt::run(&plan, 1);
     let (again, _) = virt::run(&plan, 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_burst_stays_within_what_a_proxy_may_carry() {
+fn a_burst_stays_within_the_byte_limit_of_a_proxy() {
     let mut plan = shipped_plan("burst.toml");
     (plan.proxies, plan.sites, plan.zones, plan.regions) = (160, 10, 10, 10);
     plan.relays_per_site = 0;
@@ -108,9 +108,9 @@
     assert_eq!(report, voters::run(&plan, 1));
 }
 
-/// What a plan asks of real processes and they can't play is refused by its key.
+/// Too many processes, faults in the plan, and too few control machines for the voters.
 #[test]
-fn real_processes_are_refused_by_key() {
+fn a_plan_that_real_processes_cannot_run_is_refused_with_its_key() {
     let refused = |plan: &Plan| real::run(plan, 1, Path::new("none")).unwrap_err().to_string();
     let small = shipped_plan("small.toml");
     let error = refused(&small);
@@ -121,11 +121,12 @@
     assert!(error.contains("control: expected 3 or more"), "{error}");
 }
 
-/// The judge is not blind: each fault planted in the carrier's decisions breaks something. It takes long there until a change
-/// is in force, so that what is only held shows.
+/// The checker detects each fault that is injected into the decision code of the carrier. Changes take long
+/// to be put in force here, so that a fault that reports changes in force when they are only held is detected
+/// too.
 #[cfg(feature = "planted")]
 #[test]
-fn a_fault_planted_in_the_carrier_is_found() {
+fn a_fault_injected_into_the_carrier_is_detected() {
     let mut plan = shipped_plan("small.toml");
     plan.apply_ms = 1500.0;
     let report = pumicebay_carrier::InjectedFault::ALL.map(|fault| {
@@ -135,7 +136,7 @@
         (fault, violations)
     });
     let baseline = (1..=2).map(|seed| virt::run(&plan, seed).0.violations.total()).sum::<usize>();
-    assert_eq!(baseline, 0, "without a fault");
+    assert_eq!(baseline, 0, "violations without an injected fault");
     let undetected =
         report.iter().filter(|(_, violations)| violations.iter().all(|violations| violations.total() == 0));
     assert_eq!(undetected.count(), 0, "{found:#?}");
