--- a/crates/lab/src/scale/meter.rs
+++ b/crates/lab/src/scale/meter.rs
@@ -15,7 +15,7 @@
 const HEARTBEATS_PER_SECOND: u64 = 4;
 /// Bytes of the hello frame that each end sends on a new link.
 pub const HELLO_BYTES: usize = 64;
-/// Segments of the TCP handshake and the hello at the end that opens the connection.
+/// Segments that an end sends to open a connection, for the bytes of their headers; it receives one less.
 pub const HANDSHAKE_SEGMENTS: u64 = 3;
 
 /// Number of slots of the sliding window of one second.
@@ -37,8 +37,11 @@
 /// Counts the traffic of a process and tracks its peak second; times are global simulated times.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
+    /// Bytes of each slot of the window, used as a ring buffer.
     slot_bytes: [u32; WINDOW_SLOTS],
+    /// Number of the current slot since time 0.
     current_slot: u64,
+    /// Sum of `slot_bytes`.
     window_bytes: u64,
     /// Sent without heartbeats.
     pub sent: Flow,
@@ -50,6 +53,7 @@
     pub peak_at: Nanos,
     /// Number of open links; `link_nanos` integrates it over time, to derive the traffic of heartbeats.
     pub links: u32,
+    /// Time of the last change of `links`.
     links_since: Nanos,
     link_nanos: u128,
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -2,6 +2,11 @@
 //! of processes: 16,000 proxies, the control machines and the voters in virtual time, or some dozens of real
 //! processes.
 //!
+//! The control machine that holds a lease from the voters publishes changes and is the root of the tree. A
+//! change settles when it is committed, and is in force at a process once that process applied it. Each
+//! process reports to its parent, and the summary of the root states the version that is in force at all its
+//! members, except for listed exceptions.
+//!
 //! | file | purpose |
 //! | --- | --- |
 //! | `plan.rs` | plan files: fleet size, rate of changes, faults |
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -53,8 +53,8 @@
     /// Start, in seconds from the start of the measured time.
     #[serde(rename = "at")]
     pub start_seconds: f64,
-    #[serde(default = "two")]
     /// Duration in seconds.
+    #[serde(default = "two")]
     pub seconds: f64,
     /// `proxy-N`, `relay-N`, `control-N`, or `root` for the control machine that publishes at that time.
     #[serde(default)]
@@ -119,12 +119,10 @@
     /// Share of the changes that concern the whole fleet.
     pub fleet: f64,
     /// Share of the changes that concern one region.
-    /// Share of the changes that concern one region.
     pub region: f64,
     /// Share of the changes that concern one zone.
     pub zone: f64,
     /// Share of the changes that concern one site.
-    /// Share of the changes that concern one site.
     pub site: f64,
     /// Share of the changes that concern one proxy.
     pub proxy: f64,
@@ -162,7 +160,7 @@
     pub zones: usize,
     /// Number of regions; zones are spread over them evenly.
     pub regions: usize,
-    /// Number of control machines, the processes of which one publishes changes.
+    /// Number of control machines; one of them at a time holds the lease and publishes changes.
     #[serde(rename = "control")]
     pub control_machines: usize,
     /// Number of voters, 3 or 5; in virtual time they are separate processes.
@@ -172,9 +170,10 @@
     pub changes_per_second: f64,
     /// Rate of purges; not simulated, only used in capacity calculations.
     pub purges_per_second: f64,
-    /// Measured time, which follows the `warm_seconds`.
+    /// Measured time in seconds, which follows the `warm_seconds`.
     pub seconds: f64,
-    /// Unmeasured time before, in which the fleet starts and each resource is written once.
+    /// Unmeasured time at the beginning, in seconds, in which the fleet starts and each resource is written
+    /// once.
     #[serde(default = "warm")]
     pub warm_seconds: f64,
     /// Number of relays, proxies that accept children, at each site; with 0 all proxies connect to the
@@ -205,7 +204,7 @@
     /// Share of lost segments, between 0 and 1; a lost one is sent again after 200 ms.
     #[serde(default)]
     pub loss: f64,
-    /// Duration of the lease that the publishing control machine holds.
+    /// Duration of the lease that the publishing control machine holds, in seconds.
     #[serde(default = "lease")]
     pub lease_seconds: f64,
     /// Time of one write to disk, in milliseconds.
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -38,7 +38,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a probe.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout of the first write of the fleet record.
+/// Timeout of the command that founds the fleet, while its processes start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for the fleet to form. If a link is lost while processes start on a busy machine, the carrier counts
 /// its member as lost for a minute.
@@ -74,6 +74,7 @@
     Drop,
     /// All bytes on these links are delayed by this many milliseconds.
     Delay(u64),
+    /// These links are reset again and again.
     Reset,
 }
 
@@ -88,7 +89,7 @@
     /// Duration in seconds.
     pub seconds: f64,
     /// Name of the process; `None` for the one that publishes at that time.
-    #[serde(rename = "target")]
+    #[serde(rename = "who")]
     pub target: Option<String>,
 }
 
@@ -115,14 +116,14 @@
     /// Number of changes that were not written.
     pub refused: usize,
     /// Error output of the last one that was not written.
-    #[serde(rename = "refusal_reason")]
+    #[serde(rename = "why")]
     pub refusal_reason: String,
     /// Number of reports of `fleet changes` that were compared with probes.
     pub claims: usize,
     /// Seconds from the end of the last fault until all processes had the newest settled change in force.
     pub converged: Option<f64>,
     /// Seconds from the end of the last fault until the publisher reported that.
-    #[serde(rename = "reported")]
+    #[serde(rename = "said")]
     pub reported: Option<f64>,
     /// Seconds from the settling of a change until it was in force at a process, over all pairs of a change
     /// and a process that ran all the time: median, 99th percentile, maximum.
@@ -130,7 +131,7 @@
     /// Number of these pairs.
     pub pairs: usize,
     /// Descriptions of the first 10 violations.
-    #[serde(rename = "violations")]
+    #[serde(rename = "wrong")]
     pub violations: Vec<String>,
     /// Last log lines of each process that mention the carrier, if there are violations.
     pub logs: Vec<String>,
@@ -331,7 +332,7 @@
     for (at, fault) in faults.iter().enumerate() {
         steps.extend([(fault.start_seconds, true, at), (fault.start_seconds + fault.seconds, false, at)]);
     }
-    steps.sort_by(|one, two| one.0.total_cmp(&two.0));
+    steps.sort_by(|first, second| first.0.total_cmp(&second.0));
     let mut hit: BTreeMap<usize, String> = BTreeMap::new();
     for (at, begins, number) in steps {
         sleep_until(second(at)).await;
@@ -754,9 +755,10 @@
             }
         }
         times.sort_by(f64::total_cmp);
-        let quantile =
-            |part: f64| times.get(((times.len() as f64 * part) as usize).min(times.len().saturating_sub(1)));
-        let part = |share: f64| quantile(share).copied().unwrap_or(f64::NAN);
+        let value_at = |share: f64| {
+            times.get(((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1)))
+        };
+        let quantile = |share: f64| value_at(share).copied().unwrap_or(f64::NAN);
         if converged.is_none_or(|seconds| seconds > CONVERGENCE_TIMEOUT.as_secs_f64()) {
             let behind = observations.processes.iter().map(|(name, process)| {
                 let incarnation = process.incarnations.last();
@@ -791,7 +793,7 @@
             claims: observations.claims,
             converged,
             reported,
-            in_force: (part(0.5), part(0.99), part(1.0)),
+            in_force: (quantile(0.5), quantile(0.99), quantile(1.0)),
             pairs: times.len(),
             violations: violations.into_iter().take(10).collect(),
             logs,
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -53,10 +53,15 @@
 /// Results of a simulation. Deterministic: the same plan and seed give the same bytes of JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
+    /// Seed of the run.
     pub seed: u64,
+    /// Number of proxies of the plan.
     pub proxies: usize,
+    /// Number of relays at each site.
     pub relays_per_site: usize,
+    /// Measured time.
     pub seconds: f64,
+    /// Number of settled changes in the measured time.
     pub changes: usize,
     /// Time from the first proposal of a change until it was in force at all reachable processes in its
     /// scope.
@@ -103,7 +108,9 @@
 /// Resources that the simulation itself used; not deterministic.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RunCost {
+    /// Seed of the run.
     pub seed: u64,
+    /// Wall-clock time of the simulation.
     pub seconds: f64,
     /// Number of simulated events.
     pub events: u64,
@@ -139,6 +146,7 @@
 }
 
 impl Report {
+    /// Text of the report.
     pub fn summary(&self) -> String {
         let relays = match self.relays_per_site {
             0 => "direct".into(),
@@ -207,6 +215,7 @@
 }
 
 impl RunCost {
+    /// One line of text.
     pub fn summary(&self) -> String {
         let per_role = |values: &BTreeMap<String, f64>, unit: &str| {
             values
--- a/crates/lab/src/scale/truth.rs
+++ b/crates/lab/src/scale/truth.rs
@@ -29,6 +29,7 @@
     pub proposed_at: Nanos,
     /// Time when it settled, that is, was committed.
     pub settled_at: Nanos,
+    /// Version at which it settled.
     pub version: Version,
     /// Bit set of the processes in its scope that were reachable all the time and do not have it in force.
     missing: Vec<u64>,
@@ -64,6 +65,7 @@
 /// Configuration that a process has in force.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
+    /// Version of the whole configuration.
     pub version: Version,
     /// Index and version of each resource, ordered by index.
     pub resources: Vec<(u32, Version)>,
@@ -103,7 +105,7 @@
     /// Processes that lacked an old change at the end, or whose refusal was never listed.
     pub not_converged: usize,
     /// Descriptions of the first 12 violations.
-    #[serde(rename = "description")]
+    #[serde(rename = "words")]
     pub descriptions: Vec<String>,
 }
 
--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -147,7 +147,9 @@
     initial_disk: Option<Snapshot>,
     /// Whether the run ever reads its disk; if not, snapshots keep only the version, to save memory.
     disk_is_read: bool,
+    /// Link to its parent.
     parent_link: Option<LinkId>,
+    /// Links to its children.
     child_links: BTreeSet<LinkId>,
     /// Whether it is stopped; its events wait in `backlog`.
     stalled: bool,
@@ -155,6 +157,7 @@
     slow: bool,
     /// Whether it died with its machine, so that its peers were not notified.
     died_silently: bool,
+    /// Events that arrived while it was stopped.
     backlog: VecDeque<Event>,
     pub(super) meter: Meter,
     /// Newest version that its node holds.
@@ -184,10 +187,13 @@
     index_by_name: BTreeMap<String, usize>,
     random: SmallRng,
     now: Nanos,
+    /// Start of the measured time.
     pub(super) measure_start: Nanos,
+    /// End of the run.
     pub(super) end: Nanos,
     /// Scheduled events: time, sequence number to break ties, index into `event_slots`.
     queue: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
+    /// Storage of the scheduled events, reused through `free_slots`.
     event_slots: Vec<Event>,
     /// Indexes of the unused `event_slots`.
     free_slots: Vec<u32>,
--- a/crates/lab/src/scale/voters.rs
+++ b/crates/lab/src/scale/voters.rs
@@ -62,7 +62,7 @@
     /// Largest size of the record.
     pub record_bytes: usize,
     /// Time from the write of a value until the last proxy has read it.
-    #[serde(rename = "latencies")]
+    #[serde(rename = "seen")]
     pub read_latency: TimeStats,
     /// Number of writes after the first one.
     pub changes: usize,
@@ -142,7 +142,7 @@
         })
         .collect();
     let links = plan.proxies + plan.voters - 1;
-    let (_, beat, _) = heartbeat_rates();
+    let (_, heartbeat_bytes, _) = heartbeat_rates();
     let report = VotersOnlyReport {
         seed,
         proxies: plan.proxies,
@@ -150,7 +150,7 @@
         seconds: plan.seconds,
         links,
         max_links: MAX_VOTER_LINKS,
-        heartbeat_bytes_per_second: (links as u64 * beat) as f64,
+        heartbeat_bytes_per_second: (links as u64 * heartbeat_bytes) as f64,
         ..VotersOnlyReport::default()
     };
     let mut fleet = Fleet {
@@ -414,6 +414,7 @@
 }
 
 impl VotersOnlyReport {
+    /// Text of the report.
     pub fn summary(&self) -> String {
         let mut lines = format!(
             "seed {} (virtual, simulated, without the carrier): {} proxies at {} voters, {} s\n  computed: {} links at each voter, \
