--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -43,7 +43,9 @@
             | Event::LinkClosed(id, true)
             | Event::ToChild(id, _)
             | Event::LinkSilent(id, true) => Some(link(id).child),
-            Event::LeaseTimer(at) | Event::PublisherTimer(at) | Event::SendOperation(at, ..) => Some(*at),
+            Event::LeaseTimer(index) | Event::PublisherTimer(index) | Event::SendOperation(index, ..) => {
+                Some(*index)
+            }
             Event::VoterAnswer(answer) => self.index_by_name.get(&answer.id.process.name).copied(),
             _ => None,
         }
@@ -106,30 +108,30 @@
                 }
             }
             Event::VoterMessage(to, from, message) => {
-                let at = to as usize - 1;
-                self.record_voter_received(at, frame_bytes(&message));
-                self.with_voter(at, |voter, now, effects| {
+                let index = to as usize - 1;
+                self.record_voter_received(index, frame_bytes(&message));
+                self.with_voter(index, |voter, now, effects| {
                     voter.message_received(now, from, message, effects)
                 });
             }
-            Event::VoterOperation(at, operation) => {
-                self.record_voter_received(at, frame_bytes(&operation));
-                self.with_voter(at, |voter, now, effects| voter.submit(now, operation, effects));
+            Event::VoterOperation(index, operation) => {
+                self.record_voter_received(index, frame_bytes(&operation));
+                self.with_voter(index, |voter, now, effects| voter.submit(now, operation, effects));
             }
-            Event::VoterTimer(at) => {
-                self.with_voter(at, |voter, now, effects| voter.timer_fired(now, effects))
+            Event::VoterTimer(index) => {
+                self.with_voter(index, |voter, now, effects| voter.timer_fired(now, effects))
             }
             Event::VoterAnswer(answer) => self.answer_received(answer),
-            Event::LeaseTimer(at) => self.run_lease_client(at),
-            Event::PublisherTimer(at) => {
-                if self.control_machines[at].publisher_wake_at == self.now {
-                    self.control_machines[at].publisher_wake_at = Nanos::MAX;
-                    self.with_publisher(at, |publisher, now, host| publisher.tick(now, host));
+            Event::LeaseTimer(index) => self.run_lease_client(index),
+            Event::PublisherTimer(index) => {
+                if self.control_machines[index].publisher_wake_at == self.now {
+                    self.control_machines[index].publisher_wake_at = Nanos::MAX;
+                    self.with_publisher(index, |publisher, now, host| publisher.tick(now, host));
                 }
             }
-            Event::SendOperation(at, incarnation, number, to) => {
-                if self.processes[at].incarnation == incarnation {
-                    self.send_operation(at, number, to);
+            Event::SendOperation(index, incarnation, number, to) => {
+                if self.processes[index].incarnation == incarnation {
+                    self.send_operation(index, number, to);
                 }
             }
             Event::FaultStart(number) => self.start_fault(number),
@@ -262,10 +264,10 @@
             }
             NodeEffect::SendToChild(child, message) => {
                 let id = child as LinkId;
-                let amid = self.processes[process].dies_during_delta
+                let dies_now = self.processes[process].dies_during_delta
                     && matches!(message, ParentMessage::Delta { .. });
                 self.send(id, false, frame_bytes(&message), Event::ToChild(id, message));
-                if amid {
+                if dies_now {
                     self.processes[process].dies_during_delta = false;
                     self.kill(process, false);
                 }
@@ -293,8 +295,8 @@
                 continue;
             };
             let mut in_force = resource.version;
-            if let Some((no, from)) = refuses
-                && no == resource_index as usize
+            if let Some((refused_index, from)) = refuses
+                && refused_index == resource_index as usize
                 && resource.version >= from
             {
                 let before = &self.checker.processes[process].applied.resources;
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Simulations of a whole fleet with the carrier: invalid plans are refused with the wrong key, a simulation
-//! is deterministic, and the small plan, which has each kind of fault, violates no rule.
+//! Simulations of a whole fleet with the carrier: invalid plans are refused with an error that names the key,
+//! a simulation is deterministic, and the small plan, which has each kind of fault, violates no rule.
 
 use pumicebay_lab::scale::plan::Plan;
 use pumicebay_lab::scale::{real, virt, voters};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_invalid_plan_is_refused_with_the_wrong_key() {
+fn an_invalid_plan_is_refused_with_an_error_that_names_the_key() {
     let fault = |rest: &str| parse_error(&format!("[[fault]]\n{rest}"));
     for (error, key) in [
         (parse_error("proxies missing"), "proxies"),
@@ -110,7 +110,7 @@
 
 /// Too many processes, faults in the plan, and too few control machines for the voters.
 #[test]
-fn a_plan_that_real_processes_cannot_run_is_refused_with_its_key() {
+fn a_plan_that_real_processes_cannot_run_is_refused() {
     let refused = |plan: &Plan| real::run(plan, 1, Path::new("none")).unwrap_err().to_string();
     let small = shipped_plan("small.toml");
     let error = refused(&small);
@@ -129,7 +129,7 @@
 fn a_fault_injected_into_the_carrier_is_detected() {
     let mut plan = shipped_plan("small.toml");
     plan.apply_ms = 1500.0;
-    let report = pumicebay_carrier::InjectedFault::ALL.map(|fault| {
+    let violations_by_fault = pumicebay_carrier::InjectedFault::ALL.map(|fault| {
         pumicebay_carrier::inject_fault(Some(fault));
         let violations: Vec<_> = (1..=2).map(|seed| virt::run(&plan, seed).0.violations).collect();
         pumicebay_carrier::inject_fault(None);
@@ -137,7 +137,8 @@
     });
     let baseline = (1..=2).map(|seed| virt::run(&plan, seed).0.violations.total()).sum::<usize>();
     assert_eq!(baseline, 0, "violations without an injected fault");
-    let undetected =
-        report.iter().filter(|(_, violations)| violations.iter().all(|violations| violations.total() == 0));
-    assert_eq!(undetected.count(), 0, "{found:#?}");
+    let undetected = violations_by_fault
+        .iter()
+        .filter(|(_, violations)| violations.iter().all(|violations| violations.total() == 0));
+    assert_eq!(undetected.count(), 0, "{violations_by_fault:#?}");
 }
