--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Largest number of proxies in a plan: the run of a larger fleet would not end in reasonable time.
+/// Largest number of proxies, and of children of one process: a larger fleet would not finish in reasonable
+/// time.
 const MAX_PROXIES: usize = 100_000;
 
 /// Kind of an injected fault.
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -545,9 +545,9 @@
     }
 
     /// Runs `pumicebay fleet` with these arguments.
-    async fn fleet_command(&self, words: &[&str]) -> Result<std::process::Output> {
+    async fn fleet_command(&self, arguments: &[&str]) -> Result<std::process::Output> {
         let mut command = Command::new(&self.program);
-        command.args(["as-proxy", "fleet"]).args(words).arg("--config").arg(&self.operator_config);
+        command.args(["as-proxy", "fleet"]).args(arguments).arg("--config").arg(&self.operator_config);
         Ok(command.stdin(Stdio::null()).kill_on_drop(true).output().await?)
     }
 
--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Runs the timer of a node; ignores a timer that was replaced by a later one.
+    /// Runs the timer of a node; ignores a timer that was replaced by another one.
     pub(super) fn wake(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if state.wake_at != self.now {
@@ -212,9 +212,11 @@
         let holds = node.version();
         if holds < state.held_version {
             self.checker.violations.regressions += 1;
-            let words =
-                format!("{} holds {holds} after {}", self.placements[process].name, state.held_version);
-            self.checker.violations.note(words);
+            let description = format!(
+                "{} holds version {holds} after {}",
+                self.placements[process].name, state.held_version
+            );
+            self.checker.violations.note(description);
         }
         state.held_version = holds;
         let role = self.role(process);
