--- a/crates/lab/src/scale/virt/events.rs
+++ b/crates/lab/src/scale/virt/events.rs
@@ -304,7 +304,7 @@
                 let before = &self.checker.processes[process].applied.resources;
                 let before = before.iter().find(|(had, _)| *had == resource_index);
                 in_force = before.map_or(Version::default(), |(_, version)| *version);
-                refused.push((resource.scope, resource.name, "refused by the simulation".into()));
+                refused.push((resource.scope, resource.name, "refused by the test".into()));
             }
             applied.resources.push((resource_index, in_force));
         }
