--- a/crates/lab/src/scale/virt/mod.rs
+++ b/crates/lab/src/scale/virt/mod.rs
@@ -1,8 +1,9 @@
-//! A whole fleet in virtual time: the decisions of every process, with the code that the proxies have, over links with delay
-//! and loss. Same plan and seed, same bytes.
+//! Discrete-event simulation of a whole fleet in virtual time: runs the decision code of the proxies for each
+//! process, over links with delay and loss. Deterministic: the same plan and seed give the same results.
 //!
-//! One heap of events. A process that is stopped gets its events when it goes on; a link that is cut loses what is sent on
-//! it, and both ends learn of it by silence; a process that dies has its links reset, unless its machine died with it.
+//! All events are in one priority queue. A stopped process gets its events when it resumes. A partitioned
+//! link loses its messages, and both ends detect that by missing heartbeats. A process that dies has its
+//! links reset, unless its machine died with it.
 
 mod changes;
 mod events;
@@ -12,12 +13,12 @@
 mod publishing;
 mod voting;
 
-use super::agree::{self, Clock, Control, Seat};
-use super::fleet::{self, Role, Site};
-use super::meter::{FRAME, Meter};
-use super::plan::{Disk, Kind, Plan};
-use super::report::{Cost, Found};
-use super::truth::{Applied, Key, Seen, Truth};
+use super::agree::{self, Clock, ControlMachine, SimulatedVoter};
+use super::fleet::{self, Placement, Role};
+use super::meter::{FRAME_OVERHEAD, Meter};
+use super::plan::{DiskState, FaultKind, Plan};
+use super::report::{Report, RunCost};
+use super::truth::{Applied, Checker, ProcessState, TrackedResource};
 use pumicebay_accord::{Answer, Message, Operation, StoreId};
 use pumicebay_carrier::{ChildMessage, Nanos, ParentMessage, Scope, Snapshot, TreeNode, Version};
 use rand::rngs::SmallRng;
@@ -26,336 +27,408 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::{Duration, Instant};
 
-pub const MILLI: Nanos = 1_000_000;
-pub const SECOND: Nanos = 1_000 * MILLI;
-/// Without a beat for so long an end of a link takes it for gone; beats are sent twice a second.
-const SILENT: Nanos = 2 * SECOND;
-const BEAT: Nanos = SECOND / 2;
-/// How often the root's sum is looked at, and who has caught up.
-const POLL: Nanos = 100 * MILLI;
-const LOOK: Nanos = 250 * MILLI;
-/// A process does not wake more often than this.
-const LEAST: Nanos = MILLI;
-/// Who offers a change and is turned away, or finds nobody that publishes, comes again after this.
-const OFFER_AGAIN: Nanos = 500 * MILLI;
-/// Who got no answer comes again after this.
-const UNANSWERED: Nanos = 2 * SECOND;
-/// What the warm-up writes as one change, in bytes, and what a resource takes beside its patch.
-const GROUP: usize = 18 * 1024;
-const RESOURCE: usize = 160;
-/// One of so many calls of the decisions is timed.
-const SAMPLED: u64 = 32;
+/// A millisecond of simulated time.
+pub const MILLISECOND: Nanos = 1_000_000;
+/// A second of simulated time.
+pub const SECOND: Nanos = 1_000 * MILLISECOND;
+/// An end of a link closes it after this time without a heartbeat; heartbeats are sent twice a second.
+const SILENCE_TIMEOUT: Nanos = 2 * SECOND;
+const HEARTBEAT_INTERVAL: Nanos = SECOND / 2;
+/// Interval at which the summary of the root is checked.
+const SUMMARY_CHECK_INTERVAL: Nanos = 100 * MILLISECOND;
+/// Interval at which the checker looks for processes that have caught up.
+const CATCH_UP_CHECK_INTERVAL: Nanos = 250 * MILLISECOND;
+/// Shortest interval between two timers of a process.
+const MIN_WAKE_GAP: Nanos = MILLISECOND;
+/// Delay before a change is proposed again that was refused or had an unknown outcome, or found no publisher.
+const REPROPOSE_DELAY: Nanos = 500 * MILLISECOND;
+/// Delay before a change is proposed again whose publisher stopped without an answer.
+const UNANSWERED_DELAY: Nanos = 2 * SECOND;
+/// Largest size of one change in the warm-up, in bytes.
+const WARM_UP_CHANGE_BYTES: usize = 18 * 1024;
+/// Bytes that a resource takes beside its patch.
+const RESOURCE_OVERHEAD: usize = 160;
+/// One of this many calls of the decision code is timed.
+const TIMING_SAMPLE_INTERVAL: u64 = 32;
 
 type LinkId = u32;
 
+/// Simulated event. Processes, voters, proposals and faults are given by index; `u64` after a process is its
+/// incarnation.
 enum Event {
+    /// Empty slot.
     None,
-    /// A process looks at its clock.
+    /// Timer of the node of a process.
     Wake(usize),
-    /// A call arrives at the parent; its answer at the child.
-    Called(LinkId),
+    /// A connection arrives at the parent.
+    DialArrived(LinkId),
+    /// The connection is established at the child.
     Connected(LinkId),
-    /// The end of the child, or else of the parent, learns that the link is gone.
-    Gone(LinkId, bool),
-    /// The same by silence, if what silenced it still lasts.
-    Silent(LinkId, bool),
-    Up(LinkId, ChildMessage),
-    Down(LinkId, ParentMessage),
-    InForce(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
-    Kept(usize, u64, Snapshot),
-    Vote(StoreId, StoreId, Message),
-    Ask(usize, Operation),
-    Answer(Answer),
-    Voter(usize),
-    Asker(usize),
-    Publisher(usize),
-    Again(usize, u64, u64, usize),
-    Begins(usize),
-    Ends(usize),
-    Dies(usize, bool),
-    Starts(usize, Disk),
-    Resets(usize),
-    Offer(usize),
-    Poll,
-    Look,
-    Measure,
+    /// The child (`true`) or the parent learns that the other end closed the link.
+    LinkClosed(LinkId, bool),
+    /// The child (`true`) or the parent closes the link for missing heartbeats, if the cause still lasts.
+    LinkSilent(LinkId, bool),
+    /// A message arrives at the parent.
+    ToParent(LinkId, ChildMessage),
+    /// A message arrives at the child.
+    ToChild(LinkId, ParentMessage),
+    /// A process finished putting a version in force, with the resources that it refused: scope, name,
+    /// reason.
+    ApplyDone(usize, u64, Version, Applied, Vec<(Scope, String, String)>),
+    /// A process finished writing a snapshot to disk.
+    PersistDone(usize, u64, Snapshot),
+    /// A message arrives at the first voter from the second one.
+    VoterMessage(StoreId, StoreId, Message),
+    /// An operation arrives at a voter.
+    VoterOperation(usize, Operation),
+    /// An answer of a voter arrives at a control machine.
+    VoterAnswer(Answer),
+    /// Timer of a voter.
+    VoterTimer(usize),
+    /// Timer of the lease client of a control machine.
+    LeaseTimer(usize),
+    /// Timer of the publisher of a control machine.
+    PublisherTimer(usize),
+    /// A control machine sends a pending operation again: machine, incarnation, operation number, voter.
+    SendOperation(usize, u64, u64, usize),
+    /// A fault of the plan starts.
+    FaultStart(usize),
+    /// A fault of the plan ends.
+    FaultEnd(usize),
+    /// A process dies; `true`: with its machine, so that its links are not reset.
+    Kill(usize, bool),
+    /// A process starts with its disk in the given state.
+    Start(usize, DiskState),
+    /// The link of a process to its parent is reset.
+    ResetLink(usize),
+    /// A change is proposed to the publisher.
+    Propose(usize),
+    /// The summary of the root is checked.
+    CheckSummary,
+    /// The checker looks for processes that have caught up.
+    CheckCatchUp,
+    /// The measured time starts.
+    StartMeasurement,
 }
 
+/// Connection of a child to a parent.
 #[derive(Default)]
 struct Link {
     child: usize,
     parent: usize,
-    /// Whether each end takes it for there.
+    /// Whether the child considers the link open.
     child_open: bool,
+    /// Whether the parent considers the link open.
     parent_open: bool,
+    /// Whether the connection was established at the child.
     connected: bool,
-    called: Nanos,
-    /// When the last of what was sent each way arrives.
-    up: Nanos,
-    down: Nanos,
+    /// Time when the child began to connect.
+    dialed_at: Nanos,
+    /// Arrival time of the last message to the parent; later ones arrive after it.
+    last_up_arrival: Nanos,
+    /// Arrival time of the last message to the child; later ones arrive after it.
+    last_down_arrival: Nanos,
 }
 
-pub(super) struct Proc {
+/// A process of the fleet.
+pub(super) struct SimulatedProcess {
+    /// Its node of the tree; `None` while the process is dead.
     pub(super) node: Option<TreeNode>,
-    life: u64,
+    /// Number of its starts.
+    incarnation: u64,
     pub(super) clock: Clock,
-    wake: Nanos,
-    ticked: Nanos,
+    /// Global time of its next timer; `Nanos::MAX` for none.
+    wake_at: Nanos,
+    /// Global time of its last timer.
+    ticked_at: Nanos,
+    /// Snapshot on its disk.
     disk: Option<Snapshot>,
-    old: Option<Snapshot>,
-    /// Whether its disk is ever read again.
-    keeps: bool,
-    up: Option<LinkId>,
-    down: BTreeSet<LinkId>,
+    /// Copy of its disk from the start of the measured time.
+    initial_disk: Option<Snapshot>,
+    /// Whether the run ever reads its disk; if not, snapshots keep only the version, to save memory.
+    disk_is_read: bool,
+    /// Link to its parent.
+    parent_link: Option<LinkId>,
+    /// Links to its children.
+    child_links: BTreeSet<LinkId>,
+    /// Whether it is stopped; its events wait in `backlog`.
     stalled: bool,
+    /// Whether it reads one byte a second.
     slow: bool,
-    /// Nobody is told that it is dead.
-    vanished: bool,
+    /// Whether it died with its machine, so that its peers were not notified.
+    died_silently: bool,
+    /// Events that arrived while it was stopped.
     backlog: VecDeque<Event>,
     pub(super) meter: Meter,
-    holds: Version,
-    /// Since when it has lost a parent that died.
-    orphan: Option<Nanos>,
-    /// It dies as it sends the next part of a difference.
-    dies_amid: bool,
-    pub(super) published: bool,
+    /// Newest version that its node holds.
+    held_version: Version,
+    /// Time when it lost a parent that failed, until it has another one.
+    orphaned_at: Option<Nanos>,
+    /// Whether it dies while it sends the next part of a delta.
+    dies_during_delta: bool,
+    /// Whether it ever was the publisher.
+    pub(super) has_published: bool,
 }
 
-struct Offered {
+/// A proposed change of one or more resources.
+struct Proposal {
+    /// Index and patch of each resource.
     changes: Vec<(usize, String)>,
-    first: Nanos,
+    first_proposed_at: Nanos,
+    /// Whether it was first proposed in the measured time.
     measured: bool,
 }
 
-pub struct World<'a> {
+/// State of a simulation; all times are global simulated times.
+pub struct Simulation<'a> {
     pub(super) plan: &'a Plan,
     pub(super) seed: u64,
-    pub(super) sites: Vec<Site>,
-    by_name: BTreeMap<String, usize>,
+    pub(super) placements: Vec<Placement>,
+    index_by_name: BTreeMap<String, usize>,
     random: SmallRng,
     now: Nanos,
-    pub(super) begin: Nanos,
+    /// Start of the measured time.
+    pub(super) measure_start: Nanos,
+    /// End of the run.
     pub(super) end: Nanos,
-    heap: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
-    slots: Vec<Event>,
-    free: Vec<u32>,
-    last: u64,
-    pub(super) procs: Vec<Proc>,
+    /// Scheduled events: time, sequence number to break ties, index into `event_slots`.
+    queue: BinaryHeap<Reverse<(Nanos, u64, u32)>>,
+    /// Storage of the scheduled events, reused through `free_slots`.
+    event_slots: Vec<Event>,
+    /// Indexes of the unused `event_slots`.
+    free_slots: Vec<u32>,
+    last_sequence: u64,
+    pub(super) processes: Vec<SimulatedProcess>,
     links: Vec<Link>,
-    cut: Vec<bool>,
-    pub(super) seats: Vec<Seat>,
+    /// Whether each region is partitioned.
+    partitioned: Vec<bool>,
+    pub(super) voters: Vec<SimulatedVoter>,
     pub(super) voter_meters: Vec<Meter>,
-    controls: Vec<Control>,
-    pub(super) truth: Truth,
-    offered: Vec<Offered>,
-    groups: [Vec<usize>; 5],
-    /// Who a fault that names the root has hit.
-    hit: BTreeMap<usize, Vec<usize>>,
-    /// How many came to one parent, of those whose parent died.
+    control_machines: Vec<ControlMachine>,
+    pub(super) checker: Checker,
+    proposals: Vec<Proposal>,
+    /// Indexes of resources by the kind of their scope, as in `Scopes::shares`.
+    resource_groups: [Vec<usize>; 5],
+    /// Processes that each running fault hit, so that its end restores the same ones.
+    fault_targets: BTreeMap<usize, Vec<usize>>,
+    /// Number of orphaned children that connected to a parent, by the number of the failure and the parent.
     pub(super) herd: BTreeMap<(usize, usize), usize>,
-    deaths: usize,
-    pub(super) orphans: Vec<f64>,
-    pub(super) offers_again: usize,
-    /// Calls to parents.
-    pub(super) calls_made: usize,
-    pub(super) answered_full: usize,
-    pub(super) events: u64,
-    calls: u64,
-    pub(super) spent: BTreeMap<&'static str, (Duration, u64)>,
-    pub(super) measured_calls: BTreeMap<&'static str, u64>,
+    /// Number of failures of processes so far.
+    parent_failures: usize,
+    /// Time from the loss of a failed parent to the connection to another one, in seconds.
+    pub(super) reparent_seconds: Vec<f64>,
+    /// Proposals without an answer, or with an unknown outcome.
+    pub(super) unanswered_proposals: usize,
+    /// Connection attempts to parents.
+    pub(super) parent_dials: usize,
+    /// Proposals that the publisher refused.
+    pub(super) rejected_proposals: usize,
+    pub(super) event_count: u64,
+    /// Number of calls of the decision code, to choose the timed ones.
+    decision_calls: u64,
+    /// Total time and number of the timed calls, by role.
+    pub(super) sampled_cpu: BTreeMap<&'static str, (Duration, u64)>,
+    /// Number of all calls in the measured time, by role.
+    pub(super) decision_counts: BTreeMap<&'static str, u64>,
 }
 
-/// Plays a plan, and what it cost this machine beside what was found.
-pub fn play(plan: &Plan, seed: u64) -> (Found, Cost) {
+/// Simulates a plan; returns the report, and what the simulation cost this machine.
+pub fn run(plan: &Plan, seed: u64) -> (Report, RunCost) {
     let started = Instant::now();
-    let mut world = World::new(plan, seed);
-    world.run();
-    world.outcome(started)
+    let mut simulation = Simulation::new(plan, seed);
+    simulation.run();
+    simulation.outcome(started)
 }
 
-impl<'a> World<'a> {
-    fn new(plan: &'a Plan, seed: u64) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(plan: &'a Plan, seed: u64) -> Simulation<'a> {
         let mut random = SmallRng::seed_from_u64(seed);
-        let sites = fleet::everyone(plan);
+        let placements = fleet::place_processes(plan);
         let ppm = plan.clocks_ppm;
-        let mut drawn = SmallRng::seed_from_u64(seed ^ 0xc10c);
-        let mut clock = || Clock { ppm: if ppm > 0 { drawn.random_range(-ppm..=ppm) } else { 0 }, origin: 0 };
-        let seats = agree::seats(plan, &mut clock);
-        let by_name: BTreeMap<String, usize> =
-            sites.iter().enumerate().map(|(at, site)| (site.name.clone(), at)).collect();
-        let procs = sites.iter().map(|site| Proc {
+        let mut clock_random = SmallRng::seed_from_u64(seed ^ 0xc10c);
+        let mut clock =
+            || Clock { ppm: if ppm > 0 { clock_random.random_range(-ppm..=ppm) } else { 0 }, started_at: 0 };
+        let voters = agree::start_voters(plan, &mut clock);
+        let index_by_name: BTreeMap<String, usize> =
+            placements.iter().enumerate().map(|(at, site)| (site.name.clone(), at)).collect();
+        let processes = placements.iter().map(|site| SimulatedProcess {
             node: None,
-            life: 0,
+            incarnation: 0,
             clock: clock(),
-            wake: Nanos::MAX,
-            ticked: 0,
+            wake_at: Nanos::MAX,
+            ticked_at: 0,
             disk: None,
-            old: None,
-            keeps: site.role == Role::Control,
-            up: None,
-            down: BTreeSet::new(),
+            initial_disk: None,
+            disk_is_read: site.role == Role::Control,
+            parent_link: None,
+            child_links: BTreeSet::new(),
             stalled: false,
             slow: false,
-            vanished: false,
+            died_silently: false,
             backlog: VecDeque::new(),
             meter: Meter::default(),
-            holds: Version::default(),
-            orphan: None,
-            dies_amid: false,
-            published: false,
+            held_version: Version::default(),
+            orphaned_at: None,
+            dies_during_delta: false,
+            has_published: false,
         });
-        let procs: Vec<Proc> = procs.collect();
-        let controls =
-            (0..plan.control).map(|at| Control::new(plan, 0, &sites[at].name, 1, at % plan.voters)).collect();
-        let mut truth = Truth::default();
-        truth.names = by_name.clone();
-        truth.seen = vec![Seen::default(); sites.len()];
-        let mut groups: [Vec<usize>; 5] = Default::default();
-        for (group, scopes) in fleet::resources(plan, &sites).into_iter().enumerate() {
+        let processes: Vec<SimulatedProcess> = processes.collect();
+        let control_machines = (0..plan.control_machines)
+            .map(|at| ControlMachine::new(plan, 0, &placements[at].name, 1, at % plan.voters))
+            .collect();
+        let mut checker = Checker::default();
+        checker.index_by_name = index_by_name.clone();
+        checker.processes = vec![ProcessState::default(); placements.len()];
+        let mut resource_groups: [Vec<usize>; 5] = Default::default();
+        for (group, scopes) in fleet::resource_scopes(plan, &placements).into_iter().enumerate() {
             for scope in scopes {
-                groups[group].push(truth.keys.len());
-                truth.keys.push(Key { scope, versions: Vec::new() });
+                resource_groups[group].push(checker.resources.len());
+                checker.resources.push(TrackedResource { scope, versions: Vec::new() });
             }
         }
-        let begin = (plan.warm_seconds * 1e9) as Nanos;
-        let end = begin + (plan.seconds * 1e9) as Nanos;
+        let measure_start = (plan.warm_seconds * 1e9) as Nanos;
+        let end = measure_start + (plan.seconds * 1e9) as Nanos;
         let _: f64 = random.random_range(0.0..1.0);
-        World {
+        Simulation {
             plan,
             seed,
-            by_name,
+            index_by_name,
             random,
             now: 0,
-            begin,
+            measure_start,
             end,
-            heap: BinaryHeap::new(),
-            slots: Vec::new(),
-            free: Vec::new(),
-            last: 0,
-            procs,
+            queue: BinaryHeap::new(),
+            event_slots: Vec::new(),
+            free_slots: Vec::new(),
+            last_sequence: 0,
+            processes,
             links: Vec::new(),
-            cut: vec![false; plan.regions],
-            voter_meters: vec![Meter::default(); seats.len()],
-            seats,
-            controls,
-            truth,
-            offered: Vec::new(),
-            groups,
-            hit: BTreeMap::new(),
+            partitioned: vec![false; plan.regions],
+            voter_meters: vec![Meter::default(); voters.len()],
+            voters,
+            control_machines,
+            checker,
+            proposals: Vec::new(),
+            resource_groups,
+            fault_targets: BTreeMap::new(),
             herd: BTreeMap::new(),
-            deaths: 0,
-            orphans: Vec::new(),
-            offers_again: 0,
-            calls_made: 0,
-            answered_full: 0,
-            events: 0,
-            calls: 0,
-            spent: BTreeMap::new(),
-            measured_calls: BTreeMap::new(),
-            sites,
+            parent_failures: 0,
+            reparent_seconds: Vec::new(),
+            unanswered_proposals: 0,
+            parent_dials: 0,
+            rejected_proposals: 0,
+            event_count: 0,
+            decision_calls: 0,
+            sampled_cpu: BTreeMap::new(),
+            decision_counts: BTreeMap::new(),
+            placements,
         }
     }
 
     fn run(&mut self) {
-        self.begins();
-        while let Some(Reverse((at, _, slot))) = self.heap.pop() {
+        self.schedule_plan();
+        while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > self.end {
                 break;
             }
             self.now = at;
-            self.events += 1;
-            let event = std::mem::replace(&mut self.slots[slot as usize], Event::None);
-            self.free.push(slot);
-            self.happens(event);
+            self.event_count += 1;
+            let event = std::mem::replace(&mut self.event_slots[slot as usize], Event::None);
+            self.free_slots.push(slot);
+            self.handle(event);
         }
         self.now = self.end;
-        let sites = &self.sites;
-        self.truth.ended(self.end, &|who, scope| fleet::concerns(&sites[who], scope));
+        let placements = &self.placements;
+        self.checker
+            .check_final_state(self.end, &|process, scope| fleet::in_scope(&placements[process], scope));
     }
 
-    /// What is known from the start: who starts when, what changes when, who restarts, and the faults.
-    fn begins(&mut self) {
+    /// Schedules all that the plan determines: starts, changes, restarts and faults.
+    fn schedule_plan(&mut self) {
         let plan = self.plan;
         for at in 0..plan.voters {
-            self.at(100 * MILLI, Event::Voter(at));
-            let links = plan.voters - 1 + plan.control;
-            (0..links).for_each(|_| self.voter_meters[at].link(0, true));
+            self.schedule(100 * MILLISECOND, Event::VoterTimer(at));
+            let links = plan.voters - 1 + plan.control_machines;
+            (0..links).for_each(|_| self.voter_meters[at].link_changed(0, true));
         }
-        for at in 0..plan.control {
-            (0..plan.voters).for_each(|_| self.procs[at].meter.link(0, true));
+        for at in 0..plan.control_machines {
+            (0..plan.voters).for_each(|_| self.processes[at].meter.link_changed(0, true));
         }
-        for at in 0..self.procs.len() {
-            // Proxies come when there is something to be had, relays first.
-            let warm = self.begin;
-            let within = match self.sites[at].role {
-                Role::Control => 0..200 * MILLI,
-                Role::Relay => warm * 45 / 100..warm * 52 / 100,
-                Role::Proxy => warm * 54 / 100..warm * 68 / 100,
+        for at in 0..self.processes.len() {
+            // Proxies start once the resources are written, relays before the others.
+            let warm_up = self.measure_start;
+            let within = match self.placements[at].role {
+                Role::Control => 0..200 * MILLISECOND,
+                Role::Relay => warm_up * 45 / 100..warm_up * 52 / 100,
+                Role::Proxy => warm_up * 54 / 100..warm_up * 68 / 100,
             };
             let start = self.random.random_range(within);
-            self.at(start, Event::Starts(at, Disk::Empty));
+            self.schedule(start, Event::Start(at, DiskState::Empty));
         }
-        // Each resource is written once while the fleet warms up, many as one change.
+        // Writes each resource once in the warm-up, many in one change.
         let mut groups: Vec<Vec<(usize, String)>> = vec![Vec::new()];
         let mut bytes = 0;
-        for key in 0..self.truth.keys.len() {
-            let patch = self.drawn_patch(key);
-            bytes += patch.len() + RESOURCE;
-            if bytes > GROUP {
+        for resource_index in 0..self.checker.resources.len() {
+            let patch = self.draw_patch(resource_index);
+            bytes += patch.len() + RESOURCE_OVERHEAD;
+            if bytes > WARM_UP_CHANGE_BYTES {
                 (bytes, groups) = (0, [groups, vec![Vec::new()]].concat());
             }
-            groups.last_mut().expect("never empty").push((key, patch));
+            groups.last_mut().expect("never empty").push((resource_index, patch));
         }
-        let (from, until, count) = (SECOND, self.begin * 25 / 100, groups.len() as Nanos);
+        let (from, until, count) = (SECOND, self.measure_start * 25 / 100, groups.len() as Nanos);
         for (number, changes) in groups.into_iter().enumerate() {
             let at = from + until.saturating_sub(from) * number as Nanos / count;
-            self.offer_all(at, changes);
+            self.propose_all_at(at, changes);
         }
-        let mut at = self.begin;
+        let mut at = self.measure_start;
         loop {
-            at += self.gap(plan.changes_per_second);
+            at += self.exponential_gap(plan.changes_per_second);
             if at >= self.end {
                 break;
             }
-            let key = self.drawn_key();
-            self.offer_at(at, key);
+            let resource_index = self.draw_resource();
+            self.propose_at(at, resource_index);
         }
         let restarts = plan.restarts_per_day * plan.proxies as f64 / 86_400.0;
-        let mut at = self.begin;
+        let mut at = self.measure_start;
         loop {
-            at += self.gap(restarts);
+            at += self.exponential_gap(restarts);
             if at + 4 * SECOND >= self.end {
                 break;
             }
-            let who = plan.control + self.random.random_range(0..plan.proxies);
-            self.procs[who].keeps = true;
-            self.at(at, Event::Dies(who, false));
-            self.at(at + 2 * SECOND, Event::Starts(who, Disk::Kept));
+            let process = plan.control_machines + self.random.random_range(0..plan.proxies);
+            self.processes[process].disk_is_read = true;
+            self.schedule(at, Event::Kill(process, false));
+            self.schedule(at + 2 * SECOND, Event::Start(process, DiskState::Kept));
         }
         for (number, fault) in plan.faults.iter().enumerate() {
-            let begins = self.begin + (fault.at * 1e9) as Nanos;
-            self.at(begins, Event::Begins(number));
-            self.at(begins + (fault.seconds * 1e9) as Nanos, Event::Ends(number));
-            if let Some(who) = self.named(fault) {
-                self.procs[who].keeps = true;
+            let starts_at = self.measure_start + (fault.start_seconds * 1e9) as Nanos;
+            self.schedule(starts_at, Event::FaultStart(number));
+            self.schedule(starts_at + (fault.seconds * 1e9) as Nanos, Event::FaultEnd(number));
+            if let Some(process) = self.fault_target(fault) {
+                self.processes[process].disk_is_read = true;
             }
-            if fault.kind == Kind::HalfSite {
-                self.half_site(fault).into_iter().for_each(|who| self.procs[who].keeps = true);
+            if fault.kind == FaultKind::HalfSite {
+                self.half_site_processes(fault)
+                    .into_iter()
+                    .for_each(|process| self.processes[process].disk_is_read = true);
             }
-            if let (Kind::Burst, Some(count)) = (fault.kind, fault.count) {
+            if let (FaultKind::Burst, Some(count)) = (fault.kind, fault.count) {
                 for _ in 0..count {
-                    let at = begins + self.random.random_range(0..SECOND);
-                    let key = self.drawn_key();
-                    self.offer_at(at, key);
+                    let at = starts_at + self.random.random_range(0..SECOND);
+                    let resource_index = self.draw_resource();
+                    self.propose_at(at, resource_index);
                 }
             }
         }
-        self.at(self.begin, Event::Measure);
-        self.at(POLL, Event::Poll);
-        self.at(LOOK, Event::Look);
+        self.schedule(self.measure_start, Event::StartMeasurement);
+        self.schedule(SUMMARY_CHECK_INTERVAL, Event::CheckSummary);
+        self.schedule(CATCH_UP_CHECK_INTERVAL, Event::CheckCatchUp);
     }
 }
 
-pub fn size(what: &impl serde::Serialize) -> usize {
-    postcard::experimental::serialized_size(what).unwrap_or(0) + FRAME
+/// Bytes of a message as a frame.
+pub fn frame_bytes(message: &impl serde::Serialize) -> usize {
+    postcard::experimental::serialized_size(message).unwrap_or(0) + FRAME_OVERHEAD
 }
