--- a/crates/lab/tests/fleet_lost.rs
+++ b/crates/lab/tests/fleet_lost.rs
@@ -1,4 +1,5 @@
-//! A majority of the voters is lost for good: what goes on, what status says, and the way out.
+//! Permanent loss of a majority of the voters: proxies must go on serving clients, `status` must report the loss, and the fleet
+//! must be recoverable from the file of the voter that is left.
 
 mod common;
 
@@ -11,14 +12,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+/// Three proxies that are also the voters.
 struct Fleet {
-    home: Ipv4Addr,
+    address: Ipv4Addr,
     folder: PathBuf,
 }
 
 impl Fleet {
     fn at(&self, port: usize) -> String {
-        format!("{}:{}", self.home, 20_000 + port)
+        format!("{}:{}", self.address, 20_000 + port)
     }
 
     fn config(&self) -> PathBuf {
@@ -51,7 +53,7 @@
         command.args(&words[1..]).output().unwrap()
     }
 
-    /// The same until it does what is wanted.
+    /// Runs a command again and again until its output is as wanted.
     fn until(&self, words: &[&str], wanted: impl Fn(&Output) -> bool) -> Output {
         let until = Instant::now() + Duration::from_secs(15);
         loop {
@@ -64,10 +66,11 @@
         }
     }
 
+    /// Acquires a lease and returns its token.
     fn token(&self) -> u64 {
         let words = ["run", "--lease", "L", "--time", "1", "--", "sh", "-c", "echo $PUMICEBAY_TOKEN"];
         let output = self.until(&words, |output| output.status.success());
-        text(&output).trim().parse().expect("a token")
+        text(&output).trim().parse().expect("the command prints its token")
     }
 }
 
@@ -83,22 +86,22 @@
     stream.read_exact(&mut answer).is_ok() && &answer == b"+PONG"
 }
 
-fn copied(from: &Path, to: &Path) {
+fn copy_file(from: &Path, to: &Path) {
     std::fs::copy(from, to).unwrap();
 }
 
 #[test]
-fn a_lost_majority_and_the_way_out() {
+fn recovers_from_a_lost_majority() {
     let folder = tempfile::tempdir().unwrap();
-    let home = Ipv4Addr::new(127, 78, std::process::id() as u8, 1);
-    let fleet = Fleet { home, folder: folder.path().into() };
+    let address = Ipv4Addr::new(127, 78, std::process::id() as u8, 1);
+    let fleet = Fleet { address, folder: folder.path().into() };
     let ok = |output: &Output| output.status.success();
     let mut proxies: Vec<Proxy> = (1..=3).map(|number| fleet.start(number)).collect();
     fleet.until(&["found"], ok);
     fleet.until(&["put", "drained", "n7"], ok);
     let before = fleet.token();
-    // The last write has reached all: one that only a majority had might be lost with two disks, as the docs say. A
-    // voter whose links came up after a write learns of it with the next.
+    // Waits until the last write has reached all voters, since one that only a majority had might be lost with two disks. A
+    // voter whose links came up after a write learns of it with the next write, so the loop writes again.
     fleet.until(&["status", "--json"], |output| {
         let _ = fleet.run(&["put", "drained", "n7"]);
         let output = if ok(output) { fleet.run(&["status", "--json"]) } else { return false };
@@ -108,7 +111,7 @@
         versions.len() == 3 && versions.iter().all(|version| *version == versions[0])
     });
 
-    // Two of three are gone with their disks.
+    // Two of three voters are lost with their disks.
     proxies.drain(..2);
     for number in [1, 2] {
         std::fs::remove_dir_all(fleet.disk(number)).unwrap();
@@ -118,16 +121,16 @@
     assert!(text(&shown).contains("NOT AGREED"), "{}", text(&shown));
     assert!(!ok(&fleet.run(&["get", "drained"])));
 
-    // They come back empty. The survivor alone takes nobody in.
+    // They come back with empty disks. The remaining voter alone must not admit them.
     proxies.extend([1, 2].map(|number| fleet.start(number)));
     sleep(Duration::from_secs(1));
     assert!(!ok(&fleet.run(&["get", "drained"])));
     let refused = fleet.run(&["found"]);
     assert!(String::from_utf8_lossy(&refused.stderr).contains("founded already"), "{refused:?}");
 
-    // The way out: the survivor's file is what the fleet is founded from.
+    // Recovery: the fleet is bootstrapped from the remaining voter's file.
     let file = folder.path().join("survived");
-    copied(&fleet.disk(3).join("voter"), &file);
+    copy_file(&fleet.disk(3).join("voter"), &file);
     drop(proxies.remove(0));
     std::fs::remove_dir_all(fleet.disk(3)).unwrap();
     proxies.push(fleet.start(3));
@@ -135,10 +138,10 @@
     assert!(String::from_utf8_lossy(&wrong.stderr).contains("no voter's file"), "{wrong:?}");
     let began = Instant::now();
     fleet.until(&["found", "--from", file.to_str().unwrap()], ok);
-    assert!(began.elapsed() >= Duration::from_secs(1), "founded before a lease of a second has ended");
+    assert!(began.elapsed() >= Duration::from_secs(1), "bootstrapped before a lease of one second could end");
     let value = fleet.until(&["get", "drained"], ok);
     assert!(text(&value).ends_with(" n7\n"), "{}", text(&value));
     let after = fleet.token();
-    assert!(after > before, "{after} after {before}");
+    assert!(after > before, "token {after} after token {before}");
     assert!(serves(&fleet.at(3)));
 }
--- a/crates/lab/tests/fleet_probes.rs
+++ b/crates/lab/tests/fleet_probes.rs
@@ -1,4 +1,5 @@
-//! A node that is down, probed by a fleet of processes: by each for itself, or by one for all, which then dies.
+//! Probes of a node that is down: each process probes for itself, or in a fleet one process probes for all. If the probing
+//! process dies, another has to take over.
 
 mod common;
 
@@ -13,11 +14,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A node that takes connections and says nothing; counts who asks whether it lives, by connection.
+/// Starts a node that accepts connections and never answers. Returns its address and a counter of the PINGs that it received.
 fn dead_node() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, probes) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
-    let count = probes.clone();
+    let (address, count_probes) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let count = count_probes.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let count = count.clone();
@@ -31,11 +32,11 @@
             });
         }
     });
-    (at, probes)
+    (address, count_probes)
 }
 
-fn configuration(number: usize, home: Ipv4Addr, node: SocketAddr, folder: Option<&Path>) -> Json {
-    let at = |port: usize| format!("{home}:{}", 20_000 + port);
+fn configuration(number: usize, host: Ipv4Addr, node: SocketAddr, folder: Option<&Path>) -> Json {
+    let at = |port: usize| format!("{host}:{}", 20_000 + port);
     let uid = |uid: &str, endpoint: String, model: &str| json!({"uid": uid, "endpoint": endpoint, "az": "a", "model": model, "state": "active", "boot_ms": 0});
     let mut json = json!({
         "name": format!("p{number}"), "listen": at(number), "discovery": at(999), "seed": format!("{number:x}"),
@@ -60,8 +61,8 @@
     json
 }
 
-/// Asks until the deadline, so that the node is set aside and stays in use; answers do not matter.
-fn ask(at: SocketAddr, seconds: f64) {
+/// Sends requests for this many seconds, so that the node is ejected and there is a reason to probe it. Answers don't matter.
+fn send_requests(at: SocketAddr, seconds: f64) {
     let until = Instant::now() + Duration::from_secs_f64(seconds);
     let Ok(mut stream) = TcpStream::connect(at) else { return };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
@@ -83,33 +84,35 @@
     }
 }
 
-/// Probes in some seconds once all have found the node dead, with whoever probes for all killed in the middle if wanted.
-fn probes(processes: usize, fleet: bool, kill: bool) -> usize {
-    let home = Ipv4Addr::new(127, 77, std::process::id() as u8, 1 + u8::from(fleet) + 2 * u8::from(kill));
+/// Counts the probes in 8 s once all processes have found the node dead. With `kill` the first and the last process are killed
+/// at the beginning of that time.
+fn count_probes(processes: usize, fleet: bool, kill: bool) -> usize {
+    let host = Ipv4Addr::new(127, 77, std::process::id() as u8, 1 + u8::from(fleet) + 2 * u8::from(kill));
     let (node, count) = dead_node();
     let folder = tempfile::tempdir().unwrap();
     let (mut all, mut files, mut listens) = (Vec::new(), Vec::new(), Vec::new());
     for number in 1..=processes {
-        let json = configuration(number, home, node, fleet.then_some(folder.path()));
+        let json = configuration(number, host, node, fleet.then_some(folder.path()));
         let file = folder.path().join(format!("p{number}.json"));
         all.push(Proxy::start(&json, &file));
         files.push(file);
         listens.push(json["listen"].as_str().unwrap().parse::<SocketAddr>().unwrap());
     }
     if fleet {
-        let found = |_: &usize| {
+        let bootstrapped = |_: &usize| {
             sleep(Duration::from_millis(100));
-            let mut found = Command::new(LAB);
-            found.args(["as-proxy", "fleet", "found", "--config"]).arg(&files[0]);
-            found.output().unwrap().status.success()
+            let mut command = Command::new(LAB);
+            command.args(["as-proxy", "fleet", "found", "--config"]).arg(&files[0]);
+            command.output().unwrap().status.success()
         };
-        assert!((0..50).any(|number| found(&number)), "not founded");
+        assert!((0..50).any(|number| bootstrapped(&number)), "the fleet was not bootstrapped");
     }
-    let clients: Vec<_> = listens.into_iter().map(|at| std::thread::spawn(move || ask(at, 14.0))).collect();
+    let clients: Vec<_> =
+        listens.into_iter().map(|at| std::thread::spawn(move || send_requests(at, 14.0))).collect();
     sleep(Duration::from_secs(5));
     let before = count.load(Ordering::Relaxed);
     if kill {
-        // Whoever holds the lease is one of these; the last one never is the only voter left.
+        // One of these holds the lease for probing. Only one of three voters is killed, so a majority is left.
         all.pop();
         all.remove(0);
     }
@@ -121,17 +124,20 @@
 }
 
 #[test]
-fn one_probes_for_all_and_another_takes_over() {
+fn one_process_probes_for_all_and_another_takes_over() {
     let processes = std::env::var("FLEET_PROCESSES").ok().and_then(|count| count.parse().ok()).unwrap_or(6);
     let (alone, together, killed) = std::thread::scope(|scope| {
         let runs = [(false, false), (true, false), (true, true)]
-            .map(|(fleet, kill)| scope.spawn(move || probes(processes, fleet, kill)));
+            .map(|(fleet, kill)| scope.spawn(move || count_probes(processes, fleet, kill)));
         let [alone, together, killed] = runs.map(|run| run.join().unwrap());
         (alone, together, killed)
     });
     println!(
-        "{processes} processes, 8 s: {alone} probes each for itself, {together} in a fleet, {killed} with two killed"
+        "{processes} processes, probes in 8 s: {alone} without a fleet, {together} in a fleet, {killed} in a fleet with two processes killed"
+    );
+    assert!(together >= 4 && together * 2 < alone, "probes: {alone} without a fleet, {together} in one");
+    assert!(
+        killed >= 2 && killed < alone,
+        "probes: {alone} without a fleet, {killed} with two processes killed"
     );
-    assert!(together >= 4 && together * 2 < alone, "{alone} {together}");
-    assert!(killed >= 2 && killed < alone, "{alone} {killed}");
 }
