--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,30 +1,33 @@
 //! A straight line through measured points, by least squares.
 
+/// The fitted line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub intercept: f64,
     pub slope: f64,
-    /// How far the points lie off it, as the root of the mean square.
+    /// The root mean square of the points' distances from the line, along y.
     pub residual: f64,
 }
 
 impl Line {
-    /// None where the points have less than two different x.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
+    /// Fits a line to points (x, y). Returns `None` where they have fewer than two different x.
+    pub fn fit(points: &[(f64, f64)]) -> Option<Line> {
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-        let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-        let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
+        let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
+        let spread: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
         if points.is_empty() || spread == 0.0 {
             return None;
         }
-        let slope = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum::<f64>() / spread;
-        let intercept = y - slope * x;
-        let off: f64 = points.iter().map(|point| (point.1 - intercept - slope * point.0).powi(2)).sum();
-        Some(Line { intercept, slope, residual: (off / count).sqrt() })
+        let slope = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum::<f64>() / spread;
+        let intercept = mean_y - slope * mean_x;
+        let squared_error: f64 =
+            points.iter().map(|point| (point.1 - intercept - slope * point.0).powi(2)).sum();
+        Some(Line { intercept, slope, residual: (squared_error / count).sqrt() })
     }
 
-    pub fn at(&self, x: f64) -> f64 {
+    /// The line's y at x.
+    pub fn value_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,5 +1,7 @@
-//! What an idle proxy costs, measured: a real process beside a stand-in for discovery that lists nodes which are not
-//! there, by the number of nodes and by how often the list changes; and what a table of keys takes.
+//! Measures what resources a proxy needs. Each proxy is a real process that follows a stand-in for the discovery service. Idle
+//! proxies are measured by the number of listed nodes, which do not exist, and by the rate at which the list changes; busy
+//! proxies by the rate and the size of requests. Also measured are the memory of a table of keys, and the first voter of an
+//! idle fleet.
 
 use crate::real::http::{Answer, Server};
 use crate::rig::plan::Plan;
@@ -25,13 +27,16 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// The nodes that are listed, and how often an entry changes, a second.
-const NODES: [usize; 5] = [0, 72, 720, 2_400, 7_200];
-const CHANGES: [f64; 4] = [0.2, 1.0, 5.0, 20.0];
-/// What the target's ordinary day has.
-const QUIET: f64 = 0.08;
-const KEYS: [usize; 5] = [10_000, 30_000, 100_000, 300_000, 1_000_000];
-/// What one client asks a second, for values of so many bytes, of a cache that has them: by requests and by bytes.
+/// Numbers of listed nodes.
+const NODE_COUNTS: [usize; 5] = [0, 72, 720, 2_400, 7_200];
+/// Changes of the list per second.
+const CHANGE_RATES: [f64; 4] = [0.2, 1.0, 5.0, 20.0];
+/// Changes of the list per second on an ordinary day at the target size.
+const QUIET_CHANGE_RATE: f64 = 0.08;
+/// Numbers of keys in a table.
+const KEY_COUNTS: [usize; 5] = [10_000, 30_000, 100_000, 300_000, 1_000_000];
+/// Requests per second of one client and bytes of each value, for a cache that has every key. First the rate varies, then the
+/// size.
 const TRAFFIC: [(f64, usize); 9] = [
     (4.0, 200),
     (20.0, 200),
@@ -43,71 +48,89 @@
     (50.0, 50_000),
     (50.0, 250_000),
 ];
-/// Processes of a fleet, the seconds that its idle links are counted, and how often one that does not come about is
-/// begun anew.
-const PROCESSES: [usize; 4] = [3, 15, 60, 300];
-const IDLE_LINKS: f64 = 16.0;
-const PLAYS: u64 = 3;
-/// How often a voter is looked at.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long a proxy is watched, and how long before that it may settle.
-const WATCHED: Duration = Duration::from_secs(12);
-const SETTLES: Duration = Duration::from_secs(3);
-/// How long it may take until it has the list.
-const READY: Duration = Duration::from_secs(20);
-const WHOLE: &str = "/registry/instances";
-
-/// One proxy that was watched.
+/// Numbers of processes of a fleet.
+const FLEET_SIZES: [usize; 4] = [3, 15, 60, 300];
+/// How long the traffic of a fleet's idle links is counted, in seconds.
+const IDLE_SECONDS: f64 = 16.0;
+/// How many runs are started at most until one of a fleet succeeds; each has another seed.
+const MAX_RUNS: u64 = 3;
+/// Between two readings of a voter's processor time.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a proxy is measured.
+const MEASURE_TIME: Duration = Duration::from_secs(12);
+/// How long a proxy with the list runs before the measurement starts.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// How long a proxy may take to get the list, and then to answer a request.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The path at which discovery serves its list.
+const LIST_PATH: &str = "/registry/instances";
+
+/// The measurement of one idle proxy.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Idle {
+pub struct IdleProxy {
+    /// Number of listed nodes.
     pub nodes: usize,
+    /// Changes of the list per second.
     pub changes_per_second: f64,
-    /// Resident once it stands, and the most that it ever was.
+    /// Resident memory at the end of the measurement, in millions of bytes.
     pub resident_mb: f64,
+    /// The most resident memory that it ever had, in millions of bytes.
     pub peak_mb: f64,
-    /// Of one core, while it is watched.
+    /// Processor time during the measurement, in percent of one core.
     pub core_percent: f64,
-    /// Processor time from its start until it stands with the list.
+    /// Processor time from its start until the measurement, in milliseconds.
     pub start_ms: f64,
-    /// Bodies of discovery's answers while it is watched, a second, and the whole list.
+    /// Bytes per second in the bodies of discovery's answers during the measurement.
     pub bytes_per_second: f64,
+    /// Bytes of the last complete list.
     pub list_bytes: u64,
-    /// The answers that told it of changes.
-    pub told: u64,
+    /// Number of discovery's answers that reported a change.
+    #[serde(rename = "told")]
+    pub change_answers: u64,
 }
 
-/// A proxy under such traffic, with one client and one cache.
+/// The measurement of one proxy between one client and one cache.
 #[derive(Clone, Debug, Serialize)]
-pub struct Busy {
+pub struct BusyProxy {
     pub requests_per_second: f64,
+    /// Bytes of each value.
     pub value_bytes: usize,
+    /// Bits of values per second, in millions.
     pub megabits_per_second: f64,
+    /// Processor time, in percent of one core.
     pub core_percent: f64,
-    /// Answers that were no value, and what the last of them said.
+    /// Number of answers other than the value.
     pub failed: u64,
-    pub said: String,
+    /// The text of the last such answer; empty if there is none.
+    #[serde(rename = "said")]
+    pub last_failure: String,
 }
 
-/// The first voter of a fleet of which nobody wants anything, and what all its links carry.
+/// The measurement of the first voter of an idle fleet, and the traffic of all links of the fleet.
 #[derive(Clone, Debug, Serialize)]
-pub struct Voter {
+pub struct VoterUsage {
     pub processes: usize,
+    /// The seed of the run.
     pub seed: u64,
     pub frames_per_second: f64,
     pub kilobytes_per_second: f64,
+    /// Resident memory, in millions of bytes.
     pub resident_mb: f64,
+    /// Processor time, in percent of one core.
     pub core_percent: f64,
 }
 
+/// All measurements of a proxy.
 #[derive(Debug, Serialize)]
-pub struct Measures {
-    pub idle: Vec<Idle>,
-    pub busy: Vec<Busy>,
-    /// Keys, and the megabytes of a table of that many.
+pub struct Measurements {
+    pub idle: Vec<IdleProxy>,
+    pub busy: Vec<BusyProxy>,
+    /// Numbers of keys, each with the memory of a table of that many, in millions of bytes.
     pub tables: Vec<(usize, f64)>,
 }
 
-impl Measures {
+impl Measurements {
+    /// The measurements as a text table.
     pub fn table(&self) -> String {
         let mut text =
             String::from("  nodes  changes/s  resident MB  peak MB  core %  start ms  bytes/s  list bytes\n");
@@ -142,129 +165,143 @@
     }
 }
 
-/// Measures `program`, one process after the other. Nothing else should run beside it.
-pub fn measure(program: &Path, say: impl Fn(&str)) -> Result<Measures> {
+/// Measures `program`, one process after the other; nothing else should run on the machine meanwhile. `say` gets a line for
+/// each measurement that begins. Returns an error if a process does not start, does not get the list or does not answer.
+pub fn measure_proxy(program: &Path, say: impl Fn(&str)) -> Result<Measurements> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let tables = tables()?;
-    let mut measures = Measures { idle: Vec::new(), busy: Vec::new(), tables };
-    let quiet = NODES.map(|nodes| (nodes, QUIET));
-    let most = NODES[NODES.len() - 1];
-    let changing = CHANGES.map(|changes| (most, changes));
+    let tables = measure_tables()?;
+    let mut measurements = Measurements { idle: Vec::new(), busy: Vec::new(), tables };
+    let quiet = NODE_COUNTS.map(|nodes| (nodes, QUIET_CHANGE_RATE));
+    let most_nodes = NODE_COUNTS[NODE_COUNTS.len() - 1];
+    let changing = CHANGE_RATES.map(|changes| (most_nodes, changes));
     for (nodes, changes) in quiet.into_iter().chain(changing) {
         say(&format!("{nodes} nodes, {changes} changes a second"));
-        measures.idle.push(runtime.block_on(idle(program, nodes, changes, WATCHED))?);
+        measurements.idle.push(runtime.block_on(measure_idle(program, nodes, changes, MEASURE_TIME))?);
     }
     for (requests, bytes) in TRAFFIC {
         say(&format!("{requests} requests a second for {bytes} bytes"));
-        measures.busy.push(runtime.block_on(busy(program, requests, bytes, WATCHED))?);
+        measurements.busy.push(runtime.block_on(measure_busy(program, requests, bytes, MEASURE_TIME))?);
     }
-    Ok(measures)
+    Ok(measurements)
 }
 
-/// Starts a proxy with so many nodes listed, and watches it.
-pub async fn idle(program: &Path, nodes: usize, changes: f64, watched: Duration) -> Result<Idle> {
+/// Starts a proxy with this many nodes listed and this many changes of the list per second, and measures it for the given time.
+/// Returns an error if the proxy does not get the list or ends.
+pub async fn measure_idle(
+    program: &Path,
+    nodes: usize,
+    changes: f64,
+    duration: Duration,
+) -> Result<IdleProxy> {
     let registry = Arc::new(Registry::new(nodes, None));
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.context("a free port")?;
     let discovery = listener.local_addr()?;
-    let serving = tokio::spawn(serve(registry.clone(), listener));
+    let serving = tokio::spawn(serve_discovery(registry.clone(), listener));
     let proxy = Proxy::start(program, discovery)?;
-    let stands = async {
+    let ready = async {
         while registry.watches.load(Ordering::Relaxed) == 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(READY, stands).await.context("the proxy did not follow discovery")?;
-    sleep(SETTLES).await;
+    timeout(READY_TIMEOUT, ready).await.context("the proxy did not follow discovery")?;
+    sleep(SETTLE_TIME).await;
     let earlier = registry.bytes.load(Ordering::Relaxed);
-    let (before, began) = (proxy.processor()?, Instant::now());
-    let changing = tokio::spawn(change(registry.clone(), changes));
-    sleep(watched).await;
-    let (after, took) = (proxy.processor()?, began.elapsed().as_secs_f64());
+    let (before, began) = (proxy.processor_seconds()?, Instant::now());
+    let changing = tokio::spawn(change_regularly(registry.clone(), changes));
+    sleep(duration).await;
+    let (after, elapsed) = (proxy.processor_seconds()?, began.elapsed().as_secs_f64());
     changing.abort();
     serving.abort();
     let bytes = registry.bytes.load(Ordering::Relaxed) - earlier;
-    Ok(Idle {
+    Ok(IdleProxy {
         nodes,
         changes_per_second: changes,
         resident_mb: proxy.memory("VmRSS:")?,
         peak_mb: proxy.memory("VmHWM:")?,
-        core_percent: (after - before) / took * 100.0,
+        core_percent: (after - before) / elapsed * 100.0,
         start_ms: before * 1e3,
-        bytes_per_second: bytes as f64 / took,
-        list_bytes: registry.whole.load(Ordering::Relaxed),
-        told: registry.told.load(Ordering::Relaxed),
+        bytes_per_second: bytes as f64 / elapsed,
+        list_bytes: registry.list_bytes.load(Ordering::Relaxed),
+        change_answers: registry.change_answers.load(Ordering::Relaxed),
     })
 }
 
-/// Starts a proxy before one cache, and watches it while a client asks so often for values of so many bytes. An answer
-/// that comes late delays what is asked next.
-pub async fn busy(program: &Path, requests: f64, bytes: usize, watched: Duration) -> Result<Busy> {
+/// Starts a proxy in front of one cache and measures it while a client sends this many requests per second for values of this
+/// many bytes. The client waits for each answer, so a late answer delays the next request. Returns an error if the proxy does
+/// not get the list, does not answer in time or ends.
+pub async fn measure_busy(
+    program: &Path,
+    requests: f64,
+    bytes: usize,
+    duration: Duration,
+) -> Result<BusyProxy> {
     let caches = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.context("a free port")?;
     let registry = Arc::new(Registry::new(1, Some(caches.local_addr()?)));
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.context("a free port")?;
     let discovery = listener.local_addr()?;
-    let serving = tokio::spawn(serve(registry.clone(), listener));
-    let cache = tokio::spawn(hold(caches, bytes));
+    let serving = tokio::spawn(serve_discovery(registry.clone(), listener));
+    let cache = tokio::spawn(serve_cache(caches, bytes));
     let proxy = Proxy::start(program, discovery)?;
-    let stands = async {
+    let ready = async {
         while registry.watches.load(Ordering::Relaxed) == 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(READY, stands).await.context("the proxy did not follow discovery")?;
-    sleep(SETTLES).await;
+    timeout(READY_TIMEOUT, ready).await.context("the proxy did not follow discovery")?;
+    sleep(SETTLE_TIME).await;
     let mut client = TcpStream::connect(proxy.address).await.context("the proxy")?;
     client.set_nodelay(true)?;
     let mut due = interval(Duration::from_secs_f64(1.0 / requests));
     due.set_missed_tick_behavior(MissedTickBehavior::Burst);
-    let (before, began) = (proxy.processor()?, Instant::now());
-    let (mut asked, mut failed, mut said) = (0_u64, 0_u64, String::new());
-    let mut room = vec![0; bytes + 64];
-    while began.elapsed() < watched {
+    let (before, began) = (proxy.processor_seconds()?, Instant::now());
+    let (mut request_count, mut failed, mut last_failure) = (0_u64, 0_u64, String::new());
+    let mut buffer = vec![0; bytes + 64];
+    while began.elapsed() < duration {
         due.tick().await;
-        asked += 1;
-        let (key, id) = (format!("key{:06}", asked % 1_000), format!("{asked:016x}"));
+        request_count += 1;
+        let (key, id) = (format!("key{:06}", request_count % 1_000), format!("{request_count:016x}"));
         let words = ["C.GET", &key, &id, "c=read,d=1000"];
         let command: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
         client.write_all(format!("*4\r\n{command}").as_bytes()).await?;
-        let answer = value(&mut client, &mut room, bytes);
-        if let Some(other) = timeout(READY, answer).await.context("no answer")?? {
-            (failed, said) = (failed + 1, other);
+        let answer = read_value(&mut client, &mut buffer, bytes);
+        if let Some(other) = timeout(READY_TIMEOUT, answer).await.context("the proxy did not answer")?? {
+            (failed, last_failure) = (failed + 1, other);
         }
     }
-    let (after, took) = (proxy.processor()?, began.elapsed().as_secs_f64());
+    let (after, elapsed) = (proxy.processor_seconds()?, began.elapsed().as_secs_f64());
     serving.abort();
     cache.abort();
-    let requests = asked as f64 / took;
-    Ok(Busy {
+    let requests = request_count as f64 / elapsed;
+    Ok(BusyProxy {
         requests_per_second: requests,
         value_bytes: bytes,
         megabits_per_second: requests * bytes as f64 * 8.0 / 1e6,
-        core_percent: (after - before) / took * 100.0,
+        core_percent: (after - before) / elapsed * 100.0,
         failed,
-        said,
+        last_failure,
     })
 }
 
-/// Reads one answer: nothing for a value of that length, else what it says instead.
-async fn value(client: &mut TcpStream, room: &mut [u8], bytes: usize) -> Result<Option<String>> {
+/// Reads one answer. Returns `None` for a value of the expected length, or the text of another answer, and an error if the
+/// connection ends or the value has another length.
+async fn read_value(client: &mut TcpStream, buffer: &mut [u8], bytes: usize) -> Result<Option<String>> {
     let head = format!("${bytes}\r\n");
-    let whole = head.len() + bytes + 2;
+    let length = head.len() + bytes + 2;
     let mut filled = 0;
-    while filled < whole {
-        let read = client.read(&mut room[filled..whole]).await?;
-        ensure!(read > 0, "the proxy ended the connection");
+    while filled < length {
+        let read = client.read(&mut buffer[filled..length]).await?;
+        ensure!(read > 0, "the proxy closed the connection");
         filled += read;
-        if room[0] != b'$' && room[..filled].ends_with(b"\r\n") {
-            return Ok(Some(String::from_utf8_lossy(&room[..filled - 2]).into_owned()));
+        if buffer[0] != b'$' && buffer[..filled].ends_with(b"\r\n") {
+            return Ok(Some(String::from_utf8_lossy(&buffer[..filled - 2]).into_owned()));
         }
     }
-    ensure!(room.starts_with(head.as_bytes()), "a value of another length");
+    ensure!(buffer.starts_with(head.as_bytes()), "the proxy answered with a value of unexpected length");
     Ok(None)
 }
 
-/// A cache that has every key.
-async fn hold(listener: TcpListener, bytes: usize) {
+/// Serves as a cache that has every key.
+async fn serve_cache(listener: TcpListener, bytes: usize) {
     let value = bytes::Bytes::from(vec![b'.'; bytes]);
     while let Ok((stream, _)) = listener.accept().await {
         let (_, value) = (stream.set_nodelay(true), value.clone());
@@ -281,18 +318,21 @@
     }
 }
 
-/// Discovery's list: each entry with the version at which it last changed.
+/// The list of the discovery stand-in, with counters of its answers.
 struct Registry {
-    /// Where the only node that is there listens.
+    /// The address of the only node, if that node exists.
     cache: Option<SocketAddr>,
+    /// For each node: the version at which it last changed, whether it is active, and when it started, as a version.
     entries: std::sync::Mutex<Vec<(u64, bool, u64)>>,
     version: watch::Sender<u64>,
-    /// What it has answered, and its last whole list.
+    /// Bytes in the bodies of all answers.
     bytes: AtomicU64,
-    whole: AtomicU64,
-    /// Calls that watch it, and answers that told of changes.
+    /// Bytes of the last complete list.
+    list_bytes: AtomicU64,
+    /// Number of watch calls, which ask for changes after a version.
     watches: AtomicU64,
-    told: AtomicU64,
+    /// Number of answers to them that reported a change.
+    change_answers: AtomicU64,
 }
 
 impl Registry {
@@ -302,35 +342,37 @@
             entries: std::sync::Mutex::new(vec![(1, true, 0); nodes]),
             version: watch::Sender::new(1),
             bytes: AtomicU64::new(0),
-            whole: AtomicU64::new(0),
+            list_bytes: AtomicU64::new(0),
             watches: AtomicU64::new(0),
-            told: AtomicU64::new(0),
+            change_answers: AtomicU64::new(0),
         }
     }
 
+    /// The entries that changed after a version, or all of them.
     fn list(&self, since: Option<u64>) -> Json {
         let entries = self.entries.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let news = entries.iter().enumerate().filter(|(_, entry)| since.is_none_or(|since| entry.0 > since));
-        let targets: Vec<Json> = news.map(|(number, entry)| target(number, entry, self.cache)).collect();
+        let changed =
+            entries.iter().enumerate().filter(|(_, entry)| since.is_none_or(|since| entry.0 > since));
+        let targets: Vec<Json> = changed.map(|(number, entry)| target(number, entry, self.cache)).collect();
         json!({"rev": *self.version.borrow(), "all": since.is_none(), "targets": targets})
     }
 
-    /// A node begins to leave, and at the next call is back as a new process.
+    /// Makes one change: with an even count a node starts to leave, with the next count it is back as a new process.
     fn change(&self, count: u64) {
         let mut entries = self.entries.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let version = *self.version.borrow() + 1;
         let number = (count / 2) as usize % entries.len().max(1);
         if let Some(entry) = entries.get_mut(number) {
-            let stays = count % 2 == 1;
-            *entry = (version, stays, if stays { version } else { entry.2 });
+            let active = count % 2 == 1;
+            *entry = (version, active, if active { version } else { entry.2 });
         }
         drop(entries);
         self.version.send_replace(version);
     }
 }
 
-fn target(number: usize, &(_, stays, started): &(u64, bool, u64), cache: Option<SocketAddr>) -> Json {
-    // Nobody listens there: an idle proxy calls no node.
+fn target(number: usize, &(_, active, started): &(u64, bool, u64), cache: Option<SocketAddr>) -> Json {
+    // Nothing listens at these addresses: an idle proxy does not connect to nodes.
     let nobody = || format!("127.{}.{}.1:7001", 1 + number / 250, 1 + number % 250);
     let address = cache.map_or_else(nobody, |cache| cache.to_string());
     json!({
@@ -339,12 +381,12 @@
         "az": format!("z{}", 1 + number % 52),
         "model": "cache",
         "pod_group": 0,
-        "state": if stays { "active" } else { "leaving" },
+        "state": if active { "active" } else { "leaving" },
         "boot_ms": started,
     })
 }
 
-async fn change(registry: Arc<Registry>, changes: f64) {
+async fn change_regularly(registry: Arc<Registry>, changes: f64) {
     let mut due = interval(Duration::from_secs_f64(1.0 / changes));
     due.set_missed_tick_behavior(MissedTickBehavior::Burst);
     let mut count = 0;
@@ -355,31 +397,31 @@
     }
 }
 
-async fn serve(registry: Arc<Registry>, listener: TcpListener) {
+async fn serve_discovery(registry: Arc<Registry>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         let registry = registry.clone();
-        tokio::spawn(async move { answer(&registry, stream).await });
+        tokio::spawn(async move { serve_connection(&registry, stream).await });
     }
 }
 
-async fn answer(registry: &Registry, stream: TcpStream) {
+async fn serve_connection(registry: &Registry, stream: TcpStream) {
     let mut framed = Framed::new(stream, Server);
-    while let Some(Ok(asked)) = framed.next().await {
-        let since = asked.query("index").filter(|_| asked.path.starts_with(WHOLE));
+    while let Some(Ok(request)) = framed.next().await {
+        let since = request.query("index").filter(|_| request.path.starts_with(LIST_PATH));
         if let Some(since) = since {
             registry.watches.fetch_add(1, Ordering::Relaxed);
             let mut versions = registry.version.subscribe();
-            let held = Duration::from_millis(asked.query("wait").unwrap_or(0).min(60_000));
-            let news = async { versions.wait_for(|version| *version > since).await.is_ok() };
-            if timeout(held, news).await.unwrap_or(false) {
-                registry.told.fetch_add(1, Ordering::Relaxed);
+            let max_wait = Duration::from_millis(request.query("wait").unwrap_or(0).min(60_000));
+            let changed = async { versions.wait_for(|version| *version > since).await.is_ok() };
+            if timeout(max_wait, changed).await.unwrap_or(false) {
+                registry.change_answers.fetch_add(1, Ordering::Relaxed);
             }
         }
         let body = registry.list(since).to_string();
         registry.bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
         if since.is_none() {
-            registry.whole.store(body.len() as u64, Ordering::Relaxed);
+            registry.list_bytes.store(body.len() as u64, Ordering::Relaxed);
         }
         if framed.send(Answer { status: 200, header: None, body: body.into() }).await.is_err() {
             return;
@@ -387,21 +429,24 @@
     }
 }
 
-/// Measures the first voter of fleets of these programs, one after the other.
-pub fn voters(programs: &Programs, say: impl Fn(&str)) -> Result<Vec<Voter>> {
+/// Measures the first voter of fleets of several sizes, one after the other. `say` gets a line for each run that begins or
+/// fails. Returns an error if all runs of a size fail.
+pub fn measure_voters(programs: &Programs, say: impl Fn(&str)) -> Result<Vec<VoterUsage>> {
     let mut measured = Vec::new();
-    for processes in PROCESSES {
-        let play = |seed| {
+    for processes in FLEET_SIZES {
+        let measure = |seed| {
             say(&format!("a fleet of {processes} processes, seed {seed}"));
-            voter(programs, processes, seed).inspect_err(|error| say(&format!("no measure: {error:#}")))
+            measure_voter(programs, processes, seed)
+                .inspect_err(|error| say(&format!("measurement failed: {error:#}")))
         };
-        let played = (1..PLAYS).find_map(|seed| play(seed).ok());
-        measured.push(played.map_or_else(|| play(PLAYS), Ok)?);
+        let measured_voter = (1..MAX_RUNS).find_map(|seed| measure(seed).ok());
+        measured.push(measured_voter.map_or_else(|| measure(MAX_RUNS), Ok)?);
     }
     Ok(measured)
 }
 
-pub fn voters_table(voters: &[Voter]) -> String {
+/// The measurements of voters as a text table.
+pub fn voters_table(voters: &[VoterUsage]) -> String {
     let mut text = String::new();
     text += "processes  seed  frames/s  KB/s  a voter: resident MB  core %\n";
     for voter in voters {
@@ -418,18 +463,25 @@
     text
 }
 
-/// Plays a fleet on sockets and watches its first voter, once it is founded and nobody wants anything.
-pub fn voter(programs: &Programs, processes: usize, seed: u64) -> Result<Voter> {
-    let plan =
-        Plan { processes, idle_seconds: IDLE_LINKS, seconds: 2.0, leases: 1, askers: 1, ..Plan::default() };
+/// Runs a fleet of real processes and measures its first voter while no process wants a lease. Returns an error if the run
+/// fails or the idle period is missed.
+pub fn measure_voter(programs: &Programs, processes: usize, seed: u64) -> Result<VoterUsage> {
+    let plan = Plan {
+        processes,
+        idle_seconds: IDLE_SECONDS,
+        seconds: 2.0,
+        leases: 1,
+        commands_per_lease: 1,
+        ..Plan::default()
+    };
     std::thread::scope(|scope| {
-        let play = scope.spawn(|| rig::play(&plan, seed, programs));
-        let watched = watch_voter(|| play.is_finished());
-        let Ok(outcome) = play.join() else { bail!("the play of {processes} processes broke off") };
-        let (bytes, frames) = outcome?.idle.context("the play had no idle time")?;
-        let (resident_mb, core_percent) = watched?;
+        let run = scope.spawn(|| rig::run_plan(&plan, seed, programs));
+        let observed = observe_voter(|| run.is_finished());
+        let Ok(outcome) = run.join() else { bail!("the run of {processes} processes panicked") };
+        let (bytes, frames) = outcome?.idle_traffic.context("the run had no idle period")?;
+        let (resident_mb, core_percent) = observed?;
         let kilobytes_per_second = bytes / 1e3;
-        Ok(Voter {
+        Ok(VoterUsage {
             processes,
             seed,
             frames_per_second: frames,
@@ -440,45 +492,50 @@
     })
 }
 
-/// Resident megabytes and the part of a core amid the idle time, which ends as the first command is started.
-fn watch_voter(over: impl Fn() -> bool) -> Result<(f64, f64)> {
+/// Resident memory in millions of bytes, and processor time in percent of one core in the middle half of the idle period,
+/// which ends when the first command is started.
+fn observe_voter(finished: impl Fn() -> bool) -> Result<(f64, f64)> {
     let own = std::process::id();
-    let (mut voter, mut used) = (None, Vec::new());
-    while child(own, &["/a1.json"]).is_none() {
-        ensure!(!over(), "the play ended before anybody wanted anything");
-        voter = voter.or_else(|| child(own, &["serve", "/p1.json"]));
+    let (mut voter, mut readings) = (None, Vec::new());
+    while find_child(own, &["/a1.json"]).is_none() {
+        ensure!(!finished(), "the run ended before its first command was started");
+        voter = voter.or_else(|| find_child(own, &["serve", "/p1.json"]));
         if let Some(voter) = &voter {
-            used.push((std::time::Instant::now(), processor(voter)?));
+            readings.push((std::time::Instant::now(), processor_seconds(voter)?));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let resident = memory(&voter.context("the first voter is not there")?, "VmRSS:")?;
+    let resident = memory(&voter.context("the first voter was not found among the processes")?, "VmRSS:")?;
     let before = |part: f64| {
-        let at = std::time::Instant::now().checked_sub(Duration::from_secs_f64(IDLE_LINKS * part));
-        used.iter().rev().find(|(seen, _)| at.is_some_and(|at| *seen <= at)).context("no idle time was seen")
+        let at = std::time::Instant::now().checked_sub(Duration::from_secs_f64(IDLE_SECONDS * part));
+        readings
+            .iter()
+            .rev()
+            .find(|(seen, _)| at.is_some_and(|at| *seen <= at))
+            .context("the idle period was not observed")
     };
     let ((from, first), (to, last)) = (before(0.75)?, before(0.25)?);
-    let took = to.duration_since(*from).as_secs_f64();
-    ensure!(took > 0.0, "no idle time was seen");
-    Ok((resident, (last - first) / took * 100.0))
+    let elapsed = to.duration_since(*from).as_secs_f64();
+    ensure!(elapsed > 0.0, "the idle period was not observed");
+    Ok((resident, (last - first) / elapsed * 100.0))
 }
 
-/// A child of the process whose command line has arguments that end so.
-fn child(parent: u32, words: &[&str]) -> Option<String> {
-    let ours = |name: &String| {
+/// The process id of a child of this process whose command line has, for each suffix, an argument that ends with it.
+fn find_child(parent: u32, suffixes: &[&str]) -> Option<String> {
+    let matches = |name: &String| {
         let read = |file: &str| std::fs::read_to_string(format!("/proc/{name}/{file}")).unwrap_or_default();
         let status = read("status");
         let of = status.lines().find_map(|line| line.strip_prefix("PPid:")).unwrap_or_default();
         let line = read("cmdline");
         let has = |word: &&str| line.split('\0').any(|argument| argument.ends_with(*word));
-        of.trim() == parent.to_string() && words.iter().all(has)
+        of.trim() == parent.to_string() && suffixes.iter().all(has)
     };
     let entries =
         std::fs::read_dir("/proc").ok()?.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
-    entries.filter(|name| name.bytes().all(|byte| byte.is_ascii_digit())).find(ours)
+    entries.filter(|name| name.bytes().all(|byte| byte.is_ascii_digit())).find(matches)
 }
 
-/// A proxy's process; ended with this.
+/// A running proxy; it is ended when this is dropped.
 struct Proxy {
     child: Child,
     address: SocketAddr,
@@ -512,27 +569,29 @@
         self.child.id().context("the proxy has ended")
     }
 
-    /// A line of the process's status, in megabytes of a million bytes.
+    /// A memory line of the process's status, such as `VmRSS:`, in millions of bytes.
     fn memory(&self, name: &str) -> Result<f64> {
         memory(&self.id()?.to_string(), name)
     }
 
-    fn processor(&self) -> Result<f64> {
-        processor(&self.id()?.to_string())
+    /// Processor time used so far, in seconds.
+    fn processor_seconds(&self) -> Result<f64> {
+        processor_seconds(&self.id()?.to_string())
     }
 }
 
-/// Seconds of a core that the threads of a process have used.
-fn processor(process: &str) -> Result<f64> {
+/// Processor time used so far by all threads of a process, in seconds.
+fn processor_seconds(process: &str) -> Result<f64> {
     let mut nanos = 0;
     for thread in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-        let used = text.split_whitespace().next().and_then(|used| used.parse::<u64>().ok());
-        nanos += used.context("schedstat: expected a number")?;
+        let readings = text.split_whitespace().next().and_then(|readings| readings.parse::<u64>().ok());
+        nanos += readings.context("schedstat: expected a number")?;
     }
     Ok(nanos as f64 / 1e9)
 }
 
+/// A memory line of a process's status, in millions of bytes.
 fn memory(process: &str, name: &str) -> Result<f64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -540,6 +599,7 @@
     Ok(kib.with_context(|| format!("no {name} of process {process}"))? * 1024.0 / 1e6)
 }
 
+/// The configuration of a proxy that follows the discovery stand-in.
 fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Json {
     let zones: BTreeMap<usize, String> = (1..=52).map(|zone| (zone, format!("z{zone}"))).collect();
     json!({
@@ -564,10 +624,11 @@
     })
 }
 
-/// The memory of tables from key to one node each. All stay until the last is made, so that none uses the room of another.
-fn tables() -> Result<Vec<(usize, f64)>> {
+/// The memory of tables that map each key to one node. All tables are kept until the last is built, so that none reuses memory
+/// that another has freed.
+fn measure_tables() -> Result<Vec<(usize, f64)>> {
     let (mut found, mut kept) = (Vec::new(), Vec::new());
-    for keys in KEYS {
+    for keys in KEY_COUNTS {
         let before = memory("self", "VmRSS:")?;
         let mut table = ReplicaTable::new(keys, u64::MAX / 2);
         for key in 0..keys as u64 {
@@ -576,9 +637,9 @@
         kept.push(table);
         found.push((keys, memory("self", "VmRSS:")? - before));
     }
-    ensure!(kept.len() == KEYS.len(), "a table is missing");
+    ensure!(kept.len() == KEY_COUNTS.len(), "a table is missing");
     if found.iter().any(|(_, mb)| *mb <= 0.0) {
-        bail!("a table took no memory that could be seen");
+        bail!("a table of keys did not increase the resident memory");
     }
     Ok(found)
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! The size in two years: slopes that runs gave, their straight lines, and what those say at the target. The page
-//! `docs/CAPACITY.md` holds the tables that are made here.
+//! Capacity planning for the target size of two years from now: measured points of resource use by size, straight lines fitted
+//! to them, and the lines' values at the target. The page `docs/CAPACITY.md` holds the tables that are generated here.
 
 pub mod fit;
 pub mod measure;
@@ -9,42 +9,45 @@
 use anyhow::{Context, Result, ensure};
 use std::path::Path;
 
-/// Where the slopes lie, and the page that shows them.
-pub const SLOPES: &str = "docs/capacity/slopes.json";
-pub const PAGE: &str = "docs/CAPACITY.md";
+/// Path of the file with the measured points, from the repository's root.
+pub const SLOPES_PATH: &str = "docs/capacity/slopes.json";
+/// Path of the page with the tables, from the repository's root.
+pub const PAGE_PATH: &str = "docs/CAPACITY.md";
 
-/// The page with its tables made anew between their markers.
-pub fn page(text: &str, file: &slopes::File) -> Result<String> {
-    let mut page = text.to_string();
+/// The page's text with each table between its markers generated anew. Returns an error where a marker is missing.
+pub fn update_page(text: &str, file: &slopes::SlopesFile) -> Result<String> {
+    let mut updated = text.to_string();
     for (name, table) in tables::all(file) {
         let (begin, end) = (format!("<!-- table: {name} -->\n"), "<!-- end of table -->");
         let from =
-            page.find(&begin).with_context(|| format!("no marker {:?}", begin.trim_end()))? + begin.len();
-        let length = page[from..].find(end).with_context(|| format!("table {name}: no marker {end:?}"))?;
-        ensure!(!page[from..from + length].contains("<!--"), "table {name}: no marker {end:?} of its own");
-        page.replace_range(from..from + length, &format!("\n{table}\n"));
+            updated.find(&begin).with_context(|| format!("no marker {:?}", begin.trim_end()))? + begin.len();
+        let length = updated[from..].find(end).with_context(|| format!("table {name}: no marker {end:?}"))?;
+        ensure!(!updated[from..from + length].contains("<!--"), "table {name}: no marker {end:?} of its own");
+        updated.replace_range(from..from + length, &format!("\n{table}\n"));
     }
-    Ok(page)
+    Ok(updated)
 }
 
-/// Whether the page at `path` holds the tables of these slopes; the first line that differs otherwise.
-pub fn check(path: &Path, file: &slopes::File) -> Result<()> {
+/// Checks that the page at `path` holds the tables generated from this file. Returns an error that names the first line that
+/// differs, or the marker that is missing.
+pub fn check_page(path: &Path, file: &slopes::SlopesFile) -> Result<()> {
     let text = read(path)?;
-    let wanted = page(&text, file).with_context(|| path.display().to_string())?;
-    let differs = text.lines().zip(wanted.lines()).position(|(is, should)| is != should);
-    let at = differs.unwrap_or(text.lines().count().min(wanted.lines().count()));
+    let expected = update_page(&text, file).with_context(|| path.display().to_string())?;
+    let first_difference = text.lines().zip(expected.lines()).position(|(is, should)| is != should);
+    let at = first_difference.unwrap_or(text.lines().count().min(expected.lines().count()));
     let line = |text: &str| text.lines().nth(at).unwrap_or("(its end)").to_string();
     ensure!(
-        text == wanted,
+        text == expected,
         "{}: line {} differs from the slopes:\n  is:        {}\n  should be: {}",
         path.display(),
         at + 1,
         line(&text),
-        line(&wanted)
+        line(&expected)
     );
     Ok(())
 }
 
+/// Reads a text file. Returns an error that names the path.
 pub fn read(path: &Path) -> Result<String> {
     std::fs::read_to_string(path).with_context(|| path.display().to_string())
 }
--- a/crates/lab/src/capacity/slopes.rs
+++ b/crates/lab/src/capacity/slopes.rs
@@ -1,19 +1,20 @@
-//! The file of slopes: the target's figures, and for each quantity the points that a run gave. Whatever is missing,
-//! unknown or beyond reason is refused by its name.
+//! The file of measured points: the figures of the target size, and for each quantity its points by size, here called a slope.
+//! A file with a missing, unknown or implausible value is rejected with an error that names it.
 
 use anyhow::{Context, Result, ensure};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Points of a slope: at least so many, over so many times the least.
-const FEWEST: usize = 4;
-const SPAN: f64 = 100.0;
-/// No figure of the target is larger.
-const MOST: f64 = 1e12;
+/// A slope needs at least this many points with different x above 0.
+const MIN_POINTS: usize = 4;
+/// The largest x of a slope must be at least this many times the smallest x above 0.
+const MIN_SPAN: f64 = 100.0;
+/// No figure of the target and no coordinate of a point may be larger.
+const MAX_VALUE: f64 = 1e12;
 
-/// The figures that the target has to have.
-pub const TARGET: &[&str] = &[
+/// The names of the target's figures, all of which are required.
+pub const TARGET_FIGURES: &[&str] = &[
     "proxies",
     "sites",
     "nodes",
@@ -38,13 +39,16 @@
     "list_changes_per_second",
 ];
 
+/// The content of the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct SlopesFile {
+    /// The target's figures by name, see [`TARGET_FIGURES`].
     pub target: BTreeMap<String, f64>,
     pub slopes: Vec<Slope>,
 }
 
+/// What uses the resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -56,15 +60,19 @@
     Discovery,
 }
 
-/// Where the points come from: virtual time, a part without the process around it, or processes on sockets.
+/// How the points were obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum PointSource {
+    /// In virtual time.
     Simulated,
+    /// On one component without the process around it.
     Hollow,
+    /// On processes that communicate over sockets.
     Real,
 }
 
+/// The measured points of one quantity, and the target at which their line is evaluated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
@@ -72,60 +80,66 @@
     pub role: Role,
     pub quantity: String,
     pub unit: String,
-    /// What x counts.
+    /// What x is, in words.
     pub x: String,
-    /// The figures of the target that x is to be taken to, or one divided by another.
-    pub at: Vec<String>,
+    /// Where the line is evaluated: figures of the target, or one divided by another.
+    #[serde(rename = "at")]
+    pub evaluate_at: Vec<String>,
+    /// Measured (x, y).
     pub points: Vec<(f64, f64)>,
-    /// How much y may be, where the target says so; `null` where it doesn't.
+    /// The largest y that the target allows; `null` where it states none.
     #[serde(deserialize_with = "stated")]
     pub limit: Option<f64>,
+    /// The command that obtained the points.
     pub command: String,
-    /// `null` where nothing is drawn.
+    /// The seed of the run; `null` where nothing is drawn at random.
     #[serde(deserialize_with = "stated")]
     pub seed: Option<u64>,
+    /// The date of the run, as YYYY-MM-DD.
     pub date: String,
-    pub kind: Kind,
+    pub kind: PointSource,
 }
 
-/// May be null, but not left out.
+/// Reads a key that may be null but must be present: without this, serde takes a missing `Option` for null.
 fn stated<'de, D: Deserializer<'de>, T: Deserialize<'de>>(from: D) -> Result<Option<T>, D::Error> {
     Option::deserialize(from)
 }
 
-impl File {
-    pub fn read(path: &Path) -> Result<File> {
-        File::parse(&super::read(path)?).with_context(|| path.display().to_string())
+impl SlopesFile {
+    /// Reads and checks the file. Returns an error that names the path and what is wrong.
+    pub fn read(path: &Path) -> Result<SlopesFile> {
+        SlopesFile::parse(&super::read(path)?).with_context(|| path.display().to_string())
     }
 
-    pub fn parse(text: &str) -> Result<File> {
-        let file: File = serde_json::from_str(text)?;
-        file.sound()?;
+    /// Parses and checks the file's text. Returns an error that names the key that is wrong.
+    pub fn parse(text: &str) -> Result<SlopesFile> {
+        let file: SlopesFile = serde_json::from_str(text)?;
+        file.validate()?;
         Ok(file)
     }
 
-    /// A figure of the target, or one divided by another, as `requests_per_second/proxies`.
-    pub fn place(&self, name: &str) -> f64 {
+    /// The value of a figure of the target or of one divided by another, such as `requests_per_second/proxies`.
+    pub fn evaluate_figure(&self, name: &str) -> f64 {
         match name.split_once('/') {
-            Some((whole, parts)) => self.figure(whole) / self.figure(parts),
+            Some((numerator, denominator)) => self.figure(numerator) / self.figure(denominator),
             None => self.figure(name),
         }
     }
 
-    /// A figure of the target.
+    /// The value of a figure of the target; 0 if there is none of this name.
     pub fn figure(&self, name: &str) -> f64 {
         self.target.get(name).copied().unwrap_or_default()
     }
 
-    fn sound(&self) -> Result<()> {
-        for name in TARGET {
+    fn validate(&self) -> Result<()> {
+        for name in TARGET_FIGURES {
             let value = self.target.get(*name).with_context(|| format!("target.{name}: missing"))?;
             ensure!(
-                *value > 0.0 && *value <= MOST,
-                "target.{name}: expected more than 0 and at most {MOST:e}, found {value}"
+                *value > 0.0 && *value <= MAX_VALUE,
+                "target.{name}: expected more than 0 and at most {MAX_VALUE:e}, found {value}"
             );
         }
-        if let Some(name) = self.target.keys().find(|name| !TARGET.contains(&name.as_str())) {
+        if let Some(name) = self.target.keys().find(|name| !TARGET_FIGURES.contains(&name.as_str())) {
             anyhow::bail!("target.{name}: not known");
         }
         let percent = self.figure("core_percent");
@@ -141,14 +155,14 @@
         for (at, slope) in self.slopes.iter().enumerate() {
             ensure!(!slope.name.trim().is_empty(), "slopes[{at}].name: empty");
             ensure!(names.insert(&slope.name), "slopes[{at}].name: {:?} is there twice", slope.name);
-            slope.sound().with_context(|| format!("slopes[{at}], {}", slope.name))?;
+            slope.validate().with_context(|| format!("slopes[{at}], {}", slope.name))?;
         }
         Ok(())
     }
 }
 
 impl Slope {
-    fn sound(&self) -> Result<()> {
+    fn validate(&self) -> Result<()> {
         let texts = [
             ("quantity", &self.quantity),
             ("unit", &self.unit),
@@ -161,31 +175,34 @@
             ensure!(!text.contains(['|', '\n', '<']), "{key}: has a sign that breaks a table: {text:?}");
         }
         ensure!(is_date(&self.date), "date: expected YYYY-MM-DD, found {:?}", self.date);
-        ensure!(!self.at.is_empty(), "at: expected one figure of the target or more");
-        for name in &self.at {
-            let (whole, parts) = name.split_once('/').unwrap_or((name, TARGET[0]));
-            let known = [whole, parts].iter().all(|name| TARGET.contains(name));
+        ensure!(!self.evaluate_at.is_empty(), "at: expected one figure of the target or more");
+        for name in &self.evaluate_at {
+            let (numerator, denominator) = name.split_once('/').unwrap_or((name, TARGET_FIGURES[0]));
+            let known = [numerator, denominator].iter().all(|name| TARGET_FIGURES.contains(name));
             ensure!(known, "at: the target has no figure {name:?}");
         }
         for (x, y) in &self.points {
-            let sound = [x, y].into_iter().all(|value| (0.0..=MOST).contains(value));
-            ensure!(sound, "points: expected 0 to {MOST:e}, found [{x}, {y}]");
+            let valid = [x, y].into_iter().all(|value| (0.0..=MAX_VALUE).contains(value));
+            ensure!(valid, "points: expected 0 to {MAX_VALUE:e}, found [{x}, {y}]");
         }
-        // Nothing at all is a point, but no decade begins there.
+        // x = 0 may be a point, but the span over decades can't begin there.
         let mut xs: Vec<f64> = self.points.iter().map(|point| point.0).filter(|x| *x > 0.0).collect();
         xs.sort_by(f64::total_cmp);
         xs.dedup();
         ensure!(
-            xs.len() >= FEWEST,
-            "points: expected {FEWEST} or more with different x above 0, found {}",
+            xs.len() >= MIN_POINTS,
+            "points: expected {MIN_POINTS} or more with different x above 0, found {}",
             xs.len()
         );
         let (least, most) = (xs[0], xs[xs.len() - 1]);
-        ensure!(most >= SPAN * least, "points: expected two decades of x or more, found {least} to {most}");
+        ensure!(
+            most >= MIN_SPAN * least,
+            "points: expected two decades of x or more, found {least} to {most}"
+        );
         if let Some(limit) = self.limit {
             ensure!(
-                limit > 0.0 && limit <= MOST,
-                "limit: expected more than 0 and at most {MOST:e}, found {limit}"
+                limit > 0.0 && limit <= MAX_VALUE,
+                "limit: expected more than 0 and at most {MAX_VALUE:e}, found {limit}"
             );
         }
         Ok(())
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -308,12 +308,12 @@
     let mut wrong = 0;
     for seed in first..first.saturating_add(count) {
         if !real {
-            let found = rig::virt::play(&plan, seed);
+            let found = rig::virt::simulate(&plan, seed);
             say(&found.summary());
-            wrong += found.wrong();
+            wrong += found.violations();
             continue;
         }
-        let outcome = rig::play(&plan.drawn(seed), seed, &programs)?;
+        let outcome = rig::run_plan(&plan.with_random_faults(seed), seed, &programs)?;
         say(&outcome.summary());
         // Of several seeds, the first that went wrong is kept, or the last.
         if wrong == 0 {
@@ -321,10 +321,10 @@
                 std::fs::write(file, serde_json::to_string_pretty(&outcome)?).context("--json")?;
             }
             if let Some(file) = &call.report {
-                std::fs::write(file, rig::report::page(&outcome)).context("--report")?;
+                std::fs::write(file, rig::report::html_timeline(&outcome)).context("--report")?;
             }
         }
-        wrong += usize::from(!outcome.wrong.is_empty());
+        wrong += usize::from(!outcome.violations.is_empty());
     }
     Ok(if wrong > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
@@ -339,7 +339,7 @@
         Some("measure") => {
             let own = std::env::current_exe().context("this program's own path")?;
             let program = call.proxy.as_ref().map_or(own, PathBuf::from);
-            let measures = capacity::measure::measure(&program, |line| eprintln!("{line}"))?;
+            let measures = capacity::measure::measure_proxy(&program, |line| eprintln!("{line}"))?;
             say(&measures.table());
             if let Some(file) = &call.json {
                 write(file, &(serde_json::to_string_pretty(&measures)? + "\n"))?;
@@ -349,7 +349,7 @@
         Some("measure-voters") => {
             let lab = std::env::current_exe().context("this program's own path")?;
             let programs = Programs { proxy: call.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
-            let voters = capacity::measure::voters(&programs, |line| eprintln!("{line}"))?;
+            let voters = capacity::measure::measure_voters(&programs, |line| eprintln!("{line}"))?;
             say(&capacity::measure::voters_table(&voters));
             if let Some(file) = &call.json {
                 write(file, &(serde_json::to_string_pretty(&voters)? + "\n"))?;
@@ -359,11 +359,13 @@
         Some(other) => bail!("capacity: expected measure, measure-voters or nothing, found {other:?}"),
         None => {}
     }
-    let slopes = call.slopes.as_deref().unwrap_or(Path::new(capacity::SLOPES));
-    let file = capacity::slopes::File::read(slopes)?;
+    let slopes = call.slopes.as_deref().unwrap_or(Path::new(capacity::SLOPES_PATH));
+    let file = capacity::slopes::SlopesFile::read(slopes)?;
     match (&call.page, call.check) {
-        (page, true) => capacity::check(page.as_deref().unwrap_or(Path::new(capacity::PAGE)), &file)?,
-        (Some(page), false) => write(page, &capacity::page(&capacity::read(page)?, &file)?)?,
+        (page, true) => {
+            capacity::check_page(page.as_deref().unwrap_or(Path::new(capacity::PAGE_PATH)), &file)?
+        }
+        (Some(page), false) => write(page, &capacity::update_page(&capacity::read(page)?, &file)?)?,
         (None, false) => capacity::tables::all(&file)
             .iter()
             .for_each(|(name, table)| say(&format!("## {name}\n\n{table}\n"))),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -22,7 +22,7 @@
     // What the rig's commands run under a lease.
     if args.next_if(|word| word == "act").is_some() {
         let words: Vec<String> = args.map(|word| word.to_string_lossy().into_owned()).collect();
-        return match pumicebay_lab::rig::act(&words) {
+        return match pumicebay_lab::rig::run_act_command(&words) {
             Ok(true) => ExitCode::SUCCESS,
             Ok(false) => ExitCode::from(1),
             Err(error) => {
--- a/crates/lab/src/replicas/faults.rs
+++ b/crates/lab/src/replicas/faults.rs
@@ -1,8 +1,8 @@
-//! What goes wrong in a play, drawn from its seed.
+//! The faults of a run, drawn from its seed.
 
+use crate::replicas::expected::ExpectedState;
 use crate::replicas::group::{Disk, Group};
-use crate::replicas::truth::Truth;
-use crate::rig::relay::Mode;
+use crate::rig::relay::LinkMode;
 use anyhow::Result;
 use nix::sys::signal::Signal;
 use rand::RngExt;
@@ -10,82 +10,96 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-const SHORTEST: Duration = Duration::from_millis(500);
-const LONGEST: Duration = Duration::from_secs(4);
-const DELAY: Duration = Duration::from_millis(150);
+/// The shortest and the longest duration of a fault.
+const MIN_DURATION: Duration = Duration::from_millis(500);
+const MAX_DURATION: Duration = Duration::from_secs(4);
+/// The delay of delayed links, for each chunk.
+const LINK_DELAY: Duration = Duration::from_millis(150);
 
-/// A fault; places of proxies count from 0.
+/// A fault. Proxies are given by their indices, from 0.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// What passes between these and all others is swallowed, one way or both, or late, or the links are reset.
-    Cut { proxies: Vec<usize>, how: Mode },
-    /// A process stands still.
+    /// The links between these proxies and all others drop what is sent in one direction or both, delay it, or are reset.
+    Cut { proxies: Vec<usize>, how: LinkMode },
+    /// A process is stopped with SIGSTOP and then continued.
     Stopped { proxy: usize },
-    /// A process is killed and starts again.
+    /// A process is killed and started again, with this on its disk.
     Killed { proxy: usize, disk: Disk },
-    /// A fourth of all are killed at once.
+    /// Up to a quarter of the proxies are killed at once and started again with their own disks.
     Many { proxies: Vec<usize> },
 }
 
 impl Fault {
-    pub fn draw(random: &mut SmallRng, count: usize) -> Fault {
-        let proxy = random.random_range(0..count);
-        let some = |random: &mut SmallRng, most: usize| {
-            let first = random.random_range(0..count);
-            let wanted = random.random_range(1..=most);
-            (first..first + wanted).map(|at| at % count).collect::<Vec<usize>>()
+    /// Draws a fault for a group of `count` proxies.
+    pub fn draw(rng: &mut SmallRng, count: usize) -> Fault {
+        let proxy = rng.random_range(0..count);
+        let neighbours = |rng: &mut SmallRng, most: usize| {
+            let first = rng.random_range(0..count);
+            let size = rng.random_range(1..=most);
+            (first..first + size).map(|at| at % count).collect::<Vec<usize>>()
         };
-        match random.random_range(0..9) {
-            0 => Fault::Cut { proxies: some(random, count / 3), how: Mode::Drop { there: true, back: true } },
-            1 => {
-                Fault::Cut { proxies: some(random, count / 3), how: Mode::Drop { there: true, back: false } }
-            }
-            2 => {
-                Fault::Cut { proxies: some(random, count / 3), how: Mode::Drop { there: false, back: true } }
-            }
-            3 => Fault::Cut { proxies: some(random, count / 2), how: Mode::Delay(DELAY) },
-            4 => Fault::Cut { proxies: some(random, count / 2), how: Mode::Reset },
+        match rng.random_range(0..9) {
+            0 => Fault::Cut {
+                proxies: neighbours(rng, count / 3),
+                how: LinkMode::Drop { there: true, back: true },
+            },
+            1 => Fault::Cut {
+                proxies: neighbours(rng, count / 3),
+                how: LinkMode::Drop { there: true, back: false },
+            },
+            2 => Fault::Cut {
+                proxies: neighbours(rng, count / 3),
+                how: LinkMode::Drop { there: false, back: true },
+            },
+            3 => Fault::Cut { proxies: neighbours(rng, count / 2), how: LinkMode::Delay(LINK_DELAY) },
+            4 => Fault::Cut { proxies: neighbours(rng, count / 2), how: LinkMode::Reset },
             5 => Fault::Stopped { proxy },
-            6 => Fault::Many { proxies: some(random, count / 4) },
+            6 => Fault::Many { proxies: neighbours(rng, count / 4) },
             _ => {
-                let other = random.random_range(0..count);
+                let other = rng.random_range(0..count);
                 let disk = [Disk::Own, Disk::Empty, Disk::Spoilt, Disk::Older, Disk::Of(other)];
-                Fault::Killed { proxy, disk: disk[random.random_range(0..disk.len())] }
+                Fault::Killed { proxy, disk: disk[rng.random_range(0..disk.len())] }
             }
         }
     }
 
-    /// Goes wrong, and lasts for a while; most of it is over then, a cut may go on.
-    pub async fn strike(self, group: &mut Group, truth: &mut Truth, random: &mut SmallRng) -> Result<()> {
-        let lasts = SHORTEST + (LONGEST - SHORTEST).mul_f64(random.random());
+    /// Applies the fault for a random time and then undoes it, except that one in three link faults lasts until the group is
+    /// repaired. Returns an error if a disk can't be prepared or a process can't be started.
+    pub async fn apply(
+        self,
+        group: &mut Group,
+        expected: &mut ExpectedState,
+        rng: &mut SmallRng,
+    ) -> Result<()> {
+        let duration = MIN_DURATION + (MAX_DURATION - MIN_DURATION).mul_f64(rng.random());
         match self {
             Fault::Cut { proxies, how } => {
-                group.set_links(&proxies, how);
-                sleep(lasts).await;
-                // The last ones end when all does.
-                if random.random_range(0..3) > 0 {
-                    group.set_links(&proxies, Mode::Pass);
+                group.set_link_mode(&proxies, how);
+                sleep(duration).await;
+                // A link fault that is not undone here ends with `Group::repair`.
+                if rng.random_range(0..3) > 0 {
+                    group.set_link_mode(&proxies, LinkMode::Pass);
                 }
             }
             Fault::Stopped { proxy } => {
                 group.signal(proxy, Signal::SIGSTOP);
-                sleep(lasts).await;
+                sleep(duration).await;
                 group.signal(proxy, Signal::SIGCONT);
             }
             Fault::Killed { proxy, disk } => {
                 group.kill(proxy).await;
-                if disk.loses() {
-                    truth.loses_disk(proxy, &group.statuses().await);
+                if disk.may_lose_orders() {
+                    expected.disk_lost(proxy, &group.statuses().await);
                 }
-                group.lay_disk(proxy, disk)?;
-                sleep(lasts / 2).await;
+                group.prepare_disk(proxy, disk)?;
+                sleep(duration / 2).await;
                 group.spawn(proxy)?;
             }
             Fault::Many { proxies } => {
                 for proxy in &proxies {
                     group.kill(*proxy).await;
                 }
-                sleep(lasts / 2).await;
+                sleep(duration / 2).await;
                 for proxy in &proxies {
                     group.spawn(*proxy)?;
                 }
--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -1,10 +1,10 @@
-//! The processes of a play: proxies that serve and replicate, each with a folder and with a relay to each other one. All are
-//! ended, by their ids, whatever happens.
+//! The processes of a run: proxies that serve and replicate, each with a folder of its own and a relay to each other proxy.
+//! All processes are ended by their ids, also when a run fails.
 
+use crate::replicas::expected::{Order, OutOfServiceInterval};
 use crate::replicas::nodes::{Nodes, uid, unix_seconds};
-use crate::replicas::truth::{Held, Order};
-use crate::rig::procs::Home;
-use crate::rig::relay::{Mode, Relay};
+use crate::rig::processes::LoopbackAddresses;
+use crate::rig::relay::{LinkMode, Relay};
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -23,47 +23,59 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
+/// Number of proxies that are listed as voters.
 const VOTERS: usize = 3;
-const ANSWERS: Duration = Duration::from_millis(1500);
-const LOOK: Duration = Duration::from_millis(50);
-/// The name of a copy within its folder.
-const COPY: &str = "replica";
-const OLDER: &str = "replica.older";
+/// How long a proxy may take to answer a query or an order.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Between two queries of the proxies' states.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// File name of a replica within its folder.
+const REPLICA_FILE: &str = "replica";
+/// File name of an earlier copy of it, kept for [`Disk::Older`].
+const OLDER_REPLICA_FILE: &str = "replica.older";
 
 /// What a process finds on its disk when it starts again.
 #[derive(Clone, Copy, Debug)]
 pub enum Disk {
+    /// What it left there.
     Own,
+    /// No replica.
     Empty,
+    /// A corrupted replica.
     Spoilt,
-    /// As it was some while before.
+    /// Its replica as it was when the process was first killed.
     Older,
-    /// A copy of another's.
+    /// The replica of another proxy, given by its index.
     Of(usize),
 }
 
 impl Disk {
-    /// Whether orders that only this process had may be gone.
-    pub fn loses(self) -> bool {
+    /// Whether orders that only this process had may be lost.
+    pub fn may_lose_orders(self) -> bool {
         !matches!(self, Disk::Own)
     }
 }
 
+/// One proxy with its files, addresses and relays.
 struct Process {
     name: String,
     config: PathBuf,
     folder: PathBuf,
     log: PathBuf,
+    /// Where it serves clients.
     address: SocketAddr,
+    /// Where it listens for other replicas, behind the relays.
     replication: SocketAddr,
-    /// To each other one, in the order of places.
+    /// The relays to each proxy, by its index; `None` for the process itself.
     relays: Vec<Option<Relay>>,
     child: Option<Child>,
     /// When it was killed, in seconds of Unix time.
-    killed: Vec<f64>,
+    kill_times: Vec<f64>,
+    /// Its exit status, if it had ended before it was to be killed.
     ended: Option<String>,
 }
 
+/// All proxies of a run.
 pub struct Group {
     program: PathBuf,
     processes: Vec<Process>,
@@ -71,13 +83,14 @@
 }
 
 impl Group {
+    /// Writes the configurations and starts the relays and processes. Returns an error if one of them can't be started.
     pub async fn start(count: usize, nodes: &Nodes, program: &Path) -> Result<Group> {
         let folder = tempfile::tempdir().context("a folder for the processes")?;
-        let mut home = Home::new();
+        let mut loopback = LoopbackAddresses::new();
         let names: Vec<String> = (0..count).map(|at| format!("p{:02}", at + 1)).collect();
-        let replication: Vec<SocketAddr> = names.iter().map(|_| home.next()).collect();
+        let replication: Vec<SocketAddr> = names.iter().map(|_| loopback.next()).collect();
         let voters: BTreeMap<&String, String> =
-            names.iter().take(VOTERS).map(|name| (name, home.next().to_string())).collect();
+            names.iter().take(VOTERS).map(|name| (name, loopback.next().to_string())).collect();
         let mut processes = Vec::new();
         for (at, name) in names.iter().enumerate() {
             let mut relays = Vec::new();
@@ -92,8 +105,8 @@
                 })
                 .collect();
             let own = folder.path().join(name);
-            let address = home.next();
-            let mut json = configuration(name, address, home.next(), nodes);
+            let address = loopback.next();
+            let mut json = configuration(name, address, loopback.next(), nodes);
             json["fleet"] = json!({
                 "name": "replicas", "voters": voters, "folder": own.join("voter"),
                 "replication": {"peers": peers, "listen": replication[at].to_string(), "folder": own.join("copy")},
@@ -111,7 +124,7 @@
                 replication: replication[at],
                 relays,
                 child: None,
-                killed: Vec::new(),
+                kill_times: Vec::new(),
                 ended: None,
             });
         }
@@ -120,6 +133,7 @@
         Ok(group)
     }
 
+    /// Starts a process, unless it runs. Returns an error if it can't be started.
     pub fn spawn(&mut self, at: usize) -> Result<()> {
         let process = &mut self.processes[at];
         if process.child.is_some() {
@@ -139,7 +153,7 @@
         Ok(())
     }
 
-    /// Killed as it stands; where its disk may become older later, this is what it was.
+    /// Kills a process with SIGKILL. After the first kill its replica is copied, for a later start with [`Disk::Older`].
     pub async fn kill(&mut self, at: usize) {
         let process = &mut self.processes[at];
         if let Some(mut child) = process.child.take() {
@@ -147,15 +161,16 @@
                 process.ended = Some(status.to_string());
             }
             let _ = child.kill().await;
-            process.killed.push(unix_seconds());
+            process.kill_times.push(unix_seconds());
         }
         let copy = process.folder.join("copy");
-        let older = copy.join(OLDER);
+        let older = copy.join(OLDER_REPLICA_FILE);
         if !older.exists() {
-            let _ = std::fs::copy(copy.join(COPY), older);
+            let _ = std::fs::copy(copy.join(REPLICA_FILE), older);
         }
     }
 
+    /// Sends a signal to a process, if it runs.
     pub fn signal(&self, at: usize, signal: Signal) {
         let id = self.processes[at].child.as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
@@ -163,61 +178,63 @@
         }
     }
 
-    /// Of a process that is down. The bans in its private folder go with a disk that is lost.
-    pub fn lay_disk(&self, at: usize, disk: Disk) -> Result<()> {
+    /// Prepares the disk of a process that is down. Unless the disk is its own, the private folder is emptied too, since the
+    /// bans stored there would be lost with the disk. Returns an error if the files can't be changed.
+    pub fn prepare_disk(&self, at: usize, disk: Disk) -> Result<()> {
         let copy = |at: usize, name: &str| self.processes[at].folder.join("copy").join(name);
-        let own = copy(at, COPY);
+        let own = copy(at, REPLICA_FILE);
         match disk {
             Disk::Own => return Ok(()),
             Disk::Empty => _ = std::fs::remove_file(&own),
             Disk::Spoilt => std::fs::write(&own, b"pumicebr, and then nothing of use")?,
-            Disk::Older => _ = std::fs::copy(copy(at, OLDER), &own),
-            Disk::Of(other) => _ = std::fs::copy(copy(other, COPY), &own),
+            Disk::Older => _ = std::fs::copy(copy(at, OLDER_REPLICA_FILE), &own),
+            Disk::Of(other) => _ = std::fs::copy(copy(other, REPLICA_FILE), &own),
         }
         let private = self.processes[at].folder.join("tmp");
         std::fs::remove_dir_all(&private)?;
         Ok(std::fs::create_dir_all(&private)?)
     }
 
-    /// What happens to what passes between these and all others.
-    pub fn set_links(&self, proxies: &[usize], mode: Mode) {
+    /// Sets the mode of all links between these proxies and all others.
+    pub fn set_link_mode(&self, proxies: &[usize], mode: LinkMode) {
         for (at, process) in self.processes.iter().enumerate() {
             for (other, relay) in process.relays.iter().enumerate() {
                 let between = proxies.contains(&at) != proxies.contains(&other);
-                relay.iter().filter(|_| between).for_each(|relay| relay.set(mode));
+                relay.iter().filter(|_| between).for_each(|relay| relay.set_mode(mode));
             }
         }
     }
 
-    /// All links pass, all processes run.
-    pub async fn heal(&mut self) -> Result<()> {
+    /// Makes all links forward again and starts all processes that are down. Returns an error if one can't be started.
+    pub async fn repair(&mut self) -> Result<()> {
         let relays = self.processes.iter().flat_map(|process| process.relays.iter().flatten());
-        relays.for_each(|relay| relay.set(Mode::Pass));
+        relays.for_each(|relay| relay.set_mode(LinkMode::Pass));
         (0..self.processes.len()).try_for_each(|at| self.spawn(at))
     }
 
+    /// Where the proxies serve clients.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.processes.iter().map(|process| process.address).collect()
     }
 
-    /// Those that answer.
+    /// The replication states of all proxies that answer in time, in no particular order.
     pub async fn statuses(&self) -> Vec<Status> {
-        let mut asked = JoinSet::new();
+        let mut queries = JoinSet::new();
         for process in &self.processes {
             let at = process.replication;
-            asked.spawn(async move {
+            queries.spawn(async move {
                 let wanted = |frame| match frame {
                     Frame::ReplicationIs(status) => Some(*status),
                     _ => None,
                 };
-                ask(at, Frame::Replication, wanted).await
+                query(at, Frame::Replication, wanted).await
             });
         }
-        asked.join_all().await.into_iter().flatten().collect()
+        queries.join_all().await.into_iter().flatten().collect()
     }
 
-    /// All answer, and have the same copy.
-    pub async fn until_equal(&self, within: Duration) -> Result<()> {
+    /// Waits until all proxies answer, have links and hold equal replicas. Returns an error if that takes too long.
+    pub async fn wait_until_equal(&self, within: Duration) -> Result<()> {
         let until = Instant::now() + within;
         loop {
             let statuses = self.statuses().await;
@@ -227,46 +244,52 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                bail!("{} of {} are there\n{}", statuses.len(), self.processes.len(), self.last_lines());
+                bail!(
+                    "{} of {} proxies answered, or replicas differ or have no links; the last log lines of the first proxy, newest first:\n{}",
+                    statuses.len(),
+                    self.processes.len(),
+                    self.last_lines()
+                );
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// An operator's order at this proxy: its stamp, if it was given.
-    pub async fn order(&self, at: usize, order: &Order) -> Option<Stamp> {
+    /// Sends an operator's order to this proxy. Returns its stamp, or `None` if it was refused or not answered in time.
+    pub async fn send_order(&self, at: usize, order: &Order) -> Option<Stamp> {
         let call = OrderCall { node: order.node.clone(), out: order.out, under: order.lease.clone() };
         let wanted = |frame| match frame {
             Frame::Ordered(answer) => Some(*answer),
             _ => None,
         };
-        match ask(self.processes[at].replication, Frame::Order(Box::new(call)), wanted).await? {
+        match query(self.processes[at].replication, Frame::Order(Box::new(call)), wanted).await? {
             OrderAnswer::Given(stamp) => Some(stamp),
             OrderAnswer::Refused(_) => None,
         }
     }
 
-    /// When each proxy held which node out of service, by its log.
-    pub fn maintenance(&self) -> Vec<Held> {
+    /// When each proxy kept which node out of service, according to its log.
+    pub fn out_of_service_intervals(&self) -> Vec<OutOfServiceInterval> {
         let each = self.processes.iter().enumerate();
         each.flat_map(|(proxy, process)| {
             let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-            held(proxy, &log, &process.killed)
+            parse_intervals(proxy, &log, &process.kill_times)
         })
         .collect()
     }
 
-    /// Processes that nobody killed and that are gone.
-    pub fn ended_by_themselves(&mut self) -> Vec<String> {
+    /// One line for each process that ended without being killed.
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
         let mut ended = Vec::new();
         for process in &mut self.processes {
             let now = process.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
             let how = process.ended.clone().or(now.map(|status| status.to_string()));
-            ended.extend(how.map(|how| format!("{} ended by itself: {how}", process.name)));
+            ended.extend(how.map(|how| format!("{} ended unexpectedly: {how}", process.name)));
         }
         ended
     }
 
+    /// The last lines of the first proxy's log, newest first.
     fn last_lines(&self) -> String {
         let _ = &self.folder;
         let log =
@@ -275,9 +298,10 @@
     }
 }
 
-/// Asks a process on a link of its own, as a command does.
-async fn ask<T>(at: SocketAddr, frame: Frame, wanted: impl Fn(Frame) -> Option<T>) -> Option<T> {
-    let asked = async {
+/// Sends a frame to a process over a new link, as a command does. Returns the first answer that `wanted` accepts, or `None` if
+/// there is none in time.
+async fn query<T>(at: SocketAddr, frame: Frame, wanted: impl Fn(Frame) -> Option<T>) -> Option<T> {
+    let request = async {
         let who = ProcessId { name: "rig".into(), incarnation: 1 };
         let stream = TcpStream::connect(at).await.ok()?;
         let (mut link, _) =
@@ -289,10 +313,11 @@
             }
         }
     };
-    timeout(ANSWERS, asked).await.ok().flatten()
+    timeout(ANSWER_TIMEOUT, request).await.ok().flatten()
 }
 
-fn configuration(name: &str, listen: SocketAddr, nobody: SocketAddr, nodes: &Nodes) -> Json {
+/// The configuration of one proxy without its section `fleet`; nothing listens at the discovery address.
+fn configuration(name: &str, listen: SocketAddr, discovery: SocketAddr, nodes: &Nodes) -> Json {
     let target = |uid: String, endpoint: SocketAddr, model: &str| {
         json!({"uid": uid, "endpoint": endpoint.to_string(), "az": "a", "model": model, "pod_group": 0,
                "state": "active", "capacity_hint": 1.0, "boot_ms": 0})
@@ -301,13 +326,13 @@
     let mut targets: Vec<Json> = caches.map(|(node, at)| target(uid(node), *at, "cache")).collect();
     targets.push(target("origin".into(), nodes.origin, "origin"));
     json!({
-        "name": name, "listen": listen.to_string(), "discovery": nobody.to_string(),
+        "name": name, "listen": listen.to_string(), "discovery": discovery.to_string(),
         "limits": {"sockets": 512, "memory_mb": 64},
         "known": {"rev": 1, "all": true, "targets": targets},
         "settings": {
             "fleet-size": 1, "me": 0, "skus": ["cache", "origin"], "failure-domains": ["a"],
             "domain": {"mode": "aside", "origin-kind": 1},
-            // A node that is put back is warm at once: that it serves again is seen.
+            // A node that returns to service counts as warm at once, so that it soon gets requests again.
             "rules": {"cold-us": 1000},
             "routes": [{"name": "read", "effect": "repeatable", "payoff": 1.0,
                         "latency-objective-us": 500_000, "overall-timeout-us": 1_000_000}]
@@ -315,33 +340,35 @@
     })
 }
 
-/// What a proxy's log says of nodes going out of service and coming back; a kill ends what was held.
-fn held(proxy: usize, log: &str, killed: &[f64]) -> Vec<Held> {
-    let mut held: Vec<Held> = Vec::new();
+/// Reads from a proxy's log when nodes went out of service and returned. A kill of the proxy ends an open interval.
+fn parse_intervals(proxy: usize, log: &str, kill_times: &[f64]) -> Vec<OutOfServiceInterval> {
+    let mut intervals: Vec<OutOfServiceInterval> = Vec::new();
     for line in log.lines() {
-        let Some((at, words)) = line.split_once("maintenance: ") else { continue };
-        let Some(at) = at.split_whitespace().next().and_then(unix_of) else { continue };
+        let Some((time, words)) = line.split_once("maintenance: ") else { continue };
+        let Some(at) = time.split_whitespace().next().and_then(parse_unix_time) else { continue };
         let mut words = words.split_whitespace();
         let (Some(node), Some(what)) = (words.next(), words.next()) else { continue };
-        let until = killed.iter().copied().find(|killed| *killed > at).unwrap_or(f64::INFINITY);
-        let open = held.iter_mut().find(|held| held.node == node && held.until > at);
+        let until = kill_times.iter().copied().find(|killed| *killed > at).unwrap_or(f64::INFINITY);
+        let open = intervals.iter_mut().find(|interval| interval.node == node && interval.until > at);
         match (what, open) {
-            ("out", None) => held.push(Held { proxy, node: node.into(), from: at, until }),
+            ("out", None) => {
+                intervals.push(OutOfServiceInterval { proxy, node: node.into(), from: at, until })
+            }
             ("back", Some(open)) => open.until = at,
             _ => {}
         }
     }
-    held
+    intervals
 }
 
-/// Unix time of a log line's time in UTC, `2026-12-02T06:23:49.123456Z`, in seconds.
-fn unix_of(text: &str) -> Option<f64> {
+/// Parses a log line's UTC time, such as `2026-12-02T06:23:49.123456Z`, to Unix time in seconds; `None` if it is malformed.
+fn parse_unix_time(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.split('-').map(|part| part.parse::<i64>().ok());
     let (year, month, day) = (date.next()??, date.next()??, date.next()??);
     let mut time = time.split(':').map(|part| part.parse::<f64>().ok());
     let seconds = time.next()?? * 3600.0 + time.next()?? * 60.0 + time.next()??;
-    // Days since 1970 of a date of the Gregorian calendar, with years that begin in March.
+    // Days since 1970 in the Gregorian calendar, counted with years that begin in March so that a leap day comes last.
     let (year, month) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let days = 365 * year + year / 4 - year / 100 + year / 400 + (153 * month + 2) / 5 + day - 1 - 719_468;
     Some(days as f64 * 86_400.0 + seconds)
--- a/crates/lab/src/replicas/mod.rs
+++ b/crates/lab/src/replicas/mod.rs
@@ -1,22 +1,23 @@
-//! A group of real proxies that replicate orders of maintenance, on loopback, with faults between and at them: links that
-//! drop one way or both, delays, resets, processes that are stopped, killed, and started again with each kind of disk.
-//! Plays a seed and says what was wrong, how long the group took to agree, and what was sent to nodes that were out.
+//! Runs a group of real proxies on loopback that replicate maintenance orders, with faults of their links and processes: links
+//! that drop in one direction or both, delays, resets, and processes that are stopped, killed, and started again with an
+//! intact, empty, corrupted, outdated or foreign disk. A run reports violations, among them requests sent to nodes that were
+//! out of service, and how long the group took to converge.
 //!
-//! | file | job |
+//! | file | purpose |
 //! | --- | --- |
 //! | `group.rs` | the processes, their relays, their disks |
-//! | `faults.rs` | what goes wrong, drawn from the seed |
-//! | `nodes.rs` | stand-ins of cache nodes and the origin, which note who asked them and when |
-//! | `truth.rs` | what must hold, reckoned from the orders that were given |
+//! | `faults.rs` | the faults, drawn from the seed |
+//! | `nodes.rs` | stand-ins for cache nodes and the origin; the cache nodes record which proxy sent a request and when |
+//! | `expected.rs` | the state that the replicas must reach, computed from the accepted orders |
 
+mod expected;
 mod faults;
 mod group;
 mod nodes;
-mod truth;
 
+use crate::replicas::expected::ExpectedState;
 use crate::replicas::faults::Fault;
 use crate::replicas::group::Group;
-use crate::replicas::truth::Truth;
 use anyhow::{Result, ensure};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -24,79 +25,85 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Proxies of a play, and cache nodes.
+/// Number of proxies.
 pub const PROXIES: usize = 12;
+/// Number of cache nodes.
 const NODES: usize = 3;
-/// Faults of a play, and the longest pause between two.
+/// Number of faults of a run.
 const FAULTS: usize = 10;
-const PAUSE: Duration = Duration::from_millis(1500);
-/// All processes link within this, and agree within this after the last fault.
-const READY: Duration = Duration::from_secs(20);
-const BOUND: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(50);
+/// The longest pause after a fault.
+const MAX_PAUSE: Duration = Duration::from_millis(1500);
+/// Within this time after the start all processes have links and equal replicas.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Within this time after the last fault is undone the group has to converge.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Between two queries of the proxies' states.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a play came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// What must not have been, in words.
-    pub wrong: Vec<String>,
-    /// Orders that were given, and faults.
+    /// One line for each violation.
+    pub violations: Vec<String>,
+    /// Number of orders that the proxies accepted.
     pub orders: usize,
+    /// The faults, in Debug form.
     pub faults: Vec<String>,
-    /// From the last fault until every proxy held what must hold.
-    pub agreed_after: Duration,
-    /// Requests that nodes got.
+    /// From the repair of the last fault until every proxy had the expected state, or until the run gave up on that.
+    pub converged_after: Duration,
+    /// Number of requests that cache nodes received.
     pub requests: usize,
 }
 
-/// Plays a seed with this program as proxy.
-pub async fn play(seed: u64, program: &Path) -> Result<Outcome> {
-    let mut random = SmallRng::seed_from_u64(seed);
+/// Runs a seed with this program as proxy. Returns an error if the group does not start, a fault can't be applied or too few
+/// orders are accepted; violations are part of the outcome.
+pub async fn run(seed: u64, program: &Path) -> Result<Outcome> {
+    let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = nodes::start(NODES).await?;
     let mut group = Group::start(PROXIES, &nodes, program).await?;
-    let (mut truth, mut outcome) = (Truth::default(), Outcome::default());
-    group.until_equal(READY).await?;
-    let clients = nodes::ask_all(&group.addresses());
+    let (mut expected, mut outcome) = (ExpectedState::default(), Outcome::default());
+    group.wait_until_equal(READY_TIMEOUT).await?;
+    let clients = nodes::start_clients(&group.addresses());
     for _ in 0..FAULTS {
-        order(&mut group, &mut truth, &mut random).await;
-        let fault = Fault::draw(&mut random, PROXIES);
+        send_order(&mut group, &mut expected, &mut rng).await;
+        let fault = Fault::draw(&mut rng, PROXIES);
         outcome.faults.push(format!("{fault:?}"));
-        fault.strike(&mut group, &mut truth, &mut random).await?;
-        sleep(PAUSE.mul_f64(random.random())).await;
-        order(&mut group, &mut truth, &mut random).await;
+        fault.apply(&mut group, &mut expected, &mut rng).await?;
+        sleep(MAX_PAUSE.mul_f64(rng.random())).await;
+        send_order(&mut group, &mut expected, &mut rng).await;
     }
-    group.heal().await?;
-    let healed = Instant::now();
+    group.repair().await?;
+    let repaired_at = Instant::now();
     loop {
-        let lacking = truth.lacking(&group.statuses().await, PROXIES);
-        if lacking.is_none() {
+        let mismatch = expected.mismatch(&group.statuses().await, PROXIES);
+        if mismatch.is_none() {
             break;
         }
-        if healed.elapsed() > BOUND {
-            outcome.wrong.extend(lacking);
+        if repaired_at.elapsed() > CONVERGENCE_TIMEOUT {
+            outcome.violations.extend(mismatch);
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    outcome.agreed_after = healed.elapsed();
+    outcome.converged_after = repaired_at.elapsed();
     clients.abort();
-    outcome.orders = truth.given();
-    outcome.requests = nodes.requests();
-    ensure!(outcome.orders > FAULTS / 2, "only {} orders were given", outcome.orders);
-    outcome.wrong.extend(truth::sent_while_out(&group.maintenance(), &nodes));
-    outcome.wrong.extend(group.ended_by_themselves());
+    outcome.orders = expected.accepted_count();
+    outcome.requests = nodes.request_count();
+    ensure!(outcome.orders > FAULTS / 2, "only {} orders were accepted", outcome.orders);
+    outcome.violations.extend(expected::sent_while_out(&group.out_of_service_intervals(), &nodes));
+    outcome.violations.extend(group.unexpected_exits());
     Ok(outcome)
 }
 
-/// An operator's order at a proxy drawn by chance.
-async fn order(group: &mut Group, truth: &mut Truth, random: &mut SmallRng) {
-    let (at, node) = (random.random_range(0..PROXIES), random.random_range(0..NODES));
-    let lease = match random.random_range(0..3) {
+/// Sends an operator's order for a random node to a random proxy, and notes it if it is accepted.
+async fn send_order(group: &mut Group, expected: &mut ExpectedState, rng: &mut SmallRng) {
+    let (proxy, node) = (rng.random_range(0..PROXIES), rng.random_range(0..NODES));
+    let lease = match rng.random_range(0..3) {
         0 => None,
-        number => Some((format!("lease{number}"), random.random_range(1..6))),
+        number => Some((format!("lease{number}"), rng.random_range(1..6))),
     };
-    let order = truth::Order { node: nodes::uid(node), out: random.random(), lease };
-    if let Some(stamp) = group.order(at, &order).await {
-        truth.was_given(at, order, stamp);
+    let order = expected::Order { node: nodes::uid(node), out: rng.random(), lease };
+    if let Some(stamp) = group.send_order(proxy, &order).await {
+        expected.order_accepted(proxy, order, stamp);
     }
 }
--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -1,9 +1,9 @@
-//! Who reads and writes the record all the while: two askers of the rig's own, by links that no fault hits, which
-//! write down what they were answered.
+//! The clients that read and write the record during a run. They connect to the voters directly, without the relays that
+//! inject faults, and record each operation with its answer for [`history::check`](super::history::check).
 
-use super::history::Op;
-use super::procs::Procs;
-use super::witness::Witness;
+use super::history::Operation;
+use super::processes::FleetProcesses;
+use super::recorder::Recorder;
 use anyhow::{Context, Result};
 use pumicebay::fleet::asker::Asker;
 use pumicebay::fleet::config::FleetConfig;
@@ -16,86 +16,103 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-const CLIENTS: usize = 2;
-const PAUSE: Duration = Duration::from_millis(30);
-const PATIENCE: Duration = Duration::from_millis(1500);
-const VALUE: &str = "history";
+const CLIENT_COUNT: usize = 2;
+/// Between two operations of one client.
+const OPERATION_PAUSE: Duration = Duration::from_millis(30);
+/// How long a client waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Name of the value in the record that the clients read and write.
+const VALUE_NAME: &str = "history";
 
+/// What all clients have recorded.
 #[derive(Default)]
-struct Seen {
-    operations: Vec<Op>,
-    /// When the last write that was answered began.
-    written: Option<Instant>,
+struct ClientLog {
+    operations: Vec<Operation>,
+    /// When the most recently answered write began.
+    last_write_began: Option<Instant>,
 }
 
+/// The running clients; they stop when this is dropped.
 pub struct Clients {
-    seen: Arc<Mutex<Seen>>,
+    log: Arc<Mutex<ClientLog>>,
     tasks: JoinSet<()>,
     _actors: JoinSet<()>,
 }
 
-pub fn start(procs: &Procs, witness: &Witness) -> Result<Clients> {
+/// Starts the clients. Returns an error if the configuration for them is not valid.
+pub fn start(processes: &FleetProcesses, recorder: &Recorder) -> Result<Clients> {
     let (mut tasks, mut actors) = (JoinSet::new(), JoinSet::new());
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    for number in 1..=CLIENTS {
-        let (voters, spares) = procs.called();
+    let log = Arc::new(Mutex::new(ClientLog::default()));
+    for number in 1..=CLIENT_COUNT {
+        let (voters, spares) = processes.direct_addresses();
         let section = json!({"fleet": {"name": "rig", "voters": voters, "spares": spares}});
-        let config = FleetConfig::parse(&section, "")?.context("a section")?;
+        let config =
+            FleetConfig::parse(&section, "")?.context("the configuration has no section \"fleet\"")?;
         let name = format!("client{number}");
         let asker = start_command(&Me::new(&name, config.into()), &mut actors);
-        tasks.spawn(work(asker, name, witness.clone(), seen.clone()));
+        tasks.spawn(run_client(asker, name, recorder.clone(), log.clone()));
     }
-    Ok(Clients { seen, tasks, _actors: actors })
+    Ok(Clients { log, tasks, _actors: actors })
 }
 
 impl Clients {
-    /// Whether a write that began after this was answered.
-    pub fn agreed_since(&self, since: Instant) -> bool {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).written.is_some_and(|at| at > since)
+    /// Whether a write that began after this instant was answered.
+    pub fn wrote_since(&self, since: Instant) -> bool {
+        self.log.lock().unwrap_or_else(PoisonError::into_inner).last_write_began.is_some_and(|at| at > since)
     }
 
-    pub async fn stop(mut self) -> Vec<Op> {
+    /// Stops the clients and returns the operations that they recorded.
+    pub async fn stop(mut self) -> Vec<Operation> {
         self.tasks.shutdown().await;
-        std::mem::take(&mut self.seen.lock().unwrap_or_else(PoisonError::into_inner).operations)
+        std::mem::take(&mut self.log.lock().unwrap_or_else(PoisonError::into_inner).operations)
     }
 }
 
-/// Reads, and writes over what it read, in turns.
-async fn work(asker: Asker, who: String, witness: Witness, seen: Arc<Mutex<Seen>>) {
+/// Reads the value and then writes a new one that replaces the version it read, again and again.
+async fn run_client(asker: Asker, client: String, recorder: Recorder, log: Arc<Mutex<ClientLog>>) {
     for number in 0.. {
-        let (mut began, mut text, mut over) = (Instant::now(), String::new(), 0);
-        let record = |write: bool, began: Instant, text: &str, version: Option<u64>, over: u64| {
-            let (begin, end) = (witness.at(began), witness.at(Instant::now()));
-            let op = Op { who: who.clone(), write, begin, end, text: text.into(), version, over };
-            let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            if write && version.is_some() {
-                seen.written = Some(began);
-            }
-            seen.operations.push(op);
-        };
-        match asker.want(OperationKind::Read, PATIENCE).await {
-            Reply::Record(read) => {
-                if let Some(entry) = read.0.values.get(VALUE) {
-                    (text, over) = (entry.text.clone(), entry.version);
+        let (mut began, mut value, mut expected_version) = (Instant::now(), String::new(), 0);
+        let append =
+            |write: bool, began: Instant, value: &str, version: Option<u64>, expected_version: u64| {
+                let (begin, end) = (recorder.seconds_at(began), recorder.seconds_at(Instant::now()));
+                let operation = Operation {
+                    client: client.clone(),
+                    write,
+                    begin,
+                    end,
+                    value: value.into(),
+                    version,
+                    expected_version,
+                };
+                let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
+                if write && version.is_some() {
+                    log.last_write_began = Some(began);
+                }
+                log.operations.push(operation);
+            };
+        match asker.want(OperationKind::Read, ANSWER_TIMEOUT).await {
+            Reply::Record(record) => {
+                if let Some(entry) = record.0.values.get(VALUE_NAME) {
+                    (value, expected_version) = (entry.text.clone(), entry.version);
                 }
-                record(false, began, &text, Some(over), 0);
+                append(false, began, &value, Some(expected_version), 0);
             }
-            _ => record(false, began, "", None, 0),
+            _ => append(false, began, "", None, 0),
         }
         began = Instant::now();
-        text = format!("{who}-{number}");
-        let want = OperationKind::Put {
-            name: VALUE.into(),
-            text: text.clone(),
-            expected_version: Some(over),
+        value = format!("{client}-{number}");
+        let operation = OperationKind::Put {
+            name: VALUE_NAME.into(),
+            text: value.clone(),
+            expected_version: Some(expected_version),
             fence: None,
         };
-        match asker.want(want, PATIENCE).await {
-            Reply::Written(version) => record(true, began, &text, Some(version), over),
-            // Another was quicker.
+        match asker.want(operation, ANSWER_TIMEOUT).await {
+            Reply::Written(version) => append(true, began, &value, Some(version), expected_version),
+            // Another client wrote first, so the version that was read is no longer current.
             Reply::Refused(_) => {}
-            _ => record(true, began, &text, None, over),
+            _ => append(true, began, &value, None, expected_version),
         }
-        sleep(PAUSE).await;
+        sleep(OPERATION_PAUSE).await;
     }
 }
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/lab/src/rig/plan.rs
@@ -1,6 +1,7 @@
-//! What is played: how many processes, and which fault begins when. From a file, or drawn from a seed.
+//! A plan of a run: the size of the fleet, its leases and clocks, and its faults with their times, read from a file or drawn
+//! from a seed.
 
-use super::of_disk;
+use super::affects_disk;
 use anyhow::{Context, Result, ensure};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -8,35 +9,42 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
+/// The kinds of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Links swallow all that is sent on them, both ways or one way.
+    /// Links discard all that is sent on them, in both directions.
     Drop,
+    /// Links discard all that is sent in one direction, drawn at random.
     OneWay,
-    /// Links are reset, and come up no more.
+    /// Links are reset, and new connections are closed at once.
     Reset,
+    /// Links deliver each chunk late.
     Delay,
+    /// Links have a low bandwidth.
     Slow,
-    /// Links are cut in the middle of a frame.
+    /// Links are reset in the middle of a frame.
     Cut,
-    /// One end is gone, and the other is not told.
+    /// The dialed end sees the link close; the dialing end does not.
     HalfOpen,
+    /// The process is killed and started again when the fault ends.
     Kill,
-    /// SIGSTOP, and later SIGCONT.
+    /// The process gets SIGSTOP, and SIGCONT when the fault ends.
     Stop,
-    /// Killed, and back with its folder emptied, set back to an older copy, or its file spoilt.
+    /// The process is killed and starts again with its folder removed.
     Empty,
+    /// The process is killed and starts again with an older copy of its file.
     SetBack,
+    /// The process is killed and starts again with its file truncated or one bit of it flipped.
     Spoil,
-    /// Its folder takes no writes.
+    /// The voter can't write its file.
     Full,
-    /// A voter's seat goes to the spare that `to` names, by an operator's command; for good.
+    /// An operator's command replaces the voter by the spare that `to` names, permanently.
     Replace,
 }
 
-/// What is drawn; an exchange of voters is asked for by name alone.
-pub const ALL: [Kind; 13] = [
+/// The kinds that are drawn at random. `Replace` is not among them: a plan has to ask for it.
+pub const RANDOM_KINDS: [Kind; 13] = [
     Kind::Drop,
     Kind::OneWay,
     Kind::Reset,
@@ -52,48 +60,63 @@
     Kind::Full,
 ];
 
+/// One fault of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: Kind,
-    /// In seconds from the start, and how long it lasts.
+    /// When it begins, in seconds from the start.
     pub at: f64,
+    /// How long it lasts, in seconds.
     #[serde(default = "two")]
     pub seconds: f64,
-    /// The process that is hit; for links, whose.
+    /// The affected process; for a fault of links, the process whose links are affected.
     pub who: String,
-    /// For links: only the one to this voter. For an exchange: who votes from then on.
+    /// For a fault of links: only the link to this voter is affected. For a replacement: the spare that becomes a voter.
     #[serde(default)]
     pub to: Option<String>,
 }
 
+/// The default duration of a fault, in seconds.
 fn two() -> f64 {
     2.0
 }
 
-/// Processes are `p1` and so on, of which the first vote; who wants leases is `a1` and so on.
+/// A plan. Proxies are named `p1` and so on, and the first of them are the voters; the commands that acquire leases are
+/// named `a1` and so on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
+    /// Number of proxies, with the voters and spares.
     pub processes: usize,
+    /// Number of voters, 3 or 5.
     pub voters: usize,
-    /// Those after the voters that may be given a voter's seat.
+    /// Number of proxies after the voters that may replace a voter.
     pub spares: usize,
-    /// How long nobody wants anything at first, for what links carry when idle.
+    /// How long no process wants a lease at the beginning, to measure the traffic of idle links.
     pub idle_seconds: f64,
+    /// Duration of the run, without the idle period and the recovery after it.
     pub seconds: f64,
+    /// Number of leases.
     pub leases: usize,
-    /// Commands that want each lease at once.
-    pub askers: usize,
+    /// Number of commands that compete for each lease.
+    #[serde(rename = "askers")]
+    pub commands_per_lease: usize,
+    /// Duration of a lease.
     pub lease_seconds: f64,
-    /// How long one act under a lease takes.
-    pub act_ms: u64,
-    /// The stated drift, and how far clocks really are off at the most, in millionths.
+    /// Duration of one action under a lease.
+    #[serde(rename = "act_ms")]
+    pub action_ms: u64,
+    /// The clock drift that the configuration states as a bound, in millionths.
     pub drift_ppm: u64,
-    pub clocks_ppm: i64,
+    /// How far the simulated clocks are off at most, in millionths.
+    #[serde(rename = "clocks_ppm")]
+    pub max_clock_error_ppm: i64,
+    /// Sets the voters' option `cautious`, under which a disk that is set back to an older copy does no harm.
     pub cautious: bool,
-    /// Faults drawn from the seed, beside those that are written out.
-    pub random: usize,
+    /// Number of faults drawn from the seed, in addition to those in `faults`.
+    #[serde(rename = "random")]
+    pub random_faults: usize,
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -107,19 +130,20 @@
             idle_seconds: 0.0,
             seconds: 12.0,
             leases: 2,
-            askers: 2,
+            commands_per_lease: 2,
             lease_seconds: 1.2,
-            act_ms: 80,
+            action_ms: 80,
             drift_ppm: 50_000,
-            clocks_ppm: 40_000,
+            max_clock_error_ppm: 40_000,
             cautious: true,
-            random: 0,
+            random_faults: 0,
             faults: Vec::new(),
         }
     }
 }
 
 impl Plan {
+    /// Reads a plan in TOML. Returns an error where the file can't be read or parsed, or where a value makes no sense.
     pub fn read(path: &Path) -> Result<Plan> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let plan: Plan = toml::from_str(&text).with_context(|| path.display().to_string())?;
@@ -128,23 +152,33 @@
             "voters: expected three or five, found {}",
             plan.voters
         );
-        let may_vote = plan.voters + plan.spares;
-        ensure!(plan.processes >= may_vote, "processes: expected {may_vote} or more");
+        let eligible = plan.voters + plan.spares;
+        ensure!(plan.processes >= eligible, "processes: expected {eligible} or more");
         ensure!((1..=64).contains(&plan.leases), "leases: expected 1 to 64, found {}", plan.leases);
         ensure!(plan.lease_seconds >= 0.5, "lease_seconds: expected 0.5 or more");
         for fault in &plan.faults {
             let end = fault.at + fault.seconds;
-            ensure!(end <= plan.seconds, "fault at {}: ends at {end}, after the play", fault.at);
-            ensure!(plan.names().contains(&fault.who), "fault at {}: nobody is {:?}", fault.at, fault.who);
-            let voter = plan.names()[..plan.voters].contains(&fault.who);
-            let needs = of_disk(fault.kind) || fault.kind == Kind::Full;
-            ensure!(voter || !needs, "fault at {}: {} has no voter's disk", fault.at, fault.who);
+            ensure!(end <= plan.seconds, "fault at {}: ends at {end}, after the run", fault.at);
+            ensure!(
+                plan.process_names().contains(&fault.who),
+                "fault at {}: no process is named {:?}",
+                fault.at,
+                fault.who
+            );
+            let voter = plan.process_names()[..plan.voters].contains(&fault.who);
+            let needs_disk = affects_disk(fault.kind) || fault.kind == Kind::Full;
+            ensure!(
+                voter || !needs_disk,
+                "fault at {}: {} is not a voter and has no voter's disk",
+                fault.at,
+                fault.who
+            );
             if fault.kind == Kind::Replace {
-                let spares = &plan.names()[plan.voters..may_vote];
+                let spares = &plan.process_names()[plan.voters..eligible];
                 let spare = fault.to.as_ref().is_some_and(|to| spares.contains(to));
                 ensure!(
                     voter && spare,
-                    "fault at {}: an exchange wants a voter and, in to, a spare",
+                    "fault at {}: replace needs a voter in who and a spare in to",
                     fault.at
                 );
             }
@@ -152,48 +186,50 @@
         Ok(plan)
     }
 
-    /// All processes that can be hit.
-    pub fn names(&self) -> Vec<String> {
-        let askers = (1..=self.leases * self.askers).map(|number| format!("a{number}"));
-        (1..=self.processes).map(|number| format!("p{number}")).chain(askers).collect()
+    /// The names of all processes that a fault can affect: proxies, then commands.
+    pub fn process_names(&self) -> Vec<String> {
+        let commands = (1..=self.leases * self.commands_per_lease).map(|number| format!("a{number}"));
+        (1..=self.processes).map(|number| format!("p{number}")).chain(commands).collect()
     }
 
-    /// With faults drawn from this seed. One disk of a voter is hit at the most: a second one before the first is taken in
-    /// again is more than a record of three bears. A disk that is set back wants cautious voters, and these wait for a
-    /// person where another voter starts meanwhile: beside it only links are hit.
-    pub fn drawn(&self, seed: u64) -> Plan {
+    /// The plan with faults drawn from this seed. At most one voter's disk is affected: a record of three voters does not
+    /// survive a second damaged disk before the first voter has been readmitted. A disk that is set back needs cautious
+    /// voters. These wait for an operator if another voter restarts meanwhile, so no process is then killed and no
+    /// voter's disk is made full.
+    pub fn with_random_faults(&self, seed: u64) -> Plan {
         let mut plan = self.clone();
-        let mut random = SmallRng::seed_from_u64(seed);
-        let names = plan.names();
-        let mut disks = 0;
-        for _ in 0..plan.random {
-            let kind = *ALL.choose(&mut random).unwrap_or(&Kind::Kill);
-            let last = plan.seconds - 3.0;
-            let at: f64 = random.random_range(0.5..last.max(1.0));
-            let seconds = random.random_range(0.3..(plan.seconds - at - 0.5).clamp(0.4, 3.0));
-            let voter = of_disk(kind) || kind == Kind::Full;
-            disks += usize::from(of_disk(kind));
-            if of_disk(kind) && disks > 1 {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let names = plan.process_names();
+        let mut disk_faults = 0;
+        for _ in 0..plan.random_faults {
+            let kind = *RANDOM_KINDS.choose(&mut rng).unwrap_or(&Kind::Kill);
+            let latest = plan.seconds - 3.0;
+            let at: f64 = rng.random_range(0.5..latest.max(1.0));
+            let seconds = rng.random_range(0.3..(plan.seconds - at - 0.5).clamp(0.4, 3.0));
+            let needs_voter = affects_disk(kind) || kind == Kind::Full;
+            disk_faults += usize::from(affects_disk(kind));
+            if affects_disk(kind) && disk_faults > 1 {
                 continue;
             }
-            let among = if voter { &names[..plan.voters] } else { &names[..] };
-            let Some(who) = among.choose(&mut random).cloned() else { continue };
+            let candidates = if needs_voter { &names[..plan.voters] } else { &names[..] };
+            let Some(who) = candidates.choose(&mut rng).cloned() else { continue };
             let link = matches!(kind, Kind::Drop | Kind::OneWay | Kind::Reset | Kind::HalfOpen | Kind::Cut);
-            let one = link && random.random_bool(0.5);
-            let to = one.then(|| names[..plan.voters].choose(&mut random).cloned()).flatten();
+            let one_link = link && rng.random_bool(0.5);
+            let to = one_link.then(|| names[..plan.voters].choose(&mut rng).cloned()).flatten();
             plan.faults.push(Fault { kind, at, seconds, who, to });
         }
         plan.cautious = plan.faults.iter().any(|fault| fault.kind == Kind::SetBack);
         if plan.cautious {
-            let starts = |kind| matches!(kind, Kind::Kill | Kind::Full);
-            plan.faults.retain(|fault| !starts(fault.kind));
+            let restarts = |kind| matches!(kind, Kind::Kill | Kind::Full);
+            plan.faults.retain(|fault| !restarts(fault.kind));
         }
         plan
     }
 }
 
 impl Fault {
-    pub fn words(&self) -> String {
+    /// The fault as text, with its time, kind, process and duration.
+    pub fn description(&self) -> String {
         let to = self.to.as_ref().map_or(String::new(), |to| format!(" to {to}"));
         let kind = format!("{:?}", self.kind).to_lowercase();
         format!("{:.1} s {kind} {}{to} for {:.1} s", self.at, self.who, self.seconds)
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -1,5 +1,5 @@
-//! One directed link through the rig: who dials is one process, where it leads is another. What it does to what passes can
-//! be changed at any time.
+//! A TCP relay for one directed link between two processes: one process dials the relay, which connects to the other. Its
+//! fault mode can be changed at any time.
 
 use anyhow::Result;
 use std::net::SocketAddr;
@@ -12,64 +12,71 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What happens to what passes.
+/// What a relay does to its connections and the bytes that pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum LinkMode {
+    /// Forwards everything.
     Pass,
-    /// Swallowed, on the way there and on the way back.
-    Drop {
-        there: bool,
-        back: bool,
-    },
+    /// Discards bytes towards the dialed end (`there`), towards the dialing end (`back`), or both.
+    Drop { there: bool, back: bool },
+    /// Resets open connections and closes new ones at once.
     Reset,
+    /// Forwards each chunk after this time.
     Delay(Duration),
+    /// Forwards small chunks with a pause before each.
     Slow,
-    /// Some bytes of what comes next, and then a reset.
+    /// Forwards a few more bytes and then resets the connection.
     Cut,
-    /// The far end is closed, the near end is left as it is.
+    /// Closes the connection at the dialed end and leaves it open at the dialing end.
     HalfOpen,
 }
 
-const CHUNK: usize = 4096;
-/// What still passes of a link that is cut: less than any frame.
-const CUT: usize = 5;
-/// A slow link's bytes and the pause after them.
-const SLOW: usize = 256;
+/// Bytes that are read at once.
+const READ_BYTES: usize = 4096;
+/// Bytes that [`LinkMode::Cut`] still forwards: fewer than any frame has.
+const CUT_AFTER_BYTES: usize = 5;
+/// Bytes per chunk of a slow link.
+const SLOW_CHUNK_BYTES: usize = 256;
+/// The pause of a slow link before each chunk.
 const SLOW_PAUSE: Duration = Duration::from_millis(4);
 
+/// A running relay. It serves connections until the runtime ends.
 pub struct Relay {
+    /// Where the relay listens.
     pub address: SocketAddr,
-    mode: watch::Sender<Mode>,
-    carried: Arc<Carried>,
+    mode: watch::Sender<LinkMode>,
+    traffic: Arc<Traffic>,
 }
 
-/// What has passed, both ways.
+/// Counts what has passed in both directions.
 #[derive(Debug, Default)]
-pub struct Carried {
+pub struct Traffic {
     bytes: AtomicU64,
     frames: AtomicU64,
 }
 
-/// Finds frames in a stream: four bytes of length, then so many.
+/// Counts the frames of a stream. A frame is a length of four bytes followed by that many bytes.
 #[derive(Default)]
-struct Frames {
-    head: Vec<u8>,
-    left: usize,
+struct FrameCounter {
+    /// The bytes of the current length field so far.
+    header: Vec<u8>,
+    /// Bytes left of the current frame's body.
+    body_left: usize,
 }
 
-impl Frames {
-    /// How many begin in these bytes.
-    fn begin_in(&mut self, mut bytes: &[u8]) -> u64 {
+impl FrameCounter {
+    /// How many frame headers end in these bytes.
+    fn count_headers(&mut self, mut bytes: &[u8]) -> u64 {
         let mut count = 0;
         while !bytes.is_empty() {
-            let body = self.left.min(bytes.len());
-            (self.left, bytes) = (self.left - body, &bytes[body..]);
-            let part = bytes.len().min(4 - self.head.len());
-            self.head.extend(&bytes[..part]);
-            bytes = &bytes[part..];
-            if let Some(length) = self.head.first_chunk() {
-                self.left = u32::from_be_bytes(*length) as usize;
-                self.head.clear();
+            let body_bytes = self.body_left.min(bytes.len());
+            (self.body_left, bytes) = (self.body_left - body_bytes, &bytes[body_bytes..]);
+            let header_bytes = bytes.len().min(4 - self.header.len());
+            self.header.extend(&bytes[..header_bytes]);
+            bytes = &bytes[header_bytes..];
+            if let Some(length) = self.header.first_chunk() {
+                self.body_left = u32::from_be_bytes(*length) as usize;
+                self.header.clear();
                 count += 1;
             }
         }
@@ -78,104 +85,113 @@
 }
 
 #[test]
-fn frames_are_found_however_they_are_cut() {
+fn frames_are_counted_for_every_chunk_size() {
     let stream = [0, 0, 0, 2, 7, 7, 0, 0, 0, 0, 0, 0, 0, 1, 9, 0, 0];
     for piece in 1..=stream.len() {
-        let mut frames = Frames::default();
-        let counts = stream.chunks(piece).map(|bytes| frames.begin_in(bytes));
+        let mut frames = FrameCounter::default();
+        let counts = stream.chunks(piece).map(|bytes| frames.count_headers(bytes));
         assert_eq!(counts.sum::<u64>(), 3, "pieces of {piece}");
     }
 }
 
 impl Relay {
+    /// Starts a relay to this address on a free loopback port. Returns an error if it can't listen.
     pub async fn start(to: SocketAddr) -> Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (mode, seen) = watch::channel(Mode::Pass);
-        let carried = Arc::new(Carried::default());
-        let counts = carried.clone();
+        let (mode, mode_watch) = watch::channel(LinkMode::Pass);
+        let traffic = Arc::new(Traffic::default());
+        let counts = traffic.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(link(near, to, seen.clone(), counts.clone()));
+            while let Ok((dialer, _)) = listener.accept().await {
+                tokio::spawn(relay_connection(dialer, to, mode_watch.clone(), counts.clone()));
             }
         });
-        Ok(Relay { address, mode, carried })
+        Ok(Relay { address, mode, traffic })
     }
 
-    /// Bytes and frames that have passed so far.
-    pub fn carried(&self) -> (u64, u64) {
-        (self.carried.bytes.load(Ordering::Relaxed), self.carried.frames.load(Ordering::Relaxed))
+    /// Bytes and frames received so far in both directions, those that were then discarded included.
+    pub fn traffic(&self) -> (u64, u64) {
+        (self.traffic.bytes.load(Ordering::Relaxed), self.traffic.frames.load(Ordering::Relaxed))
     }
 
-    pub fn set(&self, mode: Mode) {
+    /// Sets the mode for open and for new connections.
+    pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn link(near: TcpStream, to: SocketAddr, mode: watch::Receiver<Mode>, carried: Arc<Carried>) {
-    let now = *mode.borrow();
-    if matches!(now, Mode::Reset | Mode::Cut) {
+/// Relays one connection until both directions have ended, or until a mode resets it.
+async fn relay_connection(
+    dialer: TcpStream,
+    to: SocketAddr,
+    mode: watch::Receiver<LinkMode>,
+    traffic: Arc<Traffic>,
+) {
+    let current = *mode.borrow();
+    if matches!(current, LinkMode::Reset | LinkMode::Cut) {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+    let Ok(target) = TcpStream::connect(to).await else { return };
+    let _ = (dialer.set_nodelay(true), target.set_nodelay(true));
+    let ((dialer_in, dialer_out), (target_in, target_out)) = (dialer.into_split(), target.into_split());
     let cut = Arc::new(watch::Sender::new(false));
     let mut changed = mode.clone();
-    let there = pass(near_in, far_out, mode.clone(), true, cut.clone(), &carried);
-    let back = pass(far_in, near_out, mode, false, cut.clone(), &carried);
-    let mut cutting = cut.subscribe();
+    let there = forward(dialer_in, target_out, mode.clone(), true, cut.clone(), &traffic);
+    let back = forward(target_in, dialer_out, mode, false, cut.clone(), &traffic);
+    let mut cut_watch = cut.subscribe();
     tokio::select! {
-        // Both ways, until each is at its end.
+        // Both directions until each has ended.
         _ = async { tokio::join!(there, back) } => {}
-        // Dropped with what has not been read: the ends see a reset.
-        _ = changed.wait_for(|mode| *mode == Mode::Reset) => {}
-        _ = cutting.wait_for(|cut| *cut) => {}
+        // Closing a socket with unread bytes makes the peer see a reset.
+        _ = changed.wait_for(|mode| *mode == LinkMode::Reset) => {}
+        _ = cut_watch.wait_for(|cut| *cut) => {}
     }
 }
 
-async fn pass(
+/// Forwards one direction of a connection, as the mode says.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mode: watch::Receiver<Mode>,
+    mode: watch::Receiver<LinkMode>,
     there: bool,
     cut: Arc<watch::Sender<bool>>,
-    carried: &Carried,
+    traffic: &Traffic,
 ) {
-    let (mut bytes, mut frames) = ([0; CHUNK], Frames::default());
+    let (mut bytes, mut frames) = ([0; READ_BYTES], FrameCounter::default());
     loop {
         let Ok(read @ 1..) = from.read(&mut bytes).await else { return };
         let chunk = &bytes[..read];
-        carried.bytes.fetch_add(read as u64, Ordering::Relaxed);
-        carried.frames.fetch_add(frames.begin_in(chunk), Ordering::Relaxed);
-        let now = *mode.borrow();
-        let sent = match now {
-            Mode::Pass | Mode::Reset => to.write_all(chunk).await,
-            Mode::Drop { there: yes, back } => {
-                if there && yes || !there && back {
+        traffic.bytes.fetch_add(read as u64, Ordering::Relaxed);
+        traffic.frames.fetch_add(frames.count_headers(chunk), Ordering::Relaxed);
+        let current = *mode.borrow();
+        let sent = match current {
+            LinkMode::Pass | LinkMode::Reset => to.write_all(chunk).await,
+            LinkMode::Drop { there: drop_there, back } => {
+                if there && drop_there || !there && back {
                     continue;
                 }
                 to.write_all(chunk).await
             }
-            Mode::Delay(time) => {
+            LinkMode::Delay(time) => {
                 sleep(time).await;
                 to.write_all(chunk).await
             }
-            Mode::Slow => {
+            LinkMode::Slow => {
                 let mut sent = Ok(());
-                for piece in chunk.chunks(SLOW) {
+                for piece in chunk.chunks(SLOW_CHUNK_BYTES) {
                     sleep(SLOW_PAUSE).await;
                     sent = sent.and(to.write_all(piece).await);
                 }
                 sent
             }
-            Mode::Cut => {
-                let _ = to.write_all(&chunk[..read.min(CUT)]).await;
+            LinkMode::Cut => {
+                let _ = to.write_all(&chunk[..read.min(CUT_AFTER_BYTES)]).await;
                 cut.send_replace(true);
                 return;
             }
-            Mode::HalfOpen => {
-                // The far end hears a close; the near one may go on writing into nothing.
+            LinkMode::HalfOpen => {
+                // The dialed end sees a close; what the dialing end writes from now on is discarded.
                 if there {
                     let _ = to.shutdown().await;
                 }
--- a/crates/lab/src/rig/virt.rs
+++ b/crates/lab/src/rig/virt.rs
@@ -1,6 +1,7 @@
-//! The same decisions in virtual time, for fleets larger than a machine holds: voters and askers over links with loss and
-//! delay, clocks that drift within what is stated, voters that crash and come back with their disks, links that are cut,
-//! holders that die. Same plan and seed, same bytes. What processes, sockets and disks add is the rig's to show.
+//! A simulation in virtual time, for fleets larger than a machine holds. It drives the same [`Voter`] and [`LeaseClient`]
+//! code as the proxies do, over links with loss and delay, with clocks that drift within the stated bound, voters that crash
+//! and restart with their disks, and lease holders that die. The same plan and seed give the same result. What processes,
+//! sockets and disks add is tested by the runs on real processes.
 
 use super::plan::Plan;
 use pumicebay_accord::{
@@ -15,199 +16,235 @@
 
 const MILLI: Nanos = 1_000_000;
 const SECOND: f64 = 1e9;
-/// The same as the processes have.
-const ROUND: Nanos = 250 * MILLI;
-const ASK: Nanos = 2_000 * MILLI;
-const PATIENCE: Nanos = 600 * MILLI;
-/// How long a disk takes to sync, and a letter on its way, at the least and at the most.
-const SYNC: Nanos = 2 * MILLI;
-const WAY: (Nanos, Nanos) = (MILLI / 5, 5 * MILLI);
-/// Letters lost while links are bad.
-const LOSS: f64 = 0.2;
+/// Timeouts of the voters, the same as in the proxies.
+const ROUND_TIMEOUT: Nanos = 250 * MILLI;
+const OPERATION_TIMEOUT: Nanos = 2_000 * MILLI;
+/// How long a process waits for an answer before it sends the operation to the next voter.
+const RETRY_INTERVAL: Nanos = 600 * MILLI;
+/// How long a disk takes to sync.
+const DISK_SYNC: Nanos = 2 * MILLI;
+/// The shortest and the longest delay of a message.
+const MESSAGE_DELAY: (Nanos, Nanos) = (MILLI / 5, 5 * MILLI);
+/// The share of messages that are lost while a voter's links are lossy.
+const LOSS_RATE: f64 = 0.2;
 
-/// What came of a play in virtual time.
+/// The result of a simulation.
 #[derive(Debug, Default, Serialize)]
-pub struct Found {
+pub struct SimulationOutcome {
     pub seed: u64,
     pub processes: usize,
+    /// Grants of a lease under a new token.
     pub grants: usize,
+    /// Renewals under the same token.
     pub renewals: usize,
-    /// Two that both could act under one lease, by true time.
+    /// Times that two processes held one lease at once, by true time.
     pub overlaps: usize,
-    /// A token that was held before, or is lower than one that was.
-    pub tokens_wrong: usize,
-    /// Two records settled as one version.
-    pub split: usize,
-    /// Letters and bytes a second, over all links; the bytes are those of the frames.
-    pub letters_per_second: f64,
+    /// Grants whose token was not higher than all earlier ones of the lease.
+    #[serde(rename = "tokens_wrong")]
+    pub tokens_not_increasing: usize,
+    /// Commits of a record that differs from another with the same version.
+    #[serde(rename = "split")]
+    pub conflicting_commits: usize,
+    /// Messages per second over all links.
+    #[serde(rename = "letters_per_second")]
+    pub messages_per_second: f64,
+    /// Bytes per second over all links, counted as frames.
     pub bytes_per_second: f64,
-    /// Of asks that changed the record, from the ask to its answer, in milliseconds.
-    pub settled_ms: Vec<f64>,
-    /// From a holder's death until another holds its lease, in seconds.
+    /// Time from each granted lease operation to its answer, in milliseconds, ascending.
+    #[serde(rename = "settled_ms")]
+    pub latencies_ms: Vec<f64>,
+    /// Time from each holder's death until another process holds its lease, in seconds, ascending.
     pub takeovers: Vec<f64>,
-    /// What that may take without other faults: the lease's time by the clocks of all three, and two ways.
+    /// The longest takeover to expect without other faults, in seconds: the duration of a lease by the clocks of the holder,
+    /// the voter and the next holder, and the way there and back.
     pub bound: f64,
 }
 
 enum Event {
-    Vote(StoreId, StoreId, Message),
-    Ask(usize, Operation),
+    /// A message reaches the first voter from the second.
+    VoterMessage(StoreId, StoreId, Message),
+    /// An operation reaches a voter.
+    Submit(usize, Operation),
+    /// An answer reaches the process that asked.
     Answer(Answer),
-    /// A voter or an asker looks at its clock.
-    Voter(usize),
-    Asker(usize),
-    /// A voter goes down or comes back; links go bad or well again; the holder of a lease dies.
-    Down(usize),
-    Back(usize),
-    Bad(usize, bool),
-    Dies(usize),
-    /// An ask that has not been answered goes to the next voter.
-    Again(usize, u64, usize),
+    /// The timer of a voter fires.
+    VoterTimer(usize),
+    /// The timer of a process's lease client fires.
+    ProcessTimer(usize),
+    /// A voter crashes.
+    VoterCrash(usize),
+    /// A voter restarts with its disk.
+    VoterRestart(usize),
+    /// The links of a voter become lossy, or reliable again.
+    LinkLoss(usize, bool),
+    /// The holder of this lease dies.
+    HolderDeath(usize),
+    /// A process sends the operation with this number to this voter, unless it has been answered.
+    SendOperation(usize, u64, usize),
 }
 
+/// A clock that runs faster or slower than true time by a constant rate, in millionths.
 #[derive(Clone, Copy)]
 struct Clock {
     ppm: i64,
 }
 
 impl Clock {
-    fn local(self, truth: Nanos) -> Nanos {
+    /// What this clock shows at a true time.
+    fn to_local(self, truth: Nanos) -> Nanos {
         (i128::from(truth) * i128::from(1_000_000 + self.ppm) / 1_000_000) as Nanos
     }
 
-    /// When this clock will show that, rounded up.
-    fn truth(self, local: Nanos) -> Nanos {
+    /// The true time at which this clock shows a local time, rounded up.
+    fn to_true(self, local: Nanos) -> Nanos {
         ((i128::from(local) * 1_000_000).div_euclid(i128::from(1_000_000 + self.ppm)) + 1) as Nanos
     }
 }
 
-struct Seat {
+/// A voter's machine: its process, disk, clock and links.
+struct VoterHost {
+    /// `None` while it is down.
     voter: Option<Voter>,
     disk: DurableState,
     clock: Clock,
-    bad: bool,
+    lossy: bool,
 }
 
-struct Asker {
-    who: ProcessId,
-    holding: LeaseClient,
+/// A process that wants a lease.
+struct Process {
+    id: ProcessId,
+    lease_client: LeaseClient,
     clock: Clock,
+    /// The index of the lease that it wants.
     lease: usize,
-    last: u64,
-    good: usize,
-    open: BTreeMap<u64, (Operation, Nanos)>,
+    /// The number of its last operation.
+    last_number: u64,
+    /// The voter to which it last sent an operation.
+    current_voter: usize,
+    /// Operations without an answer, with the times at which they were created.
+    pending: BTreeMap<u64, (Operation, Nanos)>,
     dead: bool,
-    held: Option<u64>,
+    /// The token under which it holds the lease.
+    held_token: Option<u64>,
 }
 
-struct World {
+/// The state of a simulation.
+struct Simulation {
     plan: Plan,
-    random: SmallRng,
+    rng: SmallRng,
+    /// True time.
     now: Nanos,
+    /// Times and numbers of the events to come.
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
-    last: u64,
-    seats: Vec<Seat>,
-    askers: Vec<Asker>,
-    /// Highest token of a lease, who had it, and until when by true time at the most; who died holding it, and when.
+    /// The number of the event that was scheduled last.
+    last_event: u64,
+    hosts: Vec<VoterHost>,
+    processes: Vec<Process>,
+    /// For each lease: its highest token, the process that had it, the latest true time until which that process may act,
+    /// and when a holder died, if no other process has taken the lease over since.
     leases: Vec<(u64, usize, Nanos, Option<Nanos>)>,
+    /// The first committed record of each recent version.
     versions: BTreeMap<u64, SharedRecord>,
-    letters: u64,
+    messages: u64,
     bytes: u64,
-    found: Found,
+    outcome: SimulationOutcome,
 }
 
-/// Plays a plan: its processes all want one of its leases. Faults are drawn from the seed.
-pub fn play(plan: &Plan, seed: u64) -> Found {
-    let mut random = SmallRng::seed_from_u64(seed);
-    let ppm = plan.clocks_ppm;
-    let mut clock = || Clock { ppm: if ppm > 0 { random.random_range(-ppm..=ppm) } else { 0 } };
+/// Simulates a plan whose processes all want one of its leases. All faults are drawn from the seed; those written out in the
+/// plan are not applied.
+pub fn simulate(plan: &Plan, seed: u64) -> SimulationOutcome {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let max_error = plan.max_clock_error_ppm;
+    let mut clock =
+        || Clock { ppm: if max_error > 0 { rng.random_range(-max_error..=max_error) } else { 0 } };
     let members: Vec<Member> =
         (0..plan.voters).map(|at| Member { name: format!("v{at}"), store: at as u64 + 1 }).collect();
-    let terms = VoterConfig {
+    let config = VoterConfig {
         drift_ppm: plan.drift_ppm,
-        round_timeout: ROUND,
-        operation_timeout: ASK,
+        round_timeout: ROUND_TIMEOUT,
+        operation_timeout: OPERATION_TIMEOUT,
         max_pending: 1024,
         eligible_voters: members.iter().map(|member| member.name.clone()).collect(),
         require_extra_confirmation: false,
     };
     let record = Record::bootstrap(1, members.clone());
-    let seats = members.iter().map(|member| {
-        let mut acts = Effects::default();
-        let kept = DurableState::empty("virtual", member.store);
-        let mut voter = Voter::start(0, &member.name, kept, terms.clone(), &mut acts);
-        voter.bootstrap(0, record.clone(), &mut acts);
-        Seat { disk: voter.durable_state().clone(), voter: Some(voter), clock: clock(), bad: false }
+    let hosts = members.iter().map(|member| {
+        let mut effects = Effects::default();
+        let state = DurableState::empty("virtual", member.store);
+        let mut voter = Voter::start(0, &member.name, state, config.clone(), &mut effects);
+        voter.bootstrap(0, record.clone(), &mut effects);
+        VoterHost { disk: voter.durable_state().clone(), voter: Some(voter), clock: clock(), lossy: false }
     });
-    let seats: Vec<Seat> = seats.collect();
+    let hosts: Vec<VoterHost> = hosts.collect();
     let nanos = (plan.lease_seconds * SECOND) as Nanos;
-    let askers = (0..plan.processes).map(|at| {
-        let who = ProcessId { name: format!("p{at}"), incarnation: 1 };
+    let processes = (0..plan.processes).map(|at| {
+        let id = ProcessId { name: format!("p{at}"), incarnation: 1 };
         let lease = at % plan.leases;
-        let holding = LeaseClient::new(0, who.clone(), &format!("lease{lease}"), nanos, plan.drift_ppm);
-        Asker {
-            who,
-            holding,
+        let lease_client = LeaseClient::new(0, id.clone(), &format!("lease{lease}"), nanos, plan.drift_ppm);
+        Process {
+            id,
+            lease_client,
             clock: clock(),
             lease,
-            last: 0,
-            good: 0,
-            open: BTreeMap::new(),
+            last_number: 0,
+            current_voter: 0,
+            pending: BTreeMap::new(),
             dead: false,
-            held: None,
+            held_token: None,
         }
     });
-    let askers: Vec<Asker> = askers.collect();
+    let processes: Vec<Process> = processes.collect();
     let drift = plan.drift_ppm as f64 / 1e6;
-    // The voter waits by a clock that may be slow, the asker comes back by one that may be too.
+    // The voter waits for the lease's end by a clock that may be slow, and so may be the clock by which the next process retries.
     let bound =
         plan.lease_seconds * ((1.0 + drift) / (1.0 - drift)).powi(2) + plan.lease_seconds / 12.0 + 0.1;
-    let mut world = World {
+    let mut simulation = Simulation {
         plan: plan.clone(),
-        random,
+        rng,
         now: 0,
         queue: BinaryHeap::new(),
         events: BTreeMap::new(),
-        last: 0,
-        seats,
-        askers,
+        last_event: 0,
+        hosts,
+        processes,
         leases: vec![(0, usize::MAX, 0, None); plan.leases],
         versions: BTreeMap::new(),
-        letters: 0,
+        messages: 0,
         bytes: 0,
-        found: Found { seed, processes: plan.processes, bound, ..Found::default() },
+        outcome: SimulationOutcome { seed, processes: plan.processes, bound, ..SimulationOutcome::default() },
     };
-    world.run();
-    world.found
+    simulation.run();
+    simulation.outcome
 }
 
-impl World {
+impl Simulation {
+    /// Schedules the first timers and the faults, and handles events until the end of the run.
     fn run(&mut self) {
         let end = (self.plan.seconds * SECOND) as Nanos;
-        for at in 0..self.askers.len() {
-            let first = self.random.random_range(0..500 * MILLI);
-            self.at(first, Event::Asker(at));
+        for at in 0..self.processes.len() {
+            let first = self.rng.random_range(0..500 * MILLI);
+            self.schedule(first, Event::ProcessTimer(at));
         }
-        for at in 0..self.seats.len() {
-            self.at(500 * MILLI, Event::Voter(at));
+        for at in 0..self.hosts.len() {
+            self.schedule(500 * MILLI, Event::VoterTimer(at));
         }
-        for _ in 0..self.plan.random {
-            let begin = self.random.random_range(SECOND as Nanos..end.max(2 * SECOND as Nanos));
-            let over = begin + self.random.random_range(300 * MILLI..4_000 * MILLI);
-            let voter = self.random.random_range(0..self.seats.len());
-            match self.random.random_range(0..3) {
+        for _ in 0..self.plan.random_faults {
+            let begin = self.rng.random_range(SECOND as Nanos..end.max(2 * SECOND as Nanos));
+            let end_of_fault = begin + self.rng.random_range(300 * MILLI..4_000 * MILLI);
+            let voter = self.rng.random_range(0..self.hosts.len());
+            match self.rng.random_range(0..3) {
                 0 => {
-                    self.at(begin, Event::Down(voter));
-                    self.at(over, Event::Back(voter));
+                    self.schedule(begin, Event::VoterCrash(voter));
+                    self.schedule(end_of_fault, Event::VoterRestart(voter));
                 }
                 1 => {
-                    self.at(begin, Event::Bad(voter, true));
-                    self.at(over, Event::Bad(voter, false));
+                    self.schedule(begin, Event::LinkLoss(voter, true));
+                    self.schedule(end_of_fault, Event::LinkLoss(voter, false));
                 }
                 _ => {
-                    let lease = self.random.random_range(0..self.plan.leases);
-                    self.at(begin, Event::Dies(lease));
+                    let lease = self.rng.random_range(0..self.plan.leases);
+                    self.schedule(begin, Event::HolderDeath(lease));
                 }
             }
         }
@@ -217,222 +254,240 @@
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.happens(event);
+                self.handle(event);
             }
         }
         let seconds = self.plan.seconds;
-        self.found.letters_per_second = self.letters as f64 / seconds;
-        self.found.bytes_per_second = self.bytes as f64 / seconds;
-        self.found.settled_ms.sort_by(f64::total_cmp);
-        self.found.takeovers.sort_by(f64::total_cmp);
+        self.outcome.messages_per_second = self.messages as f64 / seconds;
+        self.outcome.bytes_per_second = self.bytes as f64 / seconds;
+        self.outcome.latencies_ms.sort_by(f64::total_cmp);
+        self.outcome.takeovers.sort_by(f64::total_cmp);
     }
 
-    fn at(&mut self, at: Nanos, event: Event) {
-        self.last += 1;
-        self.events.insert(self.last, event);
-        self.queue.push(Reverse((at, self.last)));
+    /// Schedules an event for a true time.
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_event += 1;
+        self.events.insert(self.last_event, event);
+        self.queue.push(Reverse((at, self.last_event)));
     }
 
-    /// A letter on its way to or from a voter, or lost there.
-    fn letter(&mut self, voter: usize, size: usize, later: Nanos, event: Event) {
-        self.letters += 1;
-        self.bytes += size as u64 + 4;
-        if self.seats[voter].bad && self.random.random_bool(LOSS) {
+    /// Sends a message over a voter's link after a delay; it may be lost there.
+    fn send_message(&mut self, voter: usize, encoded_size: usize, after: Nanos, event: Event) {
+        self.messages += 1;
+        self.bytes += encoded_size as u64 + 4;
+        if self.hosts[voter].lossy && self.rng.random_bool(LOSS_RATE) {
             return;
         }
-        let way = self.random.random_range(WAY.0..WAY.1);
-        self.at(self.now + later + way, event);
+        let delay = self.rng.random_range(MESSAGE_DELAY.0..MESSAGE_DELAY.1);
+        self.schedule(self.now + after + delay, event);
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Vote(to, from, message) => {
-                self.act(to as usize - 1, |voter, now, acts| {
-                    voter.message_received(now, from, message, acts)
+            Event::VoterMessage(to, from, message) => {
+                self.call_voter(to as usize - 1, |voter, now, effects| {
+                    voter.message_received(now, from, message, effects)
                 });
             }
-            Event::Ask(to, ask) => self.act(to, |voter, now, acts| voter.submit(now, ask, acts)),
-            Event::Voter(at) => self.act(at, |voter, now, acts| voter.timer_fired(now, acts)),
-            Event::Answer(answer) => self.answered(&answer),
-            Event::Asker(at) => self.asker(at),
-            Event::Again(at, number, to) => self.again(at, number, to),
-            Event::Down(at) => self.seats[at].voter = None,
-            Event::Back(at) => self.back(at),
-            Event::Bad(at, bad) => self.seats[at].bad = bad,
-            Event::Dies(lease) => {
+            Event::Submit(to, operation) => {
+                self.call_voter(to, |voter, now, effects| voter.submit(now, operation, effects))
+            }
+            Event::VoterTimer(at) => {
+                self.call_voter(at, |voter, now, effects| voter.timer_fired(now, effects))
+            }
+            Event::Answer(answer) => self.handle_answer(&answer),
+            Event::ProcessTimer(at) => self.run_process(at),
+            Event::SendOperation(at, number, to) => self.send_operation(at, number, to),
+            Event::VoterCrash(at) => self.hosts[at].voter = None,
+            Event::VoterRestart(at) => self.restart_voter(at),
+            Event::LinkLoss(at, lossy) => self.hosts[at].lossy = lossy,
+            Event::HolderDeath(lease) => {
                 let now = self.now;
-                let holds = |asker: &&mut Asker| asker.lease == lease && asker.held.is_some() && !asker.dead;
-                if let Some(asker) = self.askers.iter_mut().find(holds) {
-                    asker.dead = true;
+                let holds = |process: &&mut Process| {
+                    process.lease == lease && process.held_token.is_some() && !process.dead
+                };
+                if let Some(process) = self.processes.iter_mut().find(holds) {
+                    process.dead = true;
                     self.leases[lease].3 = Some(now);
                 }
             }
         }
     }
 
-    fn back(&mut self, at: usize) {
-        if self.seats[at].voter.is_some() {
+    /// Restarts a voter with its disk and the configuration of one that is up.
+    fn restart_voter(&mut self, at: usize) {
+        if self.hosts[at].voter.is_some() {
             return;
         }
-        let Some(terms) =
-            self.seats.iter().find_map(|seat| seat.voter.as_ref()).map(|voter| voter.config().clone())
+        let Some(config) =
+            self.hosts.iter().find_map(|host| host.voter.as_ref()).map(|voter| voter.config().clone())
         else {
-            // All are down: this one waits for another, as a play can't end without.
-            return self.at(self.now + SECOND as Nanos, Event::Back(at));
+            // All voters are down. The configuration has to come from another one, so this restart is put off.
+            return self.schedule(self.now + SECOND as Nanos, Event::VoterRestart(at));
         };
-        let (now, disk) = (self.seats[at].clock.local(self.now), self.seats[at].disk.clone());
-        let mut acts = Effects::default();
-        let mut voter = Voter::start(now, &format!("v{at}"), disk, terms, &mut acts);
-        // The links that come up say hello.
-        for other in self.seats.iter().filter_map(|seat| seat.voter.as_ref()) {
-            let kept = other.durable_state();
+        let (now, disk) = (self.hosts[at].clock.to_local(self.now), self.hosts[at].disk.clone());
+        let mut effects = Effects::default();
+        let mut voter = Voter::start(now, &format!("v{at}"), disk, config, &mut effects);
+        // On each new link both ends exchange hello messages; here the restarted voter receives the others'.
+        for other in self.hosts.iter().filter_map(|host| host.voter.as_ref()) {
+            let state = other.durable_state();
             voter.hello_received(
                 now,
-                kept.store,
-                kept.write_count,
+                state.store,
+                state.write_count,
                 other.known_write_count(voter.durable_state().store),
-                &mut acts,
+                &mut effects,
             );
         }
-        self.seats[at].disk = voter.durable_state().clone();
-        self.seats[at].voter = Some(voter);
-        self.at(self.now + MILLI, Event::Voter(at));
+        self.hosts[at].disk = voter.durable_state().clone();
+        self.hosts[at].voter = Some(voter);
+        self.schedule(self.now + MILLI, Event::VoterTimer(at));
     }
 
-    fn act(&mut self, at: usize, what: impl FnOnce(&mut Voter, Nanos, &mut Effects)) {
-        let random = self.random.random_range(0.0..1.0);
-        let seat = &mut self.seats[at];
-        let now = seat.clock.local(self.now);
-        let Some(voter) = &mut seat.voter else { return };
+    /// Calls a voter that is up and carries out the effects: writes its disk, sets its timer, sends messages and answers.
+    fn call_voter(&mut self, at: usize, call: impl FnOnce(&mut Voter, Nanos, &mut Effects)) {
+        let random = self.rng.random_range(0.0..1.0);
+        let host = &mut self.hosts[at];
+        let now = host.clock.to_local(self.now);
+        let Some(voter) = &mut host.voter else { return };
         let own = voter.durable_state().store;
-        let mut acts = Effects { random, ..Effects::default() };
-        what(voter, now, &mut acts);
-        acts.deliver_to_self(now, voter);
-        let later = if acts.to_persist.is_empty() { 0 } else { SYNC };
-        if let Some(kept) = acts.to_persist.pop() {
-            seat.disk = kept;
+        let mut effects = Effects { random, ..Effects::default() };
+        call(voter, now, &mut effects);
+        effects.deliver_to_self(now, voter);
+        let after = if effects.to_persist.is_empty() { 0 } else { DISK_SYNC };
+        if let Some(state) = effects.to_persist.pop() {
+            host.disk = state;
         }
-        if let Some(wake) = acts.wake_at {
-            let wake = seat.clock.truth(wake).max(self.now + MILLI / 10);
-            self.at(wake, Event::Voter(at));
+        if let Some(wake) = effects.wake_at {
+            let wake = host.clock.to_true(wake).max(self.now + MILLI / 10);
+            self.schedule(wake, Event::VoterTimer(at));
         }
-        for record in acts.committed {
+        for record in effects.committed {
             let version = record.0.version;
             let first = self.versions.entry(version).or_insert_with(|| record.clone());
-            self.found.split += usize::from(*first != record);
+            self.outcome.conflicting_commits += usize::from(*first != record);
             while self.versions.len() > 1000 {
                 self.versions.pop_first();
             }
         }
-        for (to, message) in acts.messages {
-            let size = size(&message);
-            // Bad links of either end lose it.
-            let voter = if self.seats[at].bad { at } else { to as usize - 1 };
-            self.letter(voter, size, later, Event::Vote(to, own, message));
+        for (to, message) in effects.messages {
+            let encoded_size = encoded_size(&message);
+            // The message may be lost by the links of either end.
+            let voter = if self.hosts[at].lossy { at } else { to as usize - 1 };
+            self.send_message(voter, encoded_size, after, Event::VoterMessage(to, own, message));
         }
-        for answer in acts.answers {
-            self.letter(at, size(&answer), later, Event::Answer(answer));
+        for answer in effects.answers {
+            self.send_message(at, encoded_size(&answer), after, Event::Answer(answer));
         }
     }
 
-    fn asker(&mut self, at: usize) {
-        let asker = &mut self.askers[at];
-        if asker.dead {
+    /// Lets a process's lease client submit its next operation, and schedules its next timer.
+    fn run_process(&mut self, at: usize) {
+        let process = &mut self.processes[at];
+        if process.dead {
             return;
         }
-        let now = asker.clock.local(self.now);
-        asker.last += 1;
-        let (number, to) = (asker.last, asker.good);
-        if let Some(ask) = asker.holding.next_operation(now, number) {
-            asker.open.insert(number, (ask, self.now));
-            self.again(at, number, to);
+        let now = process.clock.to_local(self.now);
+        process.last_number += 1;
+        let (number, to) = (process.last_number, process.current_voter);
+        if let Some(operation) = process.lease_client.next_operation(now, number) {
+            process.pending.insert(number, (operation, self.now));
+            self.send_operation(at, number, to);
         }
-        let asker = &self.askers[at];
-        let due = asker.clock.truth(asker.holding.wake_at()).max(self.now + MILLI);
-        self.at(due, Event::Asker(at));
+        let process = &self.processes[at];
+        let due = process.clock.to_true(process.lease_client.wake_at()).max(self.now + MILLI);
+        self.schedule(due, Event::ProcessTimer(at));
     }
 
-    fn again(&mut self, at: usize, number: u64, to: usize) {
-        let patience = (self.plan.lease_seconds * SECOND / 2.0) as Nanos;
-        let asker = &mut self.askers[at];
-        let Some((ask, asked)) = asker.open.get(&number) else { return };
-        if self.now - asked > patience || asker.dead {
-            asker.open.remove(&number);
+    /// Sends an operation to a voter and schedules the retry at the next one, unless it was answered or is too old.
+    fn send_operation(&mut self, at: usize, number: u64, to: usize) {
+        let give_up_after = (self.plan.lease_seconds * SECOND / 2.0) as Nanos;
+        let process = &mut self.processes[at];
+        let Some((operation, created)) = process.pending.get(&number) else { return };
+        if self.now - created > give_up_after || process.dead {
+            process.pending.remove(&number);
             return;
         }
-        let ask = ask.clone();
-        asker.good = to;
-        self.letter(to, size(&ask), 0, Event::Ask(to, ask));
-        let next = (to + 1) % self.seats.len();
-        self.at(self.now + PATIENCE, Event::Again(at, number, next));
+        let operation = operation.clone();
+        process.current_voter = to;
+        self.send_message(to, encoded_size(&operation), 0, Event::Submit(to, operation));
+        let next = (to + 1) % self.hosts.len();
+        self.schedule(self.now + RETRY_INTERVAL, Event::SendOperation(at, number, next));
     }
 
-    fn answered(&mut self, answer: &Answer) {
-        let Some(at) = self.askers.iter().position(|asker| asker.who == answer.id.process) else { return };
-        let asker = &mut self.askers[at];
-        if asker.dead || matches!(answer.reply, Reply::Busy | Reply::Unknown) {
+    /// Gives an answer to the lease client that asked, and checks the lease that it then holds.
+    fn handle_answer(&mut self, answer: &Answer) {
+        let Some(at) = self.processes.iter().position(|process| process.id == answer.id.process) else {
+            return;
+        };
+        let process = &mut self.processes[at];
+        if process.dead || matches!(answer.reply, Reply::Busy | Reply::Unknown) {
             return;
         }
-        let Some((_, asked)) = asker.open.remove(&answer.id.number) else { return };
-        let now = asker.clock.local(self.now);
-        asker.holding.answer_received(now, answer.id.number, &answer.reply);
+        let Some((_, created)) = process.pending.remove(&answer.id.number) else { return };
+        let now = process.clock.to_local(self.now);
+        process.lease_client.answer_received(now, answer.id.number, &answer.reply);
         if matches!(answer.reply, Reply::Granted(_)) {
-            self.found.settled_ms.push((self.now - asked) as f64 / MILLI as f64);
+            self.outcome.latencies_ms.push((self.now - created) as f64 / MILLI as f64);
         }
-        let (lease, held) = (asker.lease, asker.holding.held());
-        let until = held.map(|held| (held.token, asker.clock.truth(held.valid_until)));
-        let was = std::mem::replace(&mut asker.held, held.map(|held| held.token));
+        let (lease, held) = (process.lease, process.lease_client.held());
+        let until = held.map(|held| (held.token, process.clock.to_true(held.valid_until)));
+        let previous_token = std::mem::replace(&mut process.held_token, held.map(|held| held.token));
         if let Some((token, until)) = until {
-            let (highest, who, before, died) = &mut self.leases[lease];
-            if was == Some(token) {
-                self.found.renewals += 1;
-                *before = until;
+            let (highest, holder, held_until, died) = &mut self.leases[lease];
+            if previous_token == Some(token) {
+                self.outcome.renewals += 1;
+                *held_until = until;
             } else {
-                self.found.grants += 1;
-                self.found.overlaps += usize::from(*who != at && *before > self.now);
-                self.found.tokens_wrong += usize::from(token <= *highest);
+                self.outcome.grants += 1;
+                self.outcome.overlaps += usize::from(*holder != at && *held_until > self.now);
+                self.outcome.tokens_not_increasing += usize::from(token <= *highest);
                 if let Some(died) = died.take() {
-                    self.found.takeovers.push((self.now - died) as f64 / SECOND);
+                    self.outcome.takeovers.push((self.now - died) as f64 / SECOND);
                 }
-                (*highest, *who, *before) = (token, at, until);
+                (*highest, *holder, *held_until) = (token, at, until);
             }
         }
-        let due = self.askers[at].clock.truth(self.askers[at].holding.wake_at()).max(self.now + MILLI);
-        self.at(due, Event::Asker(at));
+        let due =
+            self.processes[at].clock.to_true(self.processes[at].lease_client.wake_at()).max(self.now + MILLI);
+        self.schedule(due, Event::ProcessTimer(at));
     }
 }
 
-fn size(what: &impl Serialize) -> usize {
-    postcard::experimental::serialized_size(what).unwrap_or(0)
+/// Size of a message in a frame, in bytes.
+fn encoded_size(message: &impl Serialize) -> usize {
+    postcard::experimental::serialized_size(message).unwrap_or(0)
 }
 
-impl Found {
+impl SimulationOutcome {
+    /// The result as one line of text.
     pub fn summary(&self) -> String {
-        let of =
+        let percentile =
             |all: &[f64], part: f64| all.get((all.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN);
         let longest = self.takeovers.last().copied().unwrap_or(f64::NAN);
         format!(
-            "seed {} (virtual): {} processes, {} grants, {} renewals, {} overlaps, {} tokens wrong, {} splits, settled in \
-             {:.1} ms, 99 in 100 in {:.1}; {} takeovers, {:.2} s, longest {longest:.2}, bound {:.2} without other faults; \
-             {:.0} letters and {:.1} KB a second\n",
+            "seed {} (virtual): {} processes, {} grants, {} renewals, {} overlaps, {} tokens not increasing, {} conflicting \
+             commits, latency median {:.1} ms and 99th percentile {:.1} ms; {} takeovers, median {:.2} s, longest {longest:.2} s, \
+             bound {:.2} s without other faults; {:.0} messages/s and {:.1} KB/s\n",
             self.seed,
             self.processes,
             self.grants,
             self.renewals,
             self.overlaps,
-            self.tokens_wrong,
-            self.split,
-            of(&self.settled_ms, 0.5),
-            of(&self.settled_ms, 0.99),
+            self.tokens_not_increasing,
+            self.conflicting_commits,
+            percentile(&self.latencies_ms, 0.5),
+            percentile(&self.latencies_ms, 0.99),
             self.takeovers.len(),
-            of(&self.takeovers, 0.5),
+            percentile(&self.takeovers, 0.5),
             self.bound,
-            self.letters_per_second,
+            self.messages_per_second,
             self.bytes_per_second / 1e3,
         )
     }
 
-    pub fn wrong(&self) -> usize {
-        self.overlaps + self.tokens_wrong + self.split
+    /// The number of violations of all kinds.
+    pub fn violations(&self) -> usize {
+        self.overlaps + self.tokens_not_increasing + self.conflicting_commits
     }
 }
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -4,8 +4,8 @@
 
 use super::plan::Plan;
 use crate::operator;
-use crate::rig::procs::Home;
-use crate::rig::relay::{Mode, Relay};
+use crate::rig::processes::LoopbackAddresses;
+use crate::rig::relay::{LinkMode, Relay};
 use anyhow::{Context, Result, ensure};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -325,7 +325,7 @@
         let operator = folder.path().join("operator.json");
         let seen = Arc::new(Mutex::new(Seen::default()));
         let play = Play { program: program.into(), operator, sites: plan.sites, folder, seen };
-        let (who, mut home) = (Who::of(plan), Home::new());
+        let (who, mut home) = (Who::of(plan), LoopbackAddresses::new());
         let mut at = BTreeMap::new();
         for name in who.control.iter().chain(who.relays.iter().flatten()) {
             at.insert(name.clone(), home.next());
@@ -419,9 +419,9 @@
                 }
             }
             Kind::StopRelay => self.signal(who, Signal::SIGSTOP),
-            Kind::Drop => self.links(who, Mode::Drop { there: true, back: true }),
-            Kind::Delay(millis) => self.links(who, Mode::Delay(Duration::from_millis(millis))),
-            Kind::Reset => self.links(who, Mode::Reset),
+            Kind::Drop => self.links(who, LinkMode::Drop { there: true, back: true }),
+            Kind::Delay(millis) => self.links(who, LinkMode::Delay(Duration::from_millis(millis))),
+            Kind::Reset => self.links(who, LinkMode::Reset),
         }
         Ok(())
     }
@@ -435,7 +435,7 @@
                 }
             }
             Kind::StopRelay => self.signal(who, Signal::SIGCONT),
-            _ => self.links(who, Mode::Pass),
+            _ => self.links(who, LinkMode::Pass),
         }
         Ok(())
     }
@@ -449,10 +449,10 @@
     }
 
     /// Those that it dials, and those that others dial to it.
-    fn links(&self, who: &str, mode: Mode) {
+    fn links(&self, who: &str, mode: LinkMode) {
         for (name, proc) in &self.seen().procs {
             for (_, relay) in proc.relays.iter().filter(|(parent, _)| name == who || *parent == who) {
-                relay.set(mode);
+                relay.set_mode(mode);
             }
         }
     }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,9 +1,9 @@
-//! The page on the size in two years holds the tables that its slopes give, and a file of slopes that is not sound is
-//! refused by the name of what is wrong.
+//! The page on the target size holds the tables generated from the file of slopes, an invalid file is rejected with an error that
+//! names what is wrong, and the measurements work on small sizes.
 
 use pumicebay_lab::capacity::fit::Line;
-use pumicebay_lab::capacity::slopes::{File, TARGET};
-use pumicebay_lab::capacity::{self, PAGE, SLOPES, tables};
+use pumicebay_lab::capacity::slopes::{SlopesFile, TARGET_FIGURES};
+use pumicebay_lab::capacity::{self, PAGE_PATH, SLOPES_PATH, tables};
 use pumicebay_lab::rig::Programs;
 use serde_json::{Value as Json, json};
 use std::path::{Path, PathBuf};
@@ -15,27 +15,28 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
+/// The repository's file of slopes.
 fn shipped() -> Json {
-    let text = std::fs::read_to_string(root().join(SLOPES)).expect("the slopes");
+    let text = std::fs::read_to_string(root().join(SLOPES_PATH)).expect("the slopes");
     serde_json::from_str(&text).expect("JSON")
 }
 
-/// What a file is refused for.
-fn refused(json: &Json) -> String {
-    format!("{:#}", File::parse(&json.to_string()).expect_err("a file that is not sound was taken"))
+/// The error with which a file is rejected.
+fn rejection(json: &Json) -> String {
+    format!("{:#}", SlopesFile::parse(&json.to_string()).expect_err("an invalid file was accepted"))
 }
 
 #[test]
-fn page_holds_what_the_slopes_give() {
-    let file = File::read(&root().join(SLOPES)).expect("sound slopes");
-    capacity::check(&root().join(PAGE), &file)
+fn page_holds_the_generated_tables() {
+    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("sound slopes");
+    capacity::check_page(&root().join(PAGE_PATH), &file)
         .expect("page and slopes differ: run pumicebay-lab capacity --page docs/CAPACITY.md");
 }
 
 #[test]
-fn a_page_that_differs_is_named_by_its_line() {
+fn a_page_that_differs_is_rejected_with_the_line() {
     let folder = tempfile::tempdir().expect("a folder");
-    let page = std::fs::read_to_string(root().join(PAGE)).expect("the page");
+    let page = std::fs::read_to_string(root().join(PAGE_PATH)).expect("the page");
     let other = page.replacen("| nodes | 7,200 |", "| nodes | 7,201 |", 1);
     assert_ne!(page, other, "the page has no such line");
     let path = folder.path().join("page.md");
@@ -46,58 +47,59 @@
         .arg(&path)
         .output()
         .expect("the lab");
-    let said = String::from_utf8_lossy(&run.stderr);
-    assert_eq!(run.status.code(), Some(2), "{said}");
-    assert!(said.contains("7,201") && said.contains("7,200") && said.contains("line "), "{said}");
+    let stderr = String::from_utf8_lossy(&run.stderr);
+    assert_eq!(run.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("7,201") && stderr.contains("7,200") && stderr.contains("line "), "{stderr}");
     let run = Command::new(LAB).current_dir(root()).args(["capacity", "--check"]).output().expect("the lab");
     assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
 }
 
 #[test]
-fn a_page_without_a_marker_is_refused() {
-    let file = File::read(&root().join(SLOPES)).expect("sound slopes");
-    let page = std::fs::read_to_string(root().join(PAGE)).expect("the page");
+fn a_page_without_a_marker_is_rejected() {
+    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("sound slopes");
+    let page = std::fs::read_to_string(root().join(PAGE_PATH)).expect("the page");
     for (name, _) in tables::all(&file) {
         let without = page.replace(&format!("<!-- table: {name} -->"), "");
-        let error = capacity::page(&without, &file).expect_err("a page without a table");
+        let error = capacity::update_page(&without, &file).expect_err("a page without a table");
         assert!(format!("{error:#}").contains(&format!("table: {name}")), "{error:#}");
     }
-    let error = capacity::page(&page.replace("<!-- end of table -->", ""), &file).expect_err("no ends");
+    let error =
+        capacity::update_page(&page.replace("<!-- end of table -->", ""), &file).expect_err("no ends");
     assert!(format!("{error:#}").contains("end of table"), "{error:#}");
 }
 
-/// Every key of the file is needed, and no other is taken.
+/// A key that was left out or misspelt must not pass unnoticed: every key is required and no other is accepted.
 #[test]
 fn missing_and_unknown_keys_are_named() {
     let good = shipped();
-    File::parse(&good.to_string()).expect("sound slopes");
-    for name in TARGET {
+    SlopesFile::parse(&good.to_string()).expect("sound slopes");
+    for name in TARGET_FIGURES {
         let mut json = good.clone();
         json["target"].as_object_mut().expect("target").remove(*name);
-        assert!(refused(&json).contains(&format!("target.{name}: missing")), "{}", refused(&json));
+        assert!(rejection(&json).contains(&format!("target.{name}: missing")), "{}", rejection(&json));
     }
     let slope = good["slopes"][0].as_object().expect("a slope").clone();
     assert_eq!(slope.len(), 12, "keys of a slope: {:?}", slope.keys());
     for name in slope.keys() {
         let mut json = good.clone();
         json["slopes"][0].as_object_mut().expect("a slope").remove(name);
-        assert!(refused(&json).contains(&format!("missing field `{name}`")), "{}", refused(&json));
+        assert!(rejection(&json).contains(&format!("missing field `{name}`")), "{}", rejection(&json));
     }
     for place in ["", "/target", "/slopes/0"] {
         let mut json = good.clone();
         json.pointer_mut(place).expect("a place")["horses"] = json!(1);
-        assert!(refused(&json).contains("horses"), "{}", refused(&json));
+        assert!(rejection(&json).contains("horses"), "{}", rejection(&json));
     }
     for name in ["target", "slopes"] {
         let mut json = good.clone();
         json.as_object_mut().expect("a file").remove(name);
-        assert!(refused(&json).contains(name), "{}", refused(&json));
+        assert!(rejection(&json).contains(name), "{}", rejection(&json));
     }
-    assert!(File::parse("{").is_err(), "half a file was taken");
+    assert!(SlopesFile::parse("{").is_err(), "a truncated file was accepted");
 }
 
 #[test]
-fn absurd_values_are_named() {
+fn implausible_values_are_named() {
     let cases = [
         ("/target/nodes", json!(0), "target.nodes: expected more than 0"),
         ("/target/objects", json!(1e13), "target.objects: expected more than 0 and at most 1e12"),
@@ -127,7 +129,7 @@
     for (place, value, wanted) in cases {
         let mut json = shipped();
         *json.pointer_mut(place).expect("a place") = value.clone();
-        let error = refused(&json);
+        let error = rejection(&json);
         assert!(error.contains(wanted), "{place} {value}: {error}");
         if place.starts_with("/slopes/0/") && !error.contains(" at line ") && !place.ends_with("/name") {
             assert!(error.starts_with("slopes[0], "), "{place}: the slope is not named: {error}");
@@ -135,37 +137,37 @@
     }
     let mut json = shipped();
     json["slopes"][1]["name"] = json["slopes"][0]["name"].clone();
-    assert!(refused(&json).contains("is there twice"), "{}", refused(&json));
+    assert!(rejection(&json).contains("is there twice"), "{}", rejection(&json));
 }
 
 #[test]
-fn too_few_points_and_too_short_a_span_are_refused() {
+fn too_few_points_and_too_short_a_span_are_rejected() {
     let with = |points: Json| {
         let mut json = shipped();
         json["slopes"][0]["points"] = points;
         json
     };
-    File::parse(&with(json!([[1, 1], [5, 5], [20, 20], [100, 100]])).to_string()).expect("enough");
-    let three = refused(&with(json!([[1, 1], [10, 5], [100, 20]])));
+    SlopesFile::parse(&with(json!([[1, 1], [5, 5], [20, 20], [100, 100]])).to_string()).expect("enough");
+    let three = rejection(&with(json!([[1, 1], [10, 5], [100, 20]])));
     assert!(three.contains("points: expected 4 or more with different x above 0, found 3"), "{three}");
-    // Neither the same x again nor none at all is one more.
+    // Neither a repeated x nor x = 0 counts as another point.
     for more in [json!([100, 21]), json!([0, 0])] {
-        let error = refused(&with(json!([[1, 1], [10, 5], [100, 20], more])));
+        let error = rejection(&with(json!([[1, 1], [10, 5], [100, 20], more])));
         assert!(error.contains("found 3"), "{error}");
     }
-    let short = refused(&with(json!([[0, 0], [1, 1], [5, 5], [20, 20], [99, 99]])));
+    let short = rejection(&with(json!([[0, 0], [1, 1], [5, 5], [20, 20], [99, 99]])));
     assert!(short.contains("points: expected two decades of x or more, found 1 to 99"), "{short}");
 }
 
 #[test]
 fn a_line_and_its_verdict() {
-    let line = Line::through(&[(0.0, 5.0), (10.0, 25.0), (100.0, 205.0)]).expect("a line");
+    let line = Line::fit(&[(0.0, 5.0), (10.0, 25.0), (100.0, 205.0)]).expect("a line");
     assert!((line.intercept - 5.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9, "{line:?}");
-    assert!(line.residual < 1e-9 && (line.at(1000.0) - 2005.0).abs() < 1e-6, "{line:?}");
-    let off = Line::through(&[(0.0, 1.0), (0.0, 3.0), (2.0, 1.0), (2.0, 3.0)]).expect("a line");
+    assert!(line.residual < 1e-9 && (line.value_at(1000.0) - 2005.0).abs() < 1e-6, "{line:?}");
+    let off = Line::fit(&[(0.0, 1.0), (0.0, 3.0), (2.0, 1.0), (2.0, 3.0)]).expect("a line");
     assert!((off.residual - 1.0).abs() < 1e-9 && off.slope.abs() < 1e-9, "{off:?}");
-    assert_eq!(Line::through(&[(1.0, 1.0), (1.0, 2.0)]), None);
-    assert_eq!(Line::through(&[]), None);
+    assert_eq!(Line::fit(&[(1.0, 1.0), (1.0, 2.0)]), None);
+    assert_eq!(Line::fit(&[]), None);
     assert_eq!(tables::verdict(10.0, 0.0, Some(10.0)), "undecided");
     assert_eq!(tables::verdict(9.0, 0.5, Some(10.0)), "fits");
     assert_eq!(tables::verdict(11.0, 0.5, Some(10.0)), "**does not**");
@@ -173,10 +175,10 @@
     assert_eq!(tables::verdict(11.0, 1.5, None), "no limit stated");
 }
 
-/// What lies far beyond the last point is not said without a condition.
+/// A verdict far beyond the last measured point must say that it depends on the extrapolation.
 #[test]
-fn a_verdict_far_out_hangs_on_the_line() {
-    let far = |times: f64| {
+fn a_verdict_far_beyond_the_points_is_conditional() {
+    let verdicts_at = |times: f64| {
         let mut json = shipped();
         let nodes = json["target"]["nodes"].as_f64().expect("nodes") / times;
         let points = [1.0, 0.3, 0.1, 0.01].map(|part| json!([nodes * part, part]));
@@ -184,11 +186,11 @@
         json["slopes"][0]["points"] = json!(points);
         json["slopes"][0]["at"] = json!(["nodes"]);
         json["slopes"][0]["limit"] = json!(1000);
-        let file = File::parse(&json.to_string()).expect("sound slopes");
+        let file = SlopesFile::parse(&json.to_string()).expect("sound slopes");
         tables::all(&file)[1].1.clone()
     };
-    assert!(far(11.0).contains("| fits, if the line holds |"), "{}", far(11.0));
-    assert!(far(9.0).contains("| fits |"), "{}", far(9.0));
+    assert!(verdicts_at(11.0).contains("| fits, if the line holds |"), "{}", verdicts_at(11.0));
+    assert!(verdicts_at(9.0).contains("| fits |"), "{}", verdicts_at(9.0));
 }
 
 #[test]
@@ -206,12 +208,12 @@
         (-1234.0, "-1,234"),
     ];
     for (value, text) in cases {
-        assert_eq!(tables::figure(value), text, "{value}");
+        assert_eq!(tables::format_figure(value), text, "{value}");
     }
 }
 
 #[test]
-fn wrong_calls_are_refused() {
+fn invalid_arguments_are_rejected() {
     for (args, wanted) in [
         (&["capacity", "weigh"][..], "expected measure, measure-voters or nothing"),
         (&["capacity", "measure", "--check"][..], "do not go with measure"),
@@ -219,43 +221,44 @@
         (&["capacity", "--slopes", "no-such-file.json"][..], "no-such-file.json"),
     ] {
         let run = Command::new(LAB).current_dir(root()).args(args).output().expect("the lab");
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert_eq!(run.status.code(), Some(2), "{args:?}: {said}");
-        assert!(said.contains(wanted), "{args:?}: {said}");
+        let stderr = String::from_utf8_lossy(&run.stderr);
+        assert_eq!(run.status.code(), Some(2), "{args:?}: {stderr}");
+        assert!(stderr.contains(wanted), "{args:?}: {stderr}");
     }
 }
 
-/// One short measure: a process stands with its nodes, is told of changes, and is read.
+/// One short measurement of a process that has its list of nodes and follows its changes.
 #[test]
 fn an_idle_proxy_is_measured() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let watched = std::time::Duration::from_secs(1);
-    let idle = |nodes| runtime.block_on(capacity::measure::idle(Path::new(LAB), nodes, 10.0, watched));
+    let duration = std::time::Duration::from_secs(1);
+    let idle =
+        |nodes| runtime.block_on(capacity::measure::measure_idle(Path::new(LAB), nodes, 10.0, duration));
     let (none, some) = (idle(0).expect("a measure"), idle(400).expect("a measure"));
     assert!(none.resident_mb > 1.0 && some.resident_mb > none.resident_mb, "{none:?} {some:?}");
     assert!(some.peak_mb >= some.resident_mb && some.list_bytes > 400 * 100, "{some:?}");
-    assert!(some.told >= 5 && some.core_percent > 0.0 && some.bytes_per_second > 500.0, "{some:?}");
+    assert!(some.change_answers >= 5 && some.core_percent > 0.0 && some.bytes_per_second > 500.0, "{some:?}");
 }
 
-/// The same for one that passes values on, short ones and long ones.
+/// The same for a proxy that forwards values, short and long ones.
 #[test]
 fn a_busy_proxy_is_measured() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let watched = std::time::Duration::from_secs(1);
+    let duration = std::time::Duration::from_secs(1);
     for bytes in [200, 150_000] {
-        let busy = capacity::measure::busy(Path::new(LAB), 30.0, bytes, watched);
+        let busy = capacity::measure::measure_busy(Path::new(LAB), 30.0, bytes, duration);
         let busy = runtime.block_on(busy).expect("a measure");
-        assert!(busy.failed == 0, "answers that are no value: {busy:?}");
-        assert!(busy.core_percent > 0.0, "no processor time was seen: {busy:?}");
-        assert!(busy.requests_per_second > 5.0, "hardly anything was asked: {busy:?}");
+        assert!(busy.failed == 0, "answers other than the value: {busy:?}");
+        assert!(busy.core_percent > 0.0, "no processor time was measured: {busy:?}");
+        assert!(busy.requests_per_second > 5.0, "too few requests were sent: {busy:?}");
     }
 }
 
-/// And the first voter of a small fleet, while nobody wants anything.
+/// And the first voter of a small fleet, while no process wants a lease.
 #[test]
 fn a_voter_is_measured() {
     let programs = Programs { proxy: LAB.into(), lab: LAB.into() };
-    let voter = capacity::measure::voter(&programs, 3, 1).expect("a measure");
+    let voter = capacity::measure::measure_voter(&programs, 3, 1).expect("a measure");
     assert!(voter.resident_mb > 1.0 && voter.core_percent > 0.0, "{voter:?}");
     assert!(voter.frames_per_second > 10.0 && voter.kilobytes_per_second > 0.5, "{voter:?}");
 }
