--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,7 +1,7 @@
-//! Measures what resources a proxy needs. Each proxy is a real process that follows a stand-in for the discovery service. Idle
-//! proxies are measured by the number of listed nodes, which do not exist, and by the rate at which the list changes; busy
-//! proxies by the rate and the size of requests. Also measured are the memory of a table of keys, and the first voter of an
-//! idle fleet.
+//! Measures what resources a proxy needs. Each proxy is a real process that follows a stand-in for the
+//! discovery service. Idle proxies are measured by the number of listed nodes, which do not exist, and by the
+//! rate at which the list changes; busy proxies by the rate and the size of requests. Also measured are the
+//! memory of a table of keys, and the first voter of an idle fleet.
 
 use crate::real::http::{Answer, Server};
 use crate::rig::plan::Plan;
@@ -35,8 +35,8 @@
 const QUIET_CHANGE_RATE: f64 = 0.08;
 /// Numbers of keys in a table.
 const KEY_COUNTS: [usize; 5] = [10_000, 30_000, 100_000, 300_000, 1_000_000];
-/// Requests per second of one client and bytes of each value, for a cache that has every key. First the rate varies, then the
-/// size.
+/// Requests per second of one client and bytes of each value, for a cache that has every key. First the rate
+/// varies, then the size.
 const TRAFFIC: [(f64, usize); 9] = [
     (4.0, 200),
     (20.0, 200),
@@ -165,8 +165,9 @@
     }
 }
 
-/// Measures `program`, one process after the other; nothing else should run on the machine meanwhile. `say` gets a line for
-/// each measurement that begins. Returns an error if a process does not start, does not get the list or does not answer.
+/// Measures `program`, one process after the other; nothing else should run on the machine meanwhile. `say`
+/// gets a line for each measurement that begins. Returns an error if a process does not start, does not get
+/// the list or does not answer.
 pub fn measure_proxy(program: &Path, say: impl Fn(&str)) -> Result<Measurements> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let tables = measure_tables()?;
@@ -185,8 +186,8 @@
     Ok(measurements)
 }
 
-/// Starts a proxy with this many nodes listed and this many changes of the list per second, and measures it for the given time.
-/// Returns an error if the proxy does not get the list or ends.
+/// Starts a proxy with this many nodes listed and this many changes of the list per second, and measures it
+/// for the given time. Returns an error if the proxy does not get the list or ends.
 pub async fn measure_idle(
     program: &Path,
     nodes: usize,
@@ -226,9 +227,9 @@
     })
 }
 
-/// Starts a proxy in front of one cache and measures it while a client sends this many requests per second for values of this
-/// many bytes. The client waits for each answer, so a late answer delays the next request. Returns an error if the proxy does
-/// not get the list, does not answer in time or ends.
+/// Starts a proxy in front of one cache and measures it while a client sends this many requests per second
+/// for values of this many bytes. The client waits for each answer, so a late answer delays the next request.
+/// Returns an error if the proxy does not get the list, does not answer in time or ends.
 pub async fn measure_busy(
     program: &Path,
     requests: f64,
@@ -282,8 +283,8 @@
     })
 }
 
-/// Reads one answer. Returns `None` for a value of the expected length, or the text of another answer, and an error if the
-/// connection ends or the value has another length.
+/// Reads one answer. Returns `None` for a value of the expected length, or the text of another answer, and an
+/// error if the connection ends or the value has another length.
 async fn read_value(client: &mut TcpStream, buffer: &mut [u8], bytes: usize) -> Result<Option<String>> {
     let head = format!("${bytes}\r\n");
     let length = head.len() + bytes + 2;
@@ -322,7 +323,8 @@
 struct Registry {
     /// The address of the only node, if that node exists.
     cache: Option<SocketAddr>,
-    /// For each node: the version at which it last changed, whether it is active, and when it started, as a version.
+    /// For each node: the version at which it last changed, whether it is active, and when it started, as a
+    /// version.
     entries: std::sync::Mutex<Vec<(u64, bool, u64)>>,
     version: watch::Sender<u64>,
     /// Bytes in the bodies of all answers.
@@ -357,7 +359,8 @@
         json!({"rev": *self.version.borrow(), "all": since.is_none(), "targets": targets})
     }
 
-    /// Makes one change: with an even count a node starts to leave, with the next count it is back as a new process.
+    /// Makes one change: with an even count a node starts to leave, with the next count it is back as a new
+    /// process.
     fn change(&self, count: u64) {
         let mut entries = self.entries.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let version = *self.version.borrow() + 1;
@@ -371,10 +374,11 @@
     }
 }
 
+/// A node's entry in the list.
 fn target(number: usize, &(_, active, started): &(u64, bool, u64), cache: Option<SocketAddr>) -> Json {
     // Nothing listens at these addresses: an idle proxy does not connect to nodes.
-    let nobody = || format!("127.{}.{}.1:7001", 1 + number / 250, 1 + number % 250);
-    let address = cache.map_or_else(nobody, |cache| cache.to_string());
+    let unused = || format!("127.{}.{}.1:7001", 1 + number / 250, 1 + number % 250);
+    let address = cache.map_or_else(unused, |cache| cache.to_string());
     json!({
         "uid": format!("node-{number:05}"),
         "endpoint": address,
@@ -386,6 +390,7 @@
     })
 }
 
+/// Changes the list at this rate, per second, until it is aborted.
 async fn change_regularly(registry: Arc<Registry>, changes: f64) {
     let mut due = interval(Duration::from_secs_f64(1.0 / changes));
     due.set_missed_tick_behavior(MissedTickBehavior::Burst);
@@ -397,6 +402,7 @@
     }
 }
 
+/// Accepts connections as the discovery service.
 async fn serve_discovery(registry: Arc<Registry>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
@@ -405,6 +411,7 @@
     }
 }
 
+/// Answers the requests of one connection; a watch call is held until the list changes or its wait ends.
 async fn serve_connection(registry: &Registry, stream: TcpStream) {
     let mut framed = Framed::new(stream, Server);
     while let Some(Ok(request)) = framed.next().await {
@@ -429,8 +436,8 @@
     }
 }
 
-/// Measures the first voter of fleets of several sizes, one after the other. `say` gets a line for each run that begins or
-/// fails. Returns an error if all runs of a size fail.
+/// Measures the first voter of fleets of several sizes, one after the other. `say` gets a line for each run
+/// that begins or fails. Returns an error if all runs of a size fail.
 pub fn measure_voters(programs: &Programs, say: impl Fn(&str)) -> Result<Vec<VoterUsage>> {
     let mut measured = Vec::new();
     for processes in FLEET_SIZES {
@@ -463,8 +470,8 @@
     text
 }
 
-/// Runs a fleet of real processes and measures its first voter while no process wants a lease. Returns an error if the run
-/// fails or the idle period is missed.
+/// Runs a fleet of real processes and measures its first voter while no process wants a lease. Returns an
+/// error if the run fails or the idle period is missed.
 pub fn measure_voter(programs: &Programs, processes: usize, seed: u64) -> Result<VoterUsage> {
     let plan = Plan {
         processes,
@@ -492,8 +499,8 @@
     })
 }
 
-/// Resident memory in millions of bytes, and processor time in percent of one core in the middle half of the idle period,
-/// which ends when the first command is started.
+/// Resident memory in millions of bytes, and processor time in percent of one core in the middle half of the
+/// idle period, which ends when the first command is started.
 fn observe_voter(finished: impl Fn() -> bool) -> Result<(f64, f64)> {
     let own = std::process::id();
     let (mut voter, mut readings) = (None, Vec::new());
@@ -520,15 +527,16 @@
     Ok((resident, (last - first) / elapsed * 100.0))
 }
 
-/// The process id of a child of this process whose command line has, for each suffix, an argument that ends with it.
+/// The process id of a child of this process whose command line has, for each suffix, an argument that ends
+/// with it.
 fn find_child(parent: u32, suffixes: &[&str]) -> Option<String> {
     let matches = |name: &String| {
         let read = |file: &str| std::fs::read_to_string(format!("/proc/{name}/{file}")).unwrap_or_default();
         let status = read("status");
-        let of = status.lines().find_map(|line| line.strip_prefix("PPid:")).unwrap_or_default();
+        let parent_id = status.lines().find_map(|line| line.strip_prefix("PPid:")).unwrap_or_default();
         let line = read("cmdline");
         let has = |word: &&str| line.split('\0').any(|argument| argument.ends_with(*word));
-        of.trim() == parent.to_string() && suffixes.iter().all(has)
+        parent_id.trim() == parent.to_string() && suffixes.iter().all(has)
     };
     let entries =
         std::fs::read_dir("/proc").ok()?.filter_map(|entry| entry.ok()?.file_name().into_string().ok());
@@ -585,8 +593,8 @@
     let mut nanos = 0;
     for thread in std::fs::read_dir(format!("/proc/{process}/task"))? {
         let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-        let readings = text.split_whitespace().next().and_then(|readings| readings.parse::<u64>().ok());
-        nanos += readings.context("schedstat: expected a number")?;
+        let used = text.split_whitespace().next().and_then(|used| used.parse::<u64>().ok());
+        nanos += used.context("schedstat: expected a number")?;
     }
     Ok(nanos as f64 / 1e9)
 }
@@ -624,10 +632,10 @@
     })
 }
 
-/// The memory of tables that map each key to one node. All tables are kept until the last is built, so that none reuses memory
-/// that another has freed.
+/// The memory of tables that map each key to one node. All tables are kept until the last is built, so that
+/// none reuses memory that another has freed.
 fn measure_tables() -> Result<Vec<(usize, f64)>> {
-    let (mut found, mut kept) = (Vec::new(), Vec::new());
+    let (mut measured, mut kept) = (Vec::new(), Vec::new());
     for keys in KEY_COUNTS {
         let before = memory("self", "VmRSS:")?;
         let mut table = ReplicaTable::new(keys, u64::MAX / 2);
@@ -635,11 +643,11 @@
             table.mark_picked(0, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), key as usize % 7_200);
         }
         kept.push(table);
-        found.push((keys, memory("self", "VmRSS:")? - before));
+        measured.push((keys, memory("self", "VmRSS:")? - before));
     }
     ensure!(kept.len() == KEY_COUNTS.len(), "a table is missing");
-    if found.iter().any(|(_, mb)| *mb <= 0.0) {
+    if measured.iter().any(|(_, mb)| *mb <= 0.0) {
         bail!("a table of keys did not increase the resident memory");
     }
-    Ok(found)
+    Ok(measured)
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,5 +1,6 @@
-//! Capacity planning for the target size of two years from now: measured points of resource use by size, straight lines fitted
-//! to them, and the lines' values at the target. The page `docs/CAPACITY.md` holds the tables that are generated here.
+//! Capacity planning for the target size of two years from now: measured points of resource use by size,
+//! straight lines fitted to them, and the lines' values at the target. The page `docs/CAPACITY.md` holds the
+//! tables that are generated here.
 
 pub mod fit;
 pub mod measure;
@@ -14,7 +15,8 @@
 /// Path of the page with the tables, from the repository's root.
 pub const PAGE_PATH: &str = "docs/CAPACITY.md";
 
-/// The page's text with each table between its markers generated anew. Returns an error where a marker is missing.
+/// The page's text with each table between its markers generated anew. Returns an error where a marker is
+/// missing.
 pub fn update_page(text: &str, file: &slopes::SlopesFile) -> Result<String> {
     let mut updated = text.to_string();
     for (name, table) in tables::all(file) {
@@ -28,8 +30,8 @@
     Ok(updated)
 }
 
-/// Checks that the page at `path` holds the tables generated from this file. Returns an error that names the first line that
-/// differs, or the marker that is missing.
+/// Checks that the page at `path` holds the tables generated from this file. Returns an error that names the
+/// first line that differs, or the marker that is missing.
 pub fn check_page(path: &Path, file: &slopes::SlopesFile) -> Result<()> {
     let text = read(path)?;
     let expected = update_page(&text, file).with_context(|| path.display().to_string())?;
--- a/crates/lab/src/capacity/slopes.rs
+++ b/crates/lab/src/capacity/slopes.rs
@@ -1,5 +1,6 @@
-//! The file of measured points: the figures of the target size, and for each quantity its points by size, here called a slope.
-//! A file with a missing, unknown or implausible value is rejected with an error that names it.
+//! The file of measured points: the figures of the target size, and for each quantity its points by size,
+//! here called a slope. A file with a missing, unknown or implausible value is rejected with an error that
+//! names it.
 
 use anyhow::{Context, Result, ensure};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -45,6 +46,7 @@
 pub struct SlopesFile {
     /// The target's figures by name, see [`TARGET_FIGURES`].
     pub target: BTreeMap<String, f64>,
+    /// One entry for each measured quantity.
     pub slopes: Vec<Slope>,
 }
 
@@ -53,9 +55,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     Proxy,
+    /// A site or a zone.
     Site,
+    /// A control machine.
     Control,
     Voter,
+    /// A cache node.
     Node,
     Discovery,
 }
@@ -118,7 +123,8 @@
         Ok(file)
     }
 
-    /// The value of a figure of the target or of one divided by another, such as `requests_per_second/proxies`.
+    /// The value of a figure of the target or of one divided by another, such as
+    /// `requests_per_second/proxies`.
     pub fn evaluate_figure(&self, name: &str) -> f64 {
         match name.split_once('/') {
             Some((numerator, denominator)) => self.figure(numerator) / self.figure(denominator),
@@ -209,6 +215,7 @@
     }
 }
 
+/// Whether the text is a date of the form YYYY-MM-DD, from the year 2000 on.
 fn is_date(text: &str) -> bool {
     let parts: Vec<&str> = text.split('-').collect();
     let number = |at: usize, digits: usize| {
--- a/crates/lab/src/capacity/tables.rs
+++ b/crates/lab/src/capacity/tables.rs
@@ -1,10 +1,11 @@
-//! The tables of the page, as Markdown: the target, the measured points with their lines evaluated at the target, the runs
-//! that they come from, and the figures that follow from the target by calculation.
+//! The tables of the page, as Markdown: the target, the measured points with their lines evaluated at the
+//! target, the runs that they come from, and the figures that follow from the target by calculation.
 
 use super::fit::Line;
 use super::slopes::{PointSource, Role, Slope, SlopesFile, TARGET_FIGURES};
 
-/// How long a proxy reuses an idle connection: nodes close it after 15 s, and the proxy stops using it somewhat earlier.
+/// How long a proxy reuses an idle connection: nodes close it after 15 s, and the proxy stops using it
+/// somewhat earlier.
 const IDLE_SECONDS: f64 = 13.5;
 /// Beyond this many times the largest measured x, a verdict says that it depends on the extrapolation.
 const FAR_EXTRAPOLATION: f64 = 10.0;
@@ -29,7 +30,8 @@
     ]
 }
 
-/// Formats a number with three significant digits, or as a whole number from 100 on, and commas between thousands.
+/// Formats a number with three significant digits, or as a whole number from 100 on, and commas between
+/// thousands.
 pub fn format_figure(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -50,6 +52,7 @@
     if part.is_empty() { format!("{sign}{grouped}") } else { format!("{sign}{grouped}.{part}") }
 }
 
+/// A Markdown table with this head.
 fn markdown_table(head: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let line = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
     let mut text = line(head.iter().map(ToString::to_string).collect());
@@ -58,6 +61,7 @@
     text
 }
 
+/// The table of the target's figures.
 fn target(file: &SlopesFile) -> String {
     markdown_table(
         &["figure", "value"],
@@ -84,7 +88,8 @@
     }
 }
 
-/// Compares a line's value with the limit. It is undecided where they differ by no more than the line's residual.
+/// Compares a line's value with the limit. It is undecided where they differ by no more than the line's
+/// residual.
 pub fn verdict(value: f64, residual: f64, limit: Option<f64>) -> &'static str {
     match limit {
         None => "no limit stated",
@@ -94,6 +99,7 @@
     }
 }
 
+/// The table of the slopes with their lines and verdicts.
 fn slopes(file: &SlopesFile) -> String {
     let head =
         ["role", "quantity", "by", "points", "line", "off it", "at the size", "limit", "verdict", "kind"];
@@ -102,6 +108,7 @@
     markdown_table(&head, all.into_iter().filter_map(|slope| row(file, slope)))
 }
 
+/// The row of one slope; `None` where no line fits its points.
 fn row(file: &SlopesFile, slope: &Slope) -> Option<Vec<String>> {
     let line = Line::fit(&slope.points)?;
     let largest_x = slope.points.iter().map(|point| point.0).fold(0.0, f64::max);
@@ -145,6 +152,7 @@
     ])
 }
 
+/// The table of the commands, seeds and dates of the slopes.
 fn runs(file: &SlopesFile) -> String {
     let row = |slope: &Slope| {
         let seed = slope.seed.map_or("none".into(), |seed| seed.to_string());
@@ -164,8 +172,8 @@
     let machines = target_figure("control_machines");
     let per_day = 86_400.0;
     let changes = target_figure("changes_per_day") / per_day;
-    // Connections that a proxy opens per second. Its requests to one node are taken as a Poisson process: a request needs a new
-    // connection if none came in the time for which an idle one is reused.
+    // Connections that a proxy opens per second. Its requests to one node are taken as a Poisson process: a
+    // request needs a new connection if none came in the time for which an idle one is reused.
     let new_connections = |nodes: f64| requests * (-requests / nodes * IDLE_SECONDS).exp();
     let row = |of: &str, quantity: &str, sum: &str, value: f64, unit: &str| {
         vec![of.to_string(), quantity.into(), sum.into(), format!("{} {unit}", format_figure(value))]
--- a/crates/lab/src/replicas/expected.rs
+++ b/crates/lab/src/replicas/expected.rs
@@ -1,5 +1,5 @@
-//! The state that the replicas must reach, computed from the accepted orders by a second implementation of the merge rules,
-//! and a check of the requests that the nodes received.
+//! The state that the replicas must reach, computed from the accepted orders by a second implementation of
+//! the merge rules, and a check of the requests that the nodes received.
 
 use crate::replicas::nodes::{Nodes, ReceivedRequest};
 use pumicebay_replication::{Stamp, Status};
@@ -44,7 +44,8 @@
         self.0.len()
     }
 
-    /// Notes that a proxy loses its disk: those of its orders that none of the other proxies' states cover may be lost.
+    /// Notes that a proxy loses its disk: those of its orders that none of the other proxies' states cover
+    /// may be lost.
     pub fn disk_lost(&mut self, proxy: usize, others: &[Status]) {
         for (_, accepted) in self.0.iter_mut().filter(|(by, _)| *by == proxy) {
             accepted.may_be_lost |= !others.iter().any(|other| other.vector.covers(&accepted.stamp));
@@ -115,7 +116,8 @@
     pub until: f64,
 }
 
-/// Returns one line for each interval in which the node still received a request from the proxy that kept it out of service.
+/// Returns one line for each interval in which the node still received a request from the proxy that kept it
+/// out of service.
 pub fn sent_while_out(intervals: &[OutOfServiceInterval], nodes: &Nodes) -> Vec<String> {
     let within = |request: &ReceivedRequest, interval: &OutOfServiceInterval| {
         request.proxy == interval.proxy
--- a/crates/lab/src/replicas/faults.rs
+++ b/crates/lab/src/replicas/faults.rs
@@ -19,7 +19,8 @@
 /// A fault. Proxies are given by their indices, from 0.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The links between these proxies and all others drop what is sent in one direction or both, delay it, or are reset.
+    /// The links between these proxies and all others drop what is sent in one direction or both, delay it,
+    /// or are reset.
     Cut { proxies: Vec<usize>, how: LinkMode },
     /// A process is stopped with SIGSTOP and then continued.
     Stopped { proxy: usize },
@@ -63,8 +64,9 @@
         }
     }
 
-    /// Applies the fault for a random time and then undoes it, except that one in three link faults lasts until the group is
-    /// repaired. Returns an error if a disk can't be prepared or a process can't be started.
+    /// Applies the fault for a random time and then undoes it, except that one in three link faults lasts
+    /// until the group is repaired. Returns an error if a disk can't be prepared or a process can't be
+    /// started.
     pub async fn apply(
         self,
         group: &mut Group,
--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -1,5 +1,5 @@
-//! The processes of a run: proxies that serve and replicate, each with a folder of its own and a relay to each other proxy.
-//! All processes are ended by their ids, also when a run fails.
+//! The processes of a run: proxies that serve and replicate, each with a folder of its own and a relay to
+//! each other proxy. All processes are ended by their ids, also when a run fails.
 
 use crate::replicas::expected::{Order, OutOfServiceInterval};
 use crate::replicas::nodes::{Nodes, uid, unix_seconds};
@@ -83,19 +83,20 @@
 }
 
 impl Group {
-    /// Writes the configurations and starts the relays and processes. Returns an error if one of them can't be started.
+    /// Writes the configurations and starts the relays and processes. Returns an error if one of them can't
+    /// be started.
     pub async fn start(count: usize, nodes: &Nodes, program: &Path) -> Result<Group> {
         let folder = tempfile::tempdir().context("a folder for the processes")?;
         let mut loopback = LoopbackAddresses::new();
-        let names: Vec<String> = (0..count).map(|at| format!("p{:02}", at + 1)).collect();
+        let names: Vec<String> = (0..count).map(|index| format!("p{:02}", index + 1)).collect();
         let replication: Vec<SocketAddr> = names.iter().map(|_| loopback.next()).collect();
         let voters: BTreeMap<&String, String> =
             names.iter().take(VOTERS).map(|name| (name, loopback.next().to_string())).collect();
         let mut processes = Vec::new();
-        for (at, name) in names.iter().enumerate() {
+        for (index, name) in names.iter().enumerate() {
             let mut relays = Vec::new();
             for (other, address) in replication.iter().enumerate() {
-                relays.push(if other == at { None } else { Some(Relay::start(*address).await?) });
+                relays.push(if other == index { None } else { Some(Relay::start(*address).await?) });
             }
             let peers: BTreeMap<&String, String> = names
                 .iter()
@@ -109,7 +110,7 @@
             let mut json = configuration(name, address, loopback.next(), nodes);
             json["fleet"] = json!({
                 "name": "replicas", "voters": voters, "folder": own.join("voter"),
-                "replication": {"peers": peers, "listen": replication[at].to_string(), "folder": own.join("copy")},
+                "replication": {"peers": peers, "listen": replication[index].to_string(), "folder": own.join("copy")},
             });
             let config = own.with_extension("json");
             std::fs::write(&config, json.to_string())?;
@@ -121,7 +122,7 @@
                 log: own.with_extension("log"),
                 folder: own,
                 address,
-                replication: replication[at],
+                replication: replication[index],
                 relays,
                 child: None,
                 kill_times: Vec::new(),
@@ -129,13 +130,13 @@
             });
         }
         let mut group = Group { program: program.into(), processes, folder };
-        (0..count).try_for_each(|at| group.spawn(at))?;
+        (0..count).try_for_each(|index| group.spawn(index))?;
         Ok(group)
     }
 
     /// Starts a process, unless it runs. Returns an error if it can't be started.
-    pub fn spawn(&mut self, at: usize) -> Result<()> {
-        let process = &mut self.processes[at];
+    pub fn spawn(&mut self, index: usize) -> Result<()> {
+        let process = &mut self.processes[index];
         if process.child.is_some() {
             return Ok(());
         }
@@ -153,9 +154,10 @@
         Ok(())
     }
 
-    /// Kills a process with SIGKILL. After the first kill its replica is copied, for a later start with [`Disk::Older`].
-    pub async fn kill(&mut self, at: usize) {
-        let process = &mut self.processes[at];
+    /// Kills a process with SIGKILL. After the first kill its replica is copied, for a later start with
+    /// [`Disk::Older`].
+    pub async fn kill(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         if let Some(mut child) = process.child.take() {
             if let Ok(Some(status)) = child.try_wait() {
                 process.ended = Some(status.to_string());
@@ -171,45 +173,47 @@
     }
 
     /// Sends a signal to a process, if it runs.
-    pub fn signal(&self, at: usize, signal: Signal) {
-        let id = self.processes[at].child.as_ref().and_then(Child::id);
+    pub fn signal(&self, index: usize, signal: Signal) {
+        let id = self.processes[index].child.as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Prepares the disk of a process that is down. Unless the disk is its own, the private folder is emptied too, since the
-    /// bans stored there would be lost with the disk. Returns an error if the files can't be changed.
-    pub fn prepare_disk(&self, at: usize, disk: Disk) -> Result<()> {
-        let copy = |at: usize, name: &str| self.processes[at].folder.join("copy").join(name);
-        let own = copy(at, REPLICA_FILE);
+    /// Prepares the disk of a process that is down. Unless the disk is its own, the private folder is emptied
+    /// too, since the bans stored there would be lost with the disk. Returns an error if the files can't be
+    /// changed.
+    pub fn prepare_disk(&self, index: usize, disk: Disk) -> Result<()> {
+        let copy = |index: usize, name: &str| self.processes[index].folder.join("copy").join(name);
+        let own = copy(index, REPLICA_FILE);
         match disk {
             Disk::Own => return Ok(()),
             Disk::Empty => _ = std::fs::remove_file(&own),
             Disk::Spoilt => std::fs::write(&own, b"pumicebr, and then nothing of use")?,
-            Disk::Older => _ = std::fs::copy(copy(at, OLDER_REPLICA_FILE), &own),
+            Disk::Older => _ = std::fs::copy(copy(index, OLDER_REPLICA_FILE), &own),
             Disk::Of(other) => _ = std::fs::copy(copy(other, REPLICA_FILE), &own),
         }
-        let private = self.processes[at].folder.join("tmp");
+        let private = self.processes[index].folder.join("tmp");
         std::fs::remove_dir_all(&private)?;
         Ok(std::fs::create_dir_all(&private)?)
     }
 
     /// Sets the mode of all links between these proxies and all others.
     pub fn set_link_mode(&self, proxies: &[usize], mode: LinkMode) {
-        for (at, process) in self.processes.iter().enumerate() {
+        for (index, process) in self.processes.iter().enumerate() {
             for (other, relay) in process.relays.iter().enumerate() {
-                let between = proxies.contains(&at) != proxies.contains(&other);
+                let between = proxies.contains(&index) != proxies.contains(&other);
                 relay.iter().filter(|_| between).for_each(|relay| relay.set_mode(mode));
             }
         }
     }
 
-    /// Makes all links forward again and starts all processes that are down. Returns an error if one can't be started.
+    /// Makes all links forward again and starts all processes that are down. Returns an error if one can't be
+    /// started.
     pub async fn repair(&mut self) -> Result<()> {
         let relays = self.processes.iter().flat_map(|process| process.relays.iter().flatten());
         relays.for_each(|relay| relay.set_mode(LinkMode::Pass));
-        (0..self.processes.len()).try_for_each(|at| self.spawn(at))
+        (0..self.processes.len()).try_for_each(|index| self.spawn(index))
     }
 
     /// Where the proxies serve clients.
@@ -233,7 +237,8 @@
         queries.join_all().await.into_iter().flatten().collect()
     }
 
-    /// Waits until all proxies answer, have links and hold equal replicas. Returns an error if that takes too long.
+    /// Waits until all proxies answer, have links and hold equal replicas. Returns an error if that takes too
+    /// long.
     pub async fn wait_until_equal(&self, within: Duration) -> Result<()> {
         let until = Instant::now() + within;
         loop {
@@ -255,14 +260,15 @@
         }
     }
 
-    /// Sends an operator's order to this proxy. Returns its stamp, or `None` if it was refused or not answered in time.
-    pub async fn send_order(&self, at: usize, order: &Order) -> Option<Stamp> {
+    /// Sends an operator's order to this proxy. Returns its stamp, or `None` if it was refused or not
+    /// answered in time.
+    pub async fn send_order(&self, index: usize, order: &Order) -> Option<Stamp> {
         let call = OrderCall { node: order.node.clone(), out: order.out, under: order.lease.clone() };
         let wanted = |frame| match frame {
             Frame::Ordered(answer) => Some(*answer),
             _ => None,
         };
-        match query(self.processes[at].replication, Frame::Order(Box::new(call)), wanted).await? {
+        match query(self.processes[index].replication, Frame::Order(Box::new(call)), wanted).await? {
             OrderAnswer::Given(stamp) => Some(stamp),
             OrderAnswer::Refused(_) => None,
         }
@@ -298,8 +304,8 @@
     }
 }
 
-/// Sends a frame to a process over a new link, as a command does. Returns the first answer that `wanted` accepts, or `None` if
-/// there is none in time.
+/// Sends a frame to a process over a new link, as a command does. Returns the first answer that `wanted`
+/// accepts, or `None` if there is none in time.
 async fn query<T>(at: SocketAddr, frame: Frame, wanted: impl Fn(Frame) -> Option<T>) -> Option<T> {
     let request = async {
         let who = ProcessId { name: "rig".into(), incarnation: 1 };
@@ -340,7 +346,8 @@
     })
 }
 
-/// Reads from a proxy's log when nodes went out of service and returned. A kill of the proxy ends an open interval.
+/// Reads from a proxy's log when nodes went out of service and returned. A kill of the proxy ends an open
+/// interval.
 fn parse_intervals(proxy: usize, log: &str, kill_times: &[f64]) -> Vec<OutOfServiceInterval> {
     let mut intervals: Vec<OutOfServiceInterval> = Vec::new();
     for line in log.lines() {
@@ -361,14 +368,16 @@
     intervals
 }
 
-/// Parses a log line's UTC time, such as `2026-12-02T06:23:49.123456Z`, to Unix time in seconds; `None` if it is malformed.
+/// Parses a log line's UTC time, such as `2026-12-02T06:23:49.123456Z`, to Unix time in seconds; `None` if it
+/// is malformed.
 fn parse_unix_time(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.split('-').map(|part| part.parse::<i64>().ok());
     let (year, month, day) = (date.next()??, date.next()??, date.next()??);
     let mut time = time.split(':').map(|part| part.parse::<f64>().ok());
     let seconds = time.next()?? * 3600.0 + time.next()?? * 60.0 + time.next()??;
-    // Days since 1970 in the Gregorian calendar, counted with years that begin in March so that a leap day comes last.
+    // Days since 1970 in the Gregorian calendar, counted with years that begin in March so that a leap day
+    // comes last.
     let (year, month) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let days = 365 * year + year / 4 - year / 100 + year / 400 + (153 * month + 2) / 5 + day - 1 - 719_468;
     Some(days as f64 * 86_400.0 + seconds)
--- a/crates/lab/src/replicas/mod.rs
+++ b/crates/lab/src/replicas/mod.rs
@@ -1,7 +1,8 @@
-//! Runs a group of real proxies on loopback that replicate maintenance orders, with faults of their links and processes: links
-//! that drop in one direction or both, delays, resets, and processes that are stopped, killed, and started again with an
-//! intact, empty, corrupted, outdated or foreign disk. A run reports violations, among them requests sent to nodes that were
-//! out of service, and how long the group took to converge.
+//! Runs a group of real proxies on loopback that replicate maintenance orders, with faults of their links and
+//! processes: links that drop in one direction or both, delays, resets, and processes that are stopped,
+//! killed, and started again with an intact, empty, corrupted, outdated or foreign disk. A run reports
+//! violations, among them requests sent to nodes that were out of service, and how long the group took to
+//! converge.
 //!
 //! | file | purpose |
 //! | --- | --- |
@@ -49,14 +50,15 @@
     pub orders: usize,
     /// The faults, in Debug form.
     pub faults: Vec<String>,
-    /// From the repair of the last fault until every proxy had the expected state, or until the run gave up on that.
+    /// From the repair of the last fault until every proxy had the expected state, or until the run gave up
+    /// on that.
     pub converged_after: Duration,
     /// Number of requests that cache nodes received.
     pub requests: usize,
 }
 
-/// Runs a seed with this program as proxy. Returns an error if the group does not start, a fault can't be applied or too few
-/// orders are accepted; violations are part of the outcome.
+/// Runs a seed with this program as proxy. Returns an error if the group does not start, a fault can't be
+/// applied or too few orders are accepted; violations are part of the outcome.
 pub async fn run(seed: u64, program: &Path) -> Result<Outcome> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = nodes::start(NODES).await?;
--- a/crates/lab/src/replicas/nodes.rs
+++ b/crates/lab/src/replicas/nodes.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for cache nodes and the origin, and the clients. The stand-ins answer every request at once; cache nodes record
-//! which proxy each request came from and when.
+//! Stand-ins for cache nodes and the origin, and the clients. The stand-ins answer every request at once;
+//! cache nodes record which proxy each request came from and when.
 
 use anyhow::Result;
 use bytes::Bytes;
@@ -118,8 +118,8 @@
     }
 }
 
-/// Starts a client for each proxy that requests one key after another until the set is dropped, and reconnects whenever its
-/// connection fails.
+/// Starts a client for each proxy that requests one key after another until the set is dropped, and
+/// reconnects whenever its connection fails.
 pub fn start_clients(proxies: &[SocketAddr]) -> Clients {
     let mut clients = JoinSet::new();
     for (proxy, address) in proxies.iter().copied().enumerate() {
--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -1,5 +1,6 @@
-//! The clients that read and write the record during a run. They connect to the voters directly, without the relays that
-//! inject faults, and record each operation with its answer for [`history::check`](super::history::check).
+//! The clients that read and write the record during a run. They connect to the voters directly, without the
+//! relays that inject faults, and record each operation with its answer for
+//! [`history::check`](super::history::check).
 
 use super::history::Operation;
 use super::processes::FleetProcesses;
--- a/crates/lab/src/rig/history.rs
+++ b/crates/lab/src/rig/history.rs
@@ -1,5 +1,6 @@
-//! A linearizability checker: whether all reads and writes of one value, as the clients saw them, fit one order of its writes
-//! that agrees with real time. The record numbers its versions, so the order is known and only has to be verified.
+//! A linearizability checker: whether all reads and writes of one value, as the clients saw them, fit one
+//! order of its writes that agrees with real time. The record numbers its versions, so the order is known and
+//! only has to be verified.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -15,13 +16,15 @@
     pub end: f64,
     /// The text that was read or written.
     pub value: String,
-    /// The version read or written, as answered; `None` where no answer came and the operation may or may not have happened.
+    /// The version read or written, as answered; `None` where no answer came and the operation may or may not
+    /// have happened.
     pub version: Option<u64>,
     /// For a write: the version that it was to replace. 0 for a read.
     pub expected_version: u64,
 }
 
-/// Returns one line for each contradiction that was found, at most five; none where the history is consistent.
+/// Returns one line for each contradiction that was found, at most five; none where the history is
+/// consistent.
 pub fn check(operations: &[Operation]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut answered: Vec<(&Operation, u64)> =
@@ -52,8 +55,8 @@
             ));
         }
     }
-    // An operation that ended before another began must not come later in the order: each operation is compared with the
-    // highest version known when it began.
+    // An operation that ended before another began must not come later in the order: each operation is
+    // compared with the highest version known when it began.
     let mut ends: Vec<(f64, u64, &Operation)> =
         answered.iter().map(|(op, version)| (op.end, *version, *op)).collect();
     ends.sort_by(|left, right| left.0.total_cmp(&right.0));
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -1,6 +1,7 @@
-//! The test rig: runs several processes of the program on loopback as one fleet. Each directed link between two processes
-//! passes through a relay that can inject faults. Faults come from a written timeline or are drawn from a seed. A recorder
-//! outside the processes notes by a single clock which of them acted under which lease, and when.
+//! The test rig: runs several processes of the program on loopback as one fleet. Each directed link between
+//! two processes passes through a relay that can inject faults. Faults come from a written timeline or are
+//! drawn from a seed. A recorder outside the processes notes by a single clock which of them acted under
+//! which lease, and when.
 //!
 //! | file | purpose |
 //! | --- | --- |
@@ -40,7 +41,9 @@
 #[derive(Debug, Serialize)]
 pub struct Outcome {
     pub seed: u64,
+    /// The plan that was run, with the faults drawn from the seed.
     pub plan: Plan,
+    /// The actions under leases, by their beginnings.
     #[serde(rename = "acts")]
     pub actions: Vec<Action>,
     /// Actions that the recorder rejected because it had already seen a higher token of the lease.
@@ -51,25 +54,30 @@
     pub writes: usize,
     /// Reads and writes that no majority answered in time.
     pub unanswered: usize,
-    /// Longest time from the end of a holder's last action under one token to the first action under the next, in seconds.
+    /// Longest time from the end of a holder's last action under one token to the first action under the
+    /// next, in seconds.
     pub longest_gap: f64,
-    /// Median and 99th percentile of the time from a write's submission until it was committed and answered, in
-    /// milliseconds.
+    /// Median and 99th percentile of the time from a write's submission until it was committed and answered,
+    /// in milliseconds.
     #[serde(rename = "settle_ms")]
     pub write_latency_ms: (f64, f64),
-    /// Bytes and frames per second over all links between processes; the links of the rig's own clients don't count.
+    /// Bytes and frames per second over all links between processes; the links of the rig's own clients don't
+    /// count.
     pub bytes_per_second: f64,
     pub frames_per_second: f64,
     /// Bytes and frames per second while no process wanted a lease; `None` where the plan has no idle period.
     #[serde(rename = "idle")]
     pub idle_traffic: Option<(f64, f64)>,
-    /// Calls under a lease's newest token that an operator endpoint accepted, and calls under a lower token that it refused.
+    /// Calls under a lease's newest token that an operator endpoint accepted, and calls under a lower token
+    /// that it refused.
     #[serde(rename = "doors")]
     pub operator_calls: (usize, usize),
-    /// How long the fleet took to recover after the last fault was undone, in seconds; `None` if it did not in time.
+    /// How long the fleet took to recover after the last fault was undone, in seconds; `None` if it did not
+    /// in time.
     #[serde(rename = "back")]
     pub recovery_seconds: Option<f64>,
-    /// Overlapping actions in a run whose clocks drifted more than the stated bound, where they are no violation.
+    /// Overlapping actions in a run whose clocks drifted more than the stated bound, where they are no
+    /// violation.
     pub overlaps: Vec<String>,
     /// One line for each violation that was found.
     #[serde(rename = "wrong")]
@@ -85,8 +93,8 @@
     pub lab: PathBuf,
 }
 
-/// Runs a plan on real processes. Fails where a process can't be started, the fleet can't be bootstrapped or a fault can't
-/// be applied; what the fleet does wrong is in [`Outcome::violations`] instead.
+/// Runs a plan on real processes. Fails where a process can't be started, the fleet can't be bootstrapped or
+/// a fault can't be applied; what the fleet does wrong is in [`Outcome::violations`] instead.
 pub fn run_plan(plan: &Plan, seed: u64, programs: &Programs) -> Result<Outcome> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
     let outcome = runtime.block_on(run(plan, seed, programs.clone()));
@@ -94,9 +102,9 @@
     outcome
 }
 
-/// The command `act WITNESS WHO MILLIS [DOOR]`: performs actions under the lease that its environment names. WITNESS is the
-/// recorder's address, WHO the name of the process, MILLIS the duration of an action, and DOOR the address of an operator
-/// endpoint. Returns false once the recorder rejects the token.
+/// The command `act WITNESS WHO MILLIS [DOOR]`: performs actions under the lease that its environment names.
+/// WITNESS is the recorder's address, WHO the name of the process, MILLIS the duration of an action, and DOOR
+/// the address of an operator endpoint. Returns false once the recorder rejects the token.
 pub fn run_act_command(arguments: &[String]) -> Result<bool> {
     let [address, who, millis, operator @ ..] = arguments else { bail!("act WITNESS WHO MILLIS [DOOR]") };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -108,6 +116,7 @@
     ))
 }
 
+/// Runs the plan, waits for the fleet's recovery and collects the outcome.
 async fn run(plan: &Plan, seed: u64, programs: Programs) -> Result<Outcome> {
     let recorder = Recorder::listen().await?;
     let mut processes = FleetProcesses::start(plan, seed, programs, &recorder).await?;
@@ -148,7 +157,8 @@
     sleep(Duration::from_millis(100)).await;
     let actions = recorder.actions();
     let (mut overlaps, mut violations) = recorder::check_actions(&actions);
-    // With clocks that drift more than the stated bound two holders may overlap; only the order of tokens is guaranteed.
+    // With clocks that drift more than the stated bound two holders may overlap; only the order of tokens is
+    // guaranteed.
     if plan.max_clock_error_ppm.unsigned_abs() <= plan.drift_ppm {
         violations.append(&mut overlaps);
     }
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/lab/src/rig/plan.rs
@@ -1,5 +1,5 @@
-//! A plan of a run: the size of the fleet, its leases and clocks, and its faults with their times, read from a file or drawn
-//! from a seed.
+//! A plan of a run: the size of the fleet, its leases and clocks, and its faults with their times, read from
+//! a file or drawn from a seed.
 
 use super::affects_disk;
 use anyhow::{Context, Result, ensure};
@@ -70,9 +70,10 @@
     /// How long it lasts, in seconds.
     #[serde(default = "two")]
     pub seconds: f64,
-    /// The affected process; for a fault of links, the process whose links are affected.
+    /// The name of the affected process; for a fault of links, the process whose links are affected.
     pub who: String,
-    /// For a fault of links: only the link to this voter is affected. For a replacement: the spare that becomes a voter.
+    /// For a fault of links: only the link to this voter is affected. For a replacement: the spare that
+    /// becomes a voter.
     #[serde(default)]
     pub to: Option<String>,
 }
@@ -82,8 +83,8 @@
     2.0
 }
 
-/// A plan. Proxies are named `p1` and so on, and the first of them are the voters; the commands that acquire leases are
-/// named `a1` and so on.
+/// A plan. Proxies are named `p1` and so on, and the first of them are the voters; the commands that acquire
+/// leases are named `a1` and so on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
@@ -143,7 +144,8 @@
 }
 
 impl Plan {
-    /// Reads a plan in TOML. Returns an error where the file can't be read or parsed, or where a value makes no sense.
+    /// Reads a plan in TOML. Returns an error where the file can't be read or parsed, or where a value makes
+    /// no sense.
     pub fn read(path: &Path) -> Result<Plan> {
         let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
         let plan: Plan = toml::from_str(&text).with_context(|| path.display().to_string())?;
@@ -192,10 +194,10 @@
         (1..=self.processes).map(|number| format!("p{number}")).chain(commands).collect()
     }
 
-    /// The plan with faults drawn from this seed. At most one voter's disk is affected: a record of three voters does not
-    /// survive a second damaged disk before the first voter has been readmitted. A disk that is set back needs cautious
-    /// voters. These wait for an operator if another voter restarts meanwhile, so no process is then killed and no
-    /// voter's disk is made full.
+    /// The plan with faults drawn from this seed. At most one voter's disk is affected: a record of three
+    /// voters does not survive a second damaged disk before the first voter has been readmitted. A disk that
+    /// is set back needs cautious voters. These wait for an operator if another voter restarts meanwhile, so
+    /// no process is then killed and no voter's disk is made full.
     pub fn with_random_faults(&self, seed: u64) -> Plan {
         let mut plan = self.clone();
         let mut rng = SmallRng::seed_from_u64(seed);
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/processes.rs
@@ -1,5 +1,6 @@
-//! The processes of a run: proxies that serve, and commands that acquire leases again and again. Each connects to the voters
-//! through relays of its own. All processes are ended by their ids, also when a run fails.
+//! The processes of a run: proxies that serve, and commands that acquire leases again and again. Each
+//! connects to the voters through relays of its own. All processes are ended by their ids, also when a run
+//! fails.
 
 use super::plan::{Fault, Kind, Plan};
 use super::recorder::Recorder;
@@ -73,8 +74,9 @@
 }
 
 impl FleetProcesses {
-    /// Starts the proxies, bootstraps the fleet, measures the idle traffic if the plan has an idle period, and then starts
-    /// the commands. Returns an error if a process can't be started or the fleet is not bootstrapped in time.
+    /// Starts the proxies, bootstraps the fleet, measures the idle traffic if the plan has an idle period,
+    /// and then starts the commands. Returns an error if a process can't be started or the fleet is not
+    /// bootstrapped in time.
     pub async fn start(
         plan: &Plan,
         seed: u64,
@@ -106,8 +108,8 @@
             let lease = lease.map(|number| format!("lease{}", (number - 1) % all.plan.leases));
             all.add_process(&name, lease).await?;
         }
-        for at in 0..all.plan.processes {
-            all.spawn(at)?;
+        for index in 0..all.plan.processes {
+            all.spawn(index)?;
         }
         all.run_operator_command(&["found"]).await?;
         if all.plan.idle_seconds > 0.0 {
@@ -118,8 +120,8 @@
             all.idle_traffic = Some(((now.0 - bytes) as f64 / seconds, (now.1 - frames) as f64 / seconds));
         }
         recorder.start_clock();
-        for at in all.plan.processes..all.processes.len() {
-            all.spawn(at)?;
+        for index in all.plan.processes..all.processes.len() {
+            all.spawn(index)?;
         }
         Ok(all)
     }
@@ -182,7 +184,8 @@
             .partition(|(name, _)| self.plan.process_names()[..self.plan.voters].contains(name))
     }
 
-    /// Starts the relays of a process. Returns its configuration section `fleet`, with the relays' addresses, and the relays.
+    /// Starts the relays of a process. Returns its configuration section `fleet`, with the relays' addresses,
+    /// and the relays.
     async fn fleet_section(&self, name: &str, clock_ppm: i64) -> Result<(Json, BTreeMap<String, Relay>)> {
         let (mut addresses, mut relays) = (serde_json::Map::new(), BTreeMap::new());
         for (voter, at) in &self.voter_addresses {
@@ -203,8 +206,8 @@
     }
 
     /// Starts a process that is not running.
-    fn spawn(&mut self, at: usize) -> Result<()> {
-        let proc = &mut self.processes[at];
+    fn spawn(&mut self, index: usize) -> Result<()> {
+        let proc = &mut self.processes[index];
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&proc.log)?;
         let mut command = Command::new(&self.programs.proxy);
         match &proc.lease {
@@ -234,17 +237,19 @@
         Ok(())
     }
 
-    /// Runs an operator's command `fleet` with the configuration of the last proxy, until it succeeds or time is up.
+    /// Runs an operator's command `fleet` with the configuration of the last proxy, until it succeeds or time
+    /// is up.
     async fn run_operator_command(&self, arguments: &[&str]) -> Result<()> {
         let config = &self.processes[self.plan.processes - 1].config;
         operator::fleet(&self.programs.proxy, arguments, config, READY_TIMEOUT).await
     }
 
-    /// Until the given instant, starts commands that have ended again and notes proxies that ended unexpectedly.
+    /// Until the given instant, starts commands that have ended again and notes proxies that ended
+    /// unexpectedly.
     pub async fn supervise_until(&mut self, until: Instant) -> Result<()> {
         loop {
-            for at in 0..self.processes.len() {
-                let proc = &mut self.processes[at];
+            for index in 0..self.processes.len() {
+                let proc = &mut self.processes[index];
                 let Some(status) = proc.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
                 else {
                     continue;
@@ -253,7 +258,7 @@
                 if proc.lease.is_none() && !proc.held_down {
                     self.unexpected_exits.push(format!("{} ended unexpectedly: {status}", proc.name));
                 } else if !proc.held_down {
-                    self.spawn(at)?;
+                    self.spawn(index)?;
                 }
             }
             if Instant::now() >= until {
@@ -272,7 +277,7 @@
 
     /// Applies a fault. Returns an error if its process does not exist or the fault can't be applied.
     pub async fn begin_fault(&mut self, fault: &Fault) -> Result<()> {
-        let at = self.index_of(&fault.who)?;
+        let index = self.index_of(&fault.who)?;
         let link = match fault.kind {
             Kind::Drop => Some(LinkMode::Drop { there: true, back: true }),
             Kind::OneWay => {
@@ -291,29 +296,33 @@
             return Ok(());
         }
         match fault.kind {
-            Kind::Stop => self.signal(at, Signal::SIGSTOP),
+            Kind::Stop => self.signal(index, Signal::SIGSTOP),
             Kind::Replace => {
                 let new = fault.to.as_deref().context("a replacement without a spare")?;
                 self.run_operator_command(&["replace", &fault.who, new]).await?;
             }
             Kind::Full => {
-                // File permissions don't stop root: a folder in place of the file that the voter wants to create does.
-                let new = self.processes[at].folder.join("voter.new");
+                // File permissions don't stop root: a folder in place of the file that the voter wants to
+                // create does.
+                let new = self.processes[index].folder.join("voter.new");
                 let _ = std::fs::remove_file(&new);
                 std::fs::create_dir_all(new)?;
             }
             kind => {
                 if kind == Kind::SetBack {
                     // The voter writes more after the copy is made and before the process is killed.
-                    copy(&self.processes[at].folder.join("voter"), &self.processes[at].folder.join("copy"));
+                    copy(
+                        &self.processes[index].folder.join("voter"),
+                        &self.processes[index].folder.join("copy"),
+                    );
                     sleep(Duration::from_secs_f64(fault.seconds / 2.0)).await;
                 }
-                self.processes[at].held_down = true;
-                if let Some(mut child) = self.processes[at].child.take() {
+                self.processes[index].held_down = true;
+                if let Some(mut child) = self.processes[index].child.take() {
                     child.kill().await?;
                 }
                 if affects_disk(kind) {
-                    self.damage_disk(at, kind)?;
+                    self.damage_disk(index, kind)?;
                 }
             }
         }
@@ -322,15 +331,15 @@
 
     /// Undoes a fault. Returns an error if a process can't be started again.
     pub async fn end_fault(&mut self, fault: &Fault) -> Result<()> {
-        let at = self.index_of(&fault.who)?;
+        let index = self.index_of(&fault.who)?;
         match fault.kind {
-            Kind::Stop => self.signal(at, Signal::SIGCONT),
+            Kind::Stop => self.signal(index, Signal::SIGCONT),
             Kind::Replace => {}
-            Kind::Full => _ = std::fs::remove_dir(self.processes[at].folder.join("voter.new")),
+            Kind::Full => _ = std::fs::remove_dir(self.processes[index].folder.join("voter.new")),
             Kind::Kill | Kind::Empty | Kind::SetBack | Kind::Spoil => {
-                self.processes[at].held_down = false;
-                if self.processes[at].child.is_none() {
-                    self.spawn(at)?;
+                self.processes[index].held_down = false;
+                if self.processes[index].child.is_none() {
+                    self.spawn(index)?;
                 }
             }
             _ => self.set_link_mode(fault, LinkMode::Pass),
@@ -339,8 +348,8 @@
     }
 
     /// Removes, sets back or corrupts what a stopped voter has on its disk.
-    fn damage_disk(&mut self, at: usize, kind: Kind) -> Result<()> {
-        let folder = &self.processes[at].folder;
+    fn damage_disk(&mut self, index: usize, kind: Kind) -> Result<()> {
+        let folder = &self.processes[index].folder;
         let file = folder.join("voter");
         match kind {
             Kind::Empty => std::fs::remove_dir_all(folder)?,
@@ -359,8 +368,8 @@
         Ok(())
     }
 
-    /// Sets the mode of the links that a fault affects: the one link to `fault.to`, or else all links that the process dials
-    /// and, for a voter, those that others dial to it.
+    /// Sets the mode of the links that a fault affects: the one link to `fault.to`, or else all links that
+    /// the process dials and, for a voter, those that others dial to it.
     fn set_link_mode(&self, fault: &Fault, mode: LinkMode) {
         for proc in &self.processes {
             for (voter, relay) in &proc.relays {
@@ -375,8 +384,9 @@
         }
     }
 
-    fn signal(&self, at: usize, signal: Signal) {
-        let id = self.processes[at].child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
+    fn signal(&self, index: usize, signal: Signal) {
+        let id =
+            self.processes[index].child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
         if let Some(id) = id {
             let _ = kill(Pid::from_raw(id), signal);
         }
@@ -384,11 +394,12 @@
 
     /// Ends all processes. Returns the proxies that ended unexpectedly during the run.
     pub async fn stop(&mut self) -> Vec<String> {
-        for at in 0..self.processes.len() {
-            self.processes[at].held_down = true;
-            self.signal(at, Signal::SIGCONT);
-            // On SIGTERM a command ends the program that it runs; if it were killed, its guard process would have to do that.
-            self.signal(at, Signal::SIGTERM);
+        for index in 0..self.processes.len() {
+            self.processes[index].held_down = true;
+            self.signal(index, Signal::SIGCONT);
+            // On SIGTERM a command ends the program that it runs; if it were killed, its guard process would
+            // have to do that.
+            self.signal(index, Signal::SIGTERM);
         }
         let until = Instant::now() + Duration::from_secs(2);
         for proc in &mut self.processes {
@@ -423,8 +434,8 @@
     let _ = std::fs::copy(from, to);
 }
 
-/// Loopback addresses that only this run uses, with ports outside the range that the system assigns: a port that was merely
-/// found free may be taken by another process by the time it is used.
+/// Loopback addresses that only this run uses, with ports outside the range that the system assigns: a port
+/// that was merely found free may be taken by another process by the time it is used.
 pub(crate) struct LoopbackAddresses(Ipv4Addr, u16);
 
 impl LoopbackAddresses {
--- a/crates/lab/src/rig/recorder.rs
+++ b/crates/lab/src/rig/recorder.rs
@@ -1,7 +1,8 @@
-//! The recorder: a server outside the fleet that records by a single clock when each process acted under a lease. An action
-//! lasts from `begin LEASE TOKEN WHO` on a connection until `end` or until the connection closes. Like any resource that is
-//! protected by fencing tokens, the recorder rejects a token lower than one that it has seen for the lease, and counts such
-//! rejections. A rejected action is no overlap. Two accepted actions of one lease that run at once are, whatever their tokens.
+//! The recorder: a server outside the fleet that records by a single clock when each process acted under a
+//! lease. An action lasts from `begin LEASE TOKEN WHO` on a connection until `end` or until the connection
+//! closes. Like any resource that is protected by fencing tokens, the recorder rejects a token lower than one
+//! that it has seen for the lease, and counts such rejections. A rejected action is no overlap. Two accepted
+//! actions of one lease that run at once are, whatever their tokens.
 
 use anyhow::Result;
 use serde::Serialize;
@@ -19,8 +20,11 @@
 /// One action under a lease, as the recorder saw it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Action {
+    /// The name of the lease.
     pub lease: String,
+    /// The lease's token under which the process acted.
     pub token: u64,
+    /// The process that acted.
     pub who: String,
     /// In seconds from the start of the run.
     pub begin: f64,
@@ -36,7 +40,8 @@
     /// The highest token seen for each lease.
     highest_tokens: BTreeMap<String, u64>,
     rejected_actions: usize,
-    /// Calls under the newest token that an operator endpoint accepted, and calls under a lower token that it refused.
+    /// Calls under the newest token that an operator endpoint accepted, and calls under a lower token that it
+    /// refused.
     operator_calls: (usize, usize),
     /// One line for each call under a lower token that an operator endpoint accepted after a higher one.
     operator_violations: Vec<String>,
@@ -106,7 +111,8 @@
         self.recorded().rejected_actions
     }
 
-    /// Calls that operator endpoints accepted under the newest token and refused under a lower one, and the violations.
+    /// Calls that operator endpoints accepted under the newest token and refused under a lower one, and the
+    /// violations.
     pub fn operator_calls(&self) -> ((usize, usize), Vec<String>) {
         let recorded = self.recorded();
         (recorded.operator_calls, recorded.operator_violations.clone())
@@ -151,9 +157,9 @@
         true
     }
 
-    /// Records the HTTP statuses with which an operator endpoint answered a call under the newest token and then one under
-    /// the token before; 0 stands for no answer in time. A refusal of the newest token is no violation, since its lease may
-    /// have ended meanwhile.
+    /// Records the HTTP statuses with which an operator endpoint answered a call under the newest token and
+    /// then one under the token before; 0 stands for no answer in time. A refusal of the newest token is no
+    /// violation, since its lease may have ended meanwhile.
     fn record_operator_calls(&self, who: &str, newest: &str, lower: &str) {
         let mut recorded = self.recorded();
         recorded.operator_calls.0 += usize::from(newest == "200");
@@ -174,8 +180,8 @@
     }
 }
 
-/// Returns the overlaps between actions of one lease by different processes, and the tokens that did not increase from one
-/// process to the next; at most five lines of each.
+/// Returns the overlaps between actions of one lease by different processes, and the tokens that did not
+/// increase from one process to the next; at most five lines of each.
 pub fn check_actions(actions: &[Action]) -> (Vec<String>, Vec<String>) {
     let (mut overlaps, mut token_errors) = (Vec::new(), Vec::new());
     for (at, later) in actions.iter().enumerate() {
@@ -208,7 +214,8 @@
     (overlaps, token_errors)
 }
 
-/// The longest time between the last action under one token of a lease and the first under the next, in seconds.
+/// The longest time between the last action under one token of a lease and the first under the next, in
+/// seconds.
 pub fn longest_gap(actions: &[Action]) -> f64 {
     let mut last: BTreeMap<&str, &Action> = BTreeMap::new();
     let mut longest = 0.0_f64;
@@ -222,8 +229,8 @@
     longest
 }
 
-/// The command that runs under a lease: performs one action after the other until it is ended or its token is rejected.
-/// Returns false for a rejected token, and an error if it loses the recorder.
+/// The command that runs under a lease: performs one action after the other until it is ended or its token is
+/// rejected. Returns false for a rejected token, and an error if it loses the recorder.
 pub async fn perform_actions(address: &str, who: &str, millis: u64, operator: Option<&str>) -> Result<bool> {
     let environment = |name| std::env::var(name).unwrap_or_default();
     let (lease, token) = (environment("PUMICEBAY_LEASE"), environment("PUMICEBAY_TOKEN"));
@@ -236,8 +243,8 @@
         if lines.next_line().await?.as_deref() != Some("yes") {
             return Ok(false);
         }
-        // In its first turn it also takes a node out of service through the operator endpoint, then tries the same under the
-        // token before its own, which has to be refused.
+        // In its first turn it also takes a node out of service through the operator endpoint, then tries the
+        // same under the token before its own, which has to be refused.
         if let (Some(operator), 0, Ok(own)) = (operator, turn, token.parse::<u64>()) {
             let mut statuses = Vec::new();
             for token in [own, own - 1] {
@@ -253,8 +260,8 @@
     Ok(true)
 }
 
-/// Takes a node out of service through an operator endpoint, under a lease and its token. Returns the HTTP status, 0 if the
-/// answer has none, and an error if the call fails or takes too long.
+/// Takes a node out of service through an operator endpoint, under a lease and its token. Returns the HTTP
+/// status, 0 if the answer has none, and an error if the call fails or takes too long.
 async fn call_operator(operator: &str, lease: &str, token: u64) -> Result<u16> {
     let request = async {
         let mut stream = TcpStream::connect(operator).await?;
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay for one directed link between two processes: one process dials the relay, which connects to the other. Its
-//! fault mode can be changed at any time.
+//! A TCP relay for one directed link between two processes: one process dials the relay, which connects to
+//! the other. Its fault mode can be changed at any time.
 
 use anyhow::Result;
 use std::net::SocketAddr;
--- a/crates/lab/src/rig/virt.rs
+++ b/crates/lab/src/rig/virt.rs
@@ -1,7 +1,8 @@
-//! A simulation in virtual time, for fleets larger than a machine holds. It drives the same [`Voter`] and [`LeaseClient`]
-//! code as the proxies do, over links with loss and delay, with clocks that drift within the stated bound, voters that crash
-//! and restart with their disks, and lease holders that die. The same plan and seed give the same result. What processes,
-//! sockets and disks add is tested by the runs on real processes.
+//! A simulation in virtual time, for fleets larger than a machine holds. It drives the same [`Voter`] and
+//! [`LeaseClient`] code as the proxies do, over links with loss and delay, with clocks that drift within the
+//! stated bound, voters that crash and restart with their disks, and lease holders that die. The same plan
+//! and seed give the same result. What processes, sockets and disks add is tested by the runs on real
+//! processes.
 
 use super::plan::Plan;
 use pumicebay_accord::{
@@ -32,6 +33,7 @@
 #[derive(Debug, Default, Serialize)]
 pub struct SimulationOutcome {
     pub seed: u64,
+    /// Number of processes that want a lease.
     pub processes: usize,
     /// Grants of a lease under a new token.
     pub grants: usize,
@@ -55,8 +57,8 @@
     pub latencies_ms: Vec<f64>,
     /// Time from each holder's death until another process holds its lease, in seconds, ascending.
     pub takeovers: Vec<f64>,
-    /// The longest takeover to expect without other faults, in seconds: the duration of a lease by the clocks of the holder,
-    /// the voter and the next holder, and the way there and back.
+    /// The longest takeover to expect without other faults, in seconds: the duration of a lease by the clocks
+    /// of the holder, the voter and the next holder, and the way there and back.
     pub bound: f64,
 }
 
@@ -141,8 +143,8 @@
     last_event: u64,
     hosts: Vec<VoterHost>,
     processes: Vec<Process>,
-    /// For each lease: its highest token, the process that had it, the latest true time until which that process may act,
-    /// and when a holder died, if no other process has taken the lease over since.
+    /// For each lease: its highest token, the process that had it, the latest true time until which that
+    /// process may act, and when a holder died, if no other process has taken the lease over since.
     leases: Vec<(u64, usize, Nanos, Option<Nanos>)>,
     /// The first committed record of each recent version.
     versions: BTreeMap<u64, SharedRecord>,
@@ -151,15 +153,15 @@
     outcome: SimulationOutcome,
 }
 
-/// Simulates a plan whose processes all want one of its leases. All faults are drawn from the seed; those written out in the
-/// plan are not applied.
+/// Simulates a plan whose processes all want one of its leases. All faults are drawn from the seed; those
+/// written out in the plan are not applied.
 pub fn simulate(plan: &Plan, seed: u64) -> SimulationOutcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let max_error = plan.max_clock_error_ppm;
     let mut clock =
         || Clock { ppm: if max_error > 0 { rng.random_range(-max_error..=max_error) } else { 0 } };
     let members: Vec<Member> =
-        (0..plan.voters).map(|at| Member { name: format!("v{at}"), store: at as u64 + 1 }).collect();
+        (0..plan.voters).map(|index| Member { name: format!("v{index}"), store: index as u64 + 1 }).collect();
     let config = VoterConfig {
         drift_ppm: plan.drift_ppm,
         round_timeout: ROUND_TIMEOUT,
@@ -178,9 +180,9 @@
     });
     let hosts: Vec<VoterHost> = hosts.collect();
     let nanos = (plan.lease_seconds * SECOND) as Nanos;
-    let processes = (0..plan.processes).map(|at| {
-        let id = ProcessId { name: format!("p{at}"), incarnation: 1 };
-        let lease = at % plan.leases;
+    let processes = (0..plan.processes).map(|index| {
+        let id = ProcessId { name: format!("p{index}"), incarnation: 1 };
+        let lease = index % plan.leases;
         let lease_client = LeaseClient::new(0, id.clone(), &format!("lease{lease}"), nanos, plan.drift_ppm);
         Process {
             id,
@@ -196,7 +198,8 @@
     });
     let processes: Vec<Process> = processes.collect();
     let drift = plan.drift_ppm as f64 / 1e6;
-    // The voter waits for the lease's end by a clock that may be slow, and so may be the clock by which the next process retries.
+    // The voter waits for the lease's end by a clock that may be slow, and so may be the clock by which the
+    // next process retries.
     let bound =
         plan.lease_seconds * ((1.0 + drift) / (1.0 - drift)).powi(2) + plan.lease_seconds / 12.0 + 0.1;
     let mut simulation = Simulation {
@@ -222,12 +225,12 @@
     /// Schedules the first timers and the faults, and handles events until the end of the run.
     fn run(&mut self) {
         let end = (self.plan.seconds * SECOND) as Nanos;
-        for at in 0..self.processes.len() {
+        for index in 0..self.processes.len() {
             let first = self.rng.random_range(0..500 * MILLI);
-            self.schedule(first, Event::ProcessTimer(at));
+            self.schedule(first, Event::ProcessTimer(index));
         }
-        for at in 0..self.hosts.len() {
-            self.schedule(500 * MILLI, Event::VoterTimer(at));
+        for index in 0..self.hosts.len() {
+            self.schedule(500 * MILLI, Event::VoterTimer(index));
         }
         for _ in 0..self.plan.random_faults {
             let begin = self.rng.random_range(SECOND as Nanos..end.max(2 * SECOND as Nanos));
@@ -282,6 +285,7 @@
         self.schedule(self.now + after + delay, event);
     }
 
+    /// Handles one event at the current time.
     fn handle(&mut self, event: Event) {
         match event {
             Event::VoterMessage(to, from, message) => {
@@ -292,15 +296,15 @@
             Event::Submit(to, operation) => {
                 self.call_voter(to, |voter, now, effects| voter.submit(now, operation, effects))
             }
-            Event::VoterTimer(at) => {
-                self.call_voter(at, |voter, now, effects| voter.timer_fired(now, effects))
+            Event::VoterTimer(index) => {
+                self.call_voter(index, |voter, now, effects| voter.timer_fired(now, effects))
             }
             Event::Answer(answer) => self.handle_answer(&answer),
-            Event::ProcessTimer(at) => self.run_process(at),
-            Event::SendOperation(at, number, to) => self.send_operation(at, number, to),
-            Event::VoterCrash(at) => self.hosts[at].voter = None,
-            Event::VoterRestart(at) => self.restart_voter(at),
-            Event::LinkLoss(at, lossy) => self.hosts[at].lossy = lossy,
+            Event::ProcessTimer(index) => self.run_process(index),
+            Event::SendOperation(index, number, to) => self.send_operation(index, number, to),
+            Event::VoterCrash(index) => self.hosts[index].voter = None,
+            Event::VoterRestart(index) => self.restart_voter(index),
+            Event::LinkLoss(index, lossy) => self.hosts[index].lossy = lossy,
             Event::HolderDeath(lease) => {
                 let now = self.now;
                 let holds = |process: &&mut Process| {
@@ -315,19 +319,20 @@
     }
 
     /// Restarts a voter with its disk and the configuration of one that is up.
-    fn restart_voter(&mut self, at: usize) {
-        if self.hosts[at].voter.is_some() {
+    fn restart_voter(&mut self, index: usize) {
+        if self.hosts[index].voter.is_some() {
             return;
         }
         let Some(config) =
             self.hosts.iter().find_map(|host| host.voter.as_ref()).map(|voter| voter.config().clone())
         else {
-            // All voters are down. The configuration has to come from another one, so this restart is put off.
-            return self.schedule(self.now + SECOND as Nanos, Event::VoterRestart(at));
+            // All voters are down. The configuration has to come from another one, so this restart is put
+            // off.
+            return self.schedule(self.now + SECOND as Nanos, Event::VoterRestart(index));
         };
-        let (now, disk) = (self.hosts[at].clock.to_local(self.now), self.hosts[at].disk.clone());
+        let (now, disk) = (self.hosts[index].clock.to_local(self.now), self.hosts[index].disk.clone());
         let mut effects = Effects::default();
-        let mut voter = Voter::start(now, &format!("v{at}"), disk, config, &mut effects);
+        let mut voter = Voter::start(now, &format!("v{index}"), disk, config, &mut effects);
         // On each new link both ends exchange hello messages; here the restarted voter receives the others'.
         for other in self.hosts.iter().filter_map(|host| host.voter.as_ref()) {
             let state = other.durable_state();
@@ -339,15 +344,16 @@
                 &mut effects,
             );
         }
-        self.hosts[at].disk = voter.durable_state().clone();
-        self.hosts[at].voter = Some(voter);
-        self.schedule(self.now + MILLI, Event::VoterTimer(at));
+        self.hosts[index].disk = voter.durable_state().clone();
+        self.hosts[index].voter = Some(voter);
+        self.schedule(self.now + MILLI, Event::VoterTimer(index));
     }
 
-    /// Calls a voter that is up and carries out the effects: writes its disk, sets its timer, sends messages and answers.
-    fn call_voter(&mut self, at: usize, call: impl FnOnce(&mut Voter, Nanos, &mut Effects)) {
+    /// Calls a voter that is up and carries out the effects: writes its disk, sets its timer, sends messages
+    /// and answers.
+    fn call_voter(&mut self, index: usize, call: impl FnOnce(&mut Voter, Nanos, &mut Effects)) {
         let random = self.rng.random_range(0.0..1.0);
-        let host = &mut self.hosts[at];
+        let host = &mut self.hosts[index];
         let now = host.clock.to_local(self.now);
         let Some(voter) = &mut host.voter else { return };
         let own = voter.durable_state().store;
@@ -360,7 +366,7 @@
         }
         if let Some(wake) = effects.wake_at {
             let wake = host.clock.to_true(wake).max(self.now + MILLI / 10);
-            self.schedule(wake, Event::VoterTimer(at));
+            self.schedule(wake, Event::VoterTimer(index));
         }
         for record in effects.committed {
             let version = record.0.version;
@@ -373,17 +379,17 @@
         for (to, message) in effects.messages {
             let encoded_size = encoded_size(&message);
             // The message may be lost by the links of either end.
-            let voter = if self.hosts[at].lossy { at } else { to as usize - 1 };
+            let voter = if self.hosts[index].lossy { index } else { to as usize - 1 };
             self.send_message(voter, encoded_size, after, Event::VoterMessage(to, own, message));
         }
         for answer in effects.answers {
-            self.send_message(at, encoded_size(&answer), after, Event::Answer(answer));
+            self.send_message(index, encoded_size(&answer), after, Event::Answer(answer));
         }
     }
 
     /// Lets a process's lease client submit its next operation, and schedules its next timer.
-    fn run_process(&mut self, at: usize) {
-        let process = &mut self.processes[at];
+    fn run_process(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         if process.dead {
             return;
         }
@@ -392,17 +398,18 @@
         let (number, to) = (process.last_number, process.current_voter);
         if let Some(operation) = process.lease_client.next_operation(now, number) {
             process.pending.insert(number, (operation, self.now));
-            self.send_operation(at, number, to);
+            self.send_operation(index, number, to);
         }
-        let process = &self.processes[at];
+        let process = &self.processes[index];
         let due = process.clock.to_true(process.lease_client.wake_at()).max(self.now + MILLI);
-        self.schedule(due, Event::ProcessTimer(at));
+        self.schedule(due, Event::ProcessTimer(index));
     }
 
-    /// Sends an operation to a voter and schedules the retry at the next one, unless it was answered or is too old.
-    fn send_operation(&mut self, at: usize, number: u64, to: usize) {
+    /// Sends an operation to a voter and schedules the retry at the next one, unless it was answered or is
+    /// too old.
+    fn send_operation(&mut self, index: usize, number: u64, to: usize) {
         let give_up_after = (self.plan.lease_seconds * SECOND / 2.0) as Nanos;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         let Some((operation, created)) = process.pending.get(&number) else { return };
         if self.now - created > give_up_after || process.dead {
             process.pending.remove(&number);
@@ -412,15 +419,15 @@
         process.current_voter = to;
         self.send_message(to, encoded_size(&operation), 0, Event::Submit(to, operation));
         let next = (to + 1) % self.hosts.len();
-        self.schedule(self.now + RETRY_INTERVAL, Event::SendOperation(at, number, next));
+        self.schedule(self.now + RETRY_INTERVAL, Event::SendOperation(index, number, next));
     }
 
     /// Gives an answer to the lease client that asked, and checks the lease that it then holds.
     fn handle_answer(&mut self, answer: &Answer) {
-        let Some(at) = self.processes.iter().position(|process| process.id == answer.id.process) else {
+        let Some(index) = self.processes.iter().position(|process| process.id == answer.id.process) else {
             return;
         };
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         if process.dead || matches!(answer.reply, Reply::Busy | Reply::Unknown) {
             return;
         }
@@ -440,17 +447,19 @@
                 *held_until = until;
             } else {
                 self.outcome.grants += 1;
-                self.outcome.overlaps += usize::from(*holder != at && *held_until > self.now);
+                self.outcome.overlaps += usize::from(*holder != index && *held_until > self.now);
                 self.outcome.tokens_not_increasing += usize::from(token <= *highest);
                 if let Some(died) = died.take() {
                     self.outcome.takeovers.push((self.now - died) as f64 / SECOND);
                 }
-                (*highest, *holder, *held_until) = (token, at, until);
+                (*highest, *holder, *held_until) = (token, index, until);
             }
         }
-        let due =
-            self.processes[at].clock.to_true(self.processes[at].lease_client.wake_at()).max(self.now + MILLI);
-        self.schedule(due, Event::ProcessTimer(at));
+        let due = self.processes[index]
+            .clock
+            .to_true(self.processes[index].lease_client.wake_at())
+            .max(self.now + MILLI);
+        self.schedule(due, Event::ProcessTimer(index));
     }
 }
 
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The page on the target size holds the tables generated from the file of slopes, an invalid file is rejected with an error that
-//! names what is wrong, and the measurements work on small sizes.
+//! The page on the target size holds the tables generated from the file of slopes, an invalid file is
+//! rejected with an error that names what is wrong, and the measurements work on small sizes.
 
 use pumicebay_lab::capacity::fit::Line;
 use pumicebay_lab::capacity::slopes::{SlopesFile, TARGET_FIGURES};
@@ -68,7 +68,8 @@
     assert!(format!("{error:#}").contains("end of table"), "{error:#}");
 }
 
-/// A key that was left out or misspelt must not pass unnoticed: every key is required and no other is accepted.
+/// A key that was left out or misspelt must not pass unnoticed: every key is required and no other is
+/// accepted.
 #[test]
 fn missing_and_unknown_keys_are_named() {
     let good = shipped();
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets of processes on loopback with faults of their links, processes and disks. No two actions under one lease may overlap,
-//! reads and writes of the record must fit one order, and the fleet must recover once the faults are undone.
+//! Fleets of processes on loopback with faults of their links, processes and disks. No two actions under one
+//! lease may overlap, reads and writes of the record must fit one order, and the fleet must recover once the
+//! faults are undone.
 
 use pumicebay_lab::rig::plan::{Fault, Kind, Plan};
 use pumicebay_lab::rig::{Outcome, Programs, run_plan, virt};
@@ -48,8 +49,8 @@
     );
 }
 
-/// All processes send their operations to the first voter first. While its links drop everything, the other voters must go on
-/// without it, and it must not go on alone.
+/// All processes send their operations to the first voter first. While its links drop everything, the other
+/// voters must go on without it, and it must not go on alone.
 #[test]
 fn a_voter_cut_off_and_later_another() {
     run_checked(
@@ -58,8 +59,8 @@
     );
 }
 
-/// A lease holder is stopped with SIGSTOP in the middle of an action. Its guard process has to end the action so that another
-/// process can take over, and the first one must notice that when it continues.
+/// A lease holder is stopped with SIGSTOP in the middle of an action. Its guard process has to end the action
+/// so that another process can take over, and the first one must notice that when it continues.
 #[test]
 fn holders_and_voters_stopped() {
     let outcome = run_checked(
@@ -71,7 +72,8 @@
         ]),
         13,
     );
-    // The duration of a lease, both sides' allowance for drift, an operation's timeout, and the time that a voter was stopped.
+    // The duration of a lease, both sides' allowance for drift, an operation's timeout, and the time that a
+    // voter was stopped.
     assert!(outcome.longest_gap < 6.0, "{}", outcome.longest_gap);
 }
 
@@ -106,8 +108,8 @@
     run_checked(&plan, 16);
 }
 
-/// Two of three voters are replaced by spares while one voter's links are delayed. Then the processes of the replaced voters are killed,
-/// so that the new voters must have all data.
+/// Two of three voters are replaced by spares while one voter's links are delayed. Then the processes of the
+/// replaced voters are killed, so that the new voters must have all data.
 #[test]
 fn voters_replaced_one_at_a_time() {
     let replace = |who: &str, to: &str, at| Fault {
@@ -125,12 +127,14 @@
     ]);
     plan.faults.extend([replace("p1", "p4", 0.8), replace("p3", "p5", 2.2)]);
     let outcome = run_checked(&Plan { processes: 6, spares: 2, ..plan }, 17);
-    // Calls to an operator endpoint under a lease's token are accepted, and those under the token before are refused.
+    // Calls to an operator endpoint under a lease's token are accepted, and those under the token before are
+    // refused.
     assert!(outcome.operator_calls.0 >= 4 && outcome.operator_calls.1 >= 4, "{:?}", outcome.operator_calls);
 }
 
-/// Clocks that are off by up to a half, where one thousandth is stated. Two holders may then act at once, but neither the
-/// recorder nor an operator endpoint may accept a lower token after a higher one, and the record must keep one order.
+/// Clocks that are off by up to a half, where one thousandth is stated. Two holders may then act at once, but
+/// neither the recorder nor an operator endpoint may accept a lower token after a higher one, and the record
+/// must keep one order.
 #[test]
 fn clocks_beyond_the_stated_drift() {
     let plan =
@@ -145,8 +149,8 @@
     }
 }
 
-/// Three hundred processes compete for thirty leases in virtual time, with voters that crash, links that lose messages and
-/// holders that die.
+/// Three hundred processes compete for thirty leases in virtual time, with voters that crash, links that lose
+/// messages and holders that die.
 #[test]
 fn three_hundred_processes_in_virtual_time() {
     let plan = Plan {
--- a/crates/lab/tests/fleet_lost.rs
+++ b/crates/lab/tests/fleet_lost.rs
@@ -1,5 +1,5 @@
-//! Permanent loss of a majority of the voters: proxies must go on serving clients, `status` must report the loss, and the fleet
-//! must be recoverable from the file of the voter that is left.
+//! Permanent loss of a majority of the voters: proxies must go on serving clients, `status` must report the
+//! loss, and the fleet must be recoverable from the file of the voter that is left.
 
 mod common;
 
@@ -100,8 +100,9 @@
     fleet.until(&["found"], ok);
     fleet.until(&["put", "drained", "n7"], ok);
     let before = fleet.token();
-    // Waits until the last write has reached all voters, since one that only a majority had might be lost with two disks. A
-    // voter whose links came up after a write learns of it with the next write, so the loop writes again.
+    // Waits until the last write has reached all voters, since one that only a majority had might be lost
+    // with two disks. A voter whose links came up after a write learns of it with the next write, so the loop
+    // writes again.
     fleet.until(&["status", "--json"], |output| {
         let _ = fleet.run(&["put", "drained", "n7"]);
         let output = if ok(output) { fleet.run(&["status", "--json"]) } else { return false };
--- a/crates/lab/tests/fleet_probes.rs
+++ b/crates/lab/tests/fleet_probes.rs
@@ -1,5 +1,5 @@
-//! Probes of a node that is down: each process probes for itself, or in a fleet one process probes for all. If the probing
-//! process dies, another has to take over.
+//! Probes of a node that is down: each process probes for itself, or in a fleet one process probes for all.
+//! If the probing process dies, another has to take over.
 
 mod common;
 
@@ -14,11 +14,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Starts a node that accepts connections and never answers. Returns its address and a counter of the PINGs that it received.
+/// Starts a node that accepts connections and never answers. Returns its address and a counter of the PINGs
+/// that it received.
 fn dead_node() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, count_probes) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
-    let count = count_probes.clone();
+    let (address, probes) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let count = probes.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let count = count.clone();
@@ -32,7 +33,7 @@
             });
         }
     });
-    (address, count_probes)
+    (address, probes)
 }
 
 fn configuration(number: usize, host: Ipv4Addr, node: SocketAddr, folder: Option<&Path>) -> Json {
@@ -61,7 +62,8 @@
     json
 }
 
-/// Sends requests for this many seconds, so that the node is ejected and there is a reason to probe it. Answers don't matter.
+/// Sends requests for this many seconds, so that the node is ejected and there is a reason to probe it.
+/// Answers don't matter.
 fn send_requests(at: SocketAddr, seconds: f64) {
     let until = Instant::now() + Duration::from_secs_f64(seconds);
     let Ok(mut stream) = TcpStream::connect(at) else { return };
@@ -84,8 +86,8 @@
     }
 }
 
-/// Counts the probes in 8 s once all processes have found the node dead. With `kill` the first and the last process are killed
-/// at the beginning of that time.
+/// Counts the probes in 8 s once all processes have found the node dead. With `kill` the first and the last
+/// process are killed at the beginning of that time.
 fn count_probes(processes: usize, fleet: bool, kill: bool) -> usize {
     let host = Ipv4Addr::new(127, 77, std::process::id() as u8, 1 + u8::from(fleet) + 2 * u8::from(kill));
     let (node, count) = dead_node();
@@ -112,7 +114,8 @@
     sleep(Duration::from_secs(5));
     let before = count.load(Ordering::Relaxed);
     if kill {
-        // One of these holds the lease for probing. Only one of three voters is killed, so a majority is left.
+        // One of these holds the lease for probing. Only one of three voters is killed, so a majority is
+        // left.
         all.pop();
         all.remove(0);
     }
--- a/crates/lab/tests/replicas.rs
+++ b/crates/lab/tests/replicas.rs
@@ -6,8 +6,8 @@
 
 const LAB: &str = env!("CARGO_BIN_EXE_pumicebay-lab");
 
-/// After the faults all replicas must converge, and no node may get requests while it is out of service. The environment
-/// variables SEED and SEEDS give the first seed and the number of seeds, 1 each by default.
+/// After the faults all replicas must converge, and no node may get requests while it is out of service. The
+/// environment variables SEED and SEEDS give the first seed and the number of seeds, 1 each by default.
 #[test]
 fn twelve_proxies_converge_after_faults() {
     let variable = |name: &str, default: u64| {
