--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -250,7 +250,7 @@
     };
     timeout(READY_TIMEOUT, ready).await.context("the proxy did not follow discovery")?;
     sleep(SETTLE_TIME).await;
-    let mut client = TcpStream::connect(proxy.address).await.context("the proxy")?;
+    let mut client = TcpStream::connect(proxy.address).await.context("connecting to the proxy")?;
     client.set_nodelay(true)?;
     let mut due = interval(Duration::from_secs_f64(1.0 / requests));
     due.set_missed_tick_behavior(MissedTickBehavior::Burst);
--- a/crates/lab/src/replicas/nodes.rs
+++ b/crates/lab/src/replicas/nodes.rs
@@ -75,12 +75,14 @@
     }
 }
 
+/// Serves all connections to a cache node.
 async fn accept_cache(listener: TcpListener, node: String, received: Arc<Mutex<Vec<ReceivedRequest>>>) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(serve_cache(stream, node.clone(), received.clone()));
     }
 }
 
+/// Answers every request of one connection with a value, and records it.
 async fn serve_cache(stream: TcpStream, node: String, received: Arc<Mutex<Vec<ReceivedRequest>>>) {
     let mut framed = Framed::new(stream, Resp);
     while let Some(Ok(Frame::Array(words))) = framed.next().await {
@@ -100,6 +102,7 @@
     }
 }
 
+/// Answers every request to the origin with a value.
 async fn accept_origin(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         tokio::spawn(async move {
@@ -133,7 +136,7 @@
     Clients(clients)
 }
 
-/// The running clients of a run.
+/// The running clients.
 pub struct Clients(JoinSet<()>);
 
 impl Clients {
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/processes.rs
@@ -178,6 +178,7 @@
         )
     }
 
+    /// Separates the voters' addresses from the spares'.
     fn split_spares(&self, addresses: AddressMap) -> (AddressMap, AddressMap) {
         addresses
             .into_iter()
@@ -268,6 +269,7 @@
         }
     }
 
+    /// The index of the process with this name. Returns an error if there is none.
     fn index_of(&self, name: &str) -> Result<usize> {
         self.processes
             .iter()
@@ -384,6 +386,7 @@
         }
     }
 
+    /// Sends a signal to a process, if it runs.
     fn signal(&self, index: usize, signal: Signal) {
         let id =
             self.processes[index].child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
@@ -429,6 +432,7 @@
     }
 }
 
+/// Copies a file, if it exists.
 fn copy(from: &Path, to: &Path) {
     // A file that has not been written yet can't be set back.
     let _ = std::fs::copy(from, to);
--- a/crates/lab/src/rig/report.rs
+++ b/crates/lab/src/rig/report.rs
@@ -66,6 +66,7 @@
     )
 }
 
+/// Escapes a text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('\'', "&#39;")
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn page_holds_the_generated_tables() {
-    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("sound slopes");
+    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("a valid file of slopes");
     capacity::check_page(&root().join(PAGE_PATH), &file)
         .expect("page and slopes differ: run pumicebay-lab capacity --page docs/CAPACITY.md");
 }
@@ -56,15 +56,15 @@
 
 #[test]
 fn a_page_without_a_marker_is_rejected() {
-    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("sound slopes");
+    let file = SlopesFile::read(&root().join(SLOPES_PATH)).expect("a valid file of slopes");
     let page = std::fs::read_to_string(root().join(PAGE_PATH)).expect("the page");
     for (name, _) in tables::all(&file) {
         let without = page.replace(&format!("<!-- table: {name} -->"), "");
         let error = capacity::update_page(&without, &file).expect_err("a page without a table");
         assert!(format!("{error:#}").contains(&format!("table: {name}")), "{error:#}");
     }
-    let error =
-        capacity::update_page(&page.replace("<!-- end of table -->", ""), &file).expect_err("no ends");
+    let error = capacity::update_page(&page.replace("<!-- end of table -->", ""), &file)
+        .expect_err("a page without end markers");
     assert!(format!("{error:#}").contains("end of table"), "{error:#}");
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn missing_and_unknown_keys_are_named() {
     let good = shipped();
-    SlopesFile::parse(&good.to_string()).expect("sound slopes");
+    SlopesFile::parse(&good.to_string()).expect("a valid file of slopes");
     for name in TARGET_FIGURES {
         let mut json = good.clone();
         json["target"].as_object_mut().expect("target").remove(*name);
@@ -148,7 +148,8 @@
         json["slopes"][0]["points"] = points;
         json
     };
-    SlopesFile::parse(&with(json!([[1, 1], [5, 5], [20, 20], [100, 100]])).to_string()).expect("enough");
+    SlopesFile::parse(&with(json!([[1, 1], [5, 5], [20, 20], [100, 100]])).to_string())
+        .expect("enough points and span");
     let three = rejection(&with(json!([[1, 1], [10, 5], [100, 20]])));
     assert!(three.contains("points: expected 4 or more with different x above 0, found 3"), "{three}");
     // Neither a repeated x nor x = 0 counts as another point.
@@ -187,7 +188,7 @@
         json["slopes"][0]["points"] = json!(points);
         json["slopes"][0]["at"] = json!(["nodes"]);
         json["slopes"][0]["limit"] = json!(1000);
-        let file = SlopesFile::parse(&json.to_string()).expect("sound slopes");
+        let file = SlopesFile::parse(&json.to_string()).expect("a valid file of slopes");
         tables::all(&file)[1].1.clone()
     };
     assert!(verdicts_at(11.0).contains("| fits, if the line holds |"), "{}", verdicts_at(11.0));
@@ -235,7 +236,7 @@
     let duration = std::time::Duration::from_secs(1);
     let idle =
         |nodes| runtime.block_on(capacity::measure::measure_idle(Path::new(LAB), nodes, 10.0, duration));
-    let (none, some) = (idle(0).expect("a measure"), idle(400).expect("a measure"));
+    let (none, some) = (idle(0).expect("a measurement"), idle(400).expect("a measurement"));
     assert!(none.resident_mb > 1.0 && some.resident_mb > none.resident_mb, "{none:?} {some:?}");
     assert!(some.peak_mb >= some.resident_mb && some.list_bytes > 400 * 100, "{some:?}");
     assert!(some.change_answers >= 5 && some.core_percent > 0.0 && some.bytes_per_second > 500.0, "{some:?}");
@@ -248,7 +249,7 @@
     let duration = std::time::Duration::from_secs(1);
     for bytes in [200, 150_000] {
         let busy = capacity::measure::measure_busy(Path::new(LAB), 30.0, bytes, duration);
-        let busy = runtime.block_on(busy).expect("a measure");
+        let busy = runtime.block_on(busy).expect("a measurement");
         assert!(busy.failed == 0, "answers other than the value: {busy:?}");
         assert!(busy.core_percent > 0.0, "no processor time was measured: {busy:?}");
         assert!(busy.requests_per_second > 5.0, "too few requests were sent: {busy:?}");
@@ -259,7 +260,7 @@
 #[test]
 fn a_voter_is_measured() {
     let programs = Programs { proxy: LAB.into(), lab: LAB.into() };
-    let voter = capacity::measure::measure_voter(&programs, 3, 1).expect("a measure");
+    let voter = capacity::measure::measure_voter(&programs, 3, 1).expect("a measurement");
     assert!(voter.resident_mb > 1.0 && voter.core_percent > 0.0, "{voter:?}");
     assert!(voter.frames_per_second > 10.0 && voter.kilobytes_per_second > 0.5, "{voter:?}");
 }
--- a/crates/lab/tests/fleet_lost.rs
+++ b/crates/lab/tests/fleet_lost.rs
@@ -43,10 +43,12 @@
         Proxy::start(&config, &self.folder.join(format!("p{number}.json")))
     }
 
+    /// The folder of a proxy's voter.
     fn disk(&self, number: usize) -> PathBuf {
         self.folder.join(format!("d{number}"))
     }
 
+    /// Runs an operator's command `fleet` once.
     fn run(&self, words: &[&str]) -> Output {
         let mut command = Command::new(LAB);
         command.args(["as-proxy", "fleet"]).arg(words[0]).arg("--config").arg(self.config());
