--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -7,8 +7,8 @@
 
 use super::plan::Plan;
 use crate::operator;
-use crate::rig::procs::Home;
-use crate::rig::relay::{Mode, Relay};
+use crate::rig::processes::LoopbackAddresses;
+use crate::rig::relay::{LinkMode, Relay};
 use anyhow::{Context, Result, ensure};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -381,7 +381,7 @@
         let observations = Arc::new(Mutex::new(Observations::default()));
         let fleet =
             RealFleet { program: program.into(), operator_config, sites: plan.sites, folder, observations };
-        let (names, mut home) = (ProcessNames::new(plan), Home::new());
+        let (names, mut home) = (ProcessNames::new(plan), LoopbackAddresses::new());
         let mut at = BTreeMap::new();
         for name in names.control.iter().chain(names.relays.iter().flatten()) {
             at.insert(name.clone(), home.next());
@@ -489,11 +489,11 @@
                 }
             }
             FaultKind::StopRelay => self.signal(target, Signal::SIGSTOP),
-            FaultKind::Drop => self.set_link_mode(target, Mode::Drop { there: true, back: true }),
+            FaultKind::Drop => self.set_link_mode(target, LinkMode::Drop { there: true, back: true }),
             FaultKind::Delay(millis) => {
-                self.set_link_mode(target, Mode::Delay(Duration::from_millis(millis)))
+                self.set_link_mode(target, LinkMode::Delay(Duration::from_millis(millis)))
             }
-            FaultKind::Reset => self.set_link_mode(target, Mode::Reset),
+            FaultKind::Reset => self.set_link_mode(target, LinkMode::Reset),
         }
         Ok(())
     }
@@ -508,7 +508,7 @@
                 }
             }
             FaultKind::StopRelay => self.signal(target, Signal::SIGCONT),
-            _ => self.set_link_mode(target, Mode::Pass),
+            _ => self.set_link_mode(target, LinkMode::Pass),
         }
         Ok(())
     }
@@ -523,11 +523,11 @@
     }
 
     /// Sets the mode of the relays on all links that the process opens and that others open to it.
-    fn set_link_mode(&self, target: &str, mode: Mode) {
+    fn set_link_mode(&self, target: &str, mode: LinkMode) {
         for (name, process) in &self.observations().processes {
             for (_, relay) in process.relays.iter().filter(|(parent, _)| name == target || *parent == target)
             {
-                relay.set(mode);
+                relay.set_mode(mode);
             }
         }
     }
