--- a/crates/lab/src/replicas/group.rs
+++ b/crates/lab/src/replicas/group.rs
@@ -272,7 +272,9 @@
             Frame::MaintenanceAnswer(answer) => Some(*answer),
             _ => None,
         };
-        match query(self.processes[index].replication, Frame::MaintenanceOrder(Box::new(call)), wanted).await? {
+        match query(self.processes[index].replication, Frame::MaintenanceOrder(Box::new(call)), wanted)
+            .await?
+        {
             MaintenanceAnswer::Applied(stamp) => Some(stamp),
             MaintenanceAnswer::Refused(_) => None,
         }
