--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -2,7 +2,7 @@
 //! Whoever plays a day tells it what was taken, sent, run, answered and told, in any order within a second
 //! or so; each exchange is judged once, some time after its overall timeout.
 
-use crate::time_told::TimeTold;
+use crate::advertised_timeout::TimeTold;
 use hashbrown::HashMap;
 use pumicebay_model::registry::NodeState;
 use pumicebay_model::spec::{DedupScope, NodeSpec, RetrySafety, Scenario};
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,13 +1,15 @@
 //! The lab: plays scenarios against the decisions in virtual time, or against real proxies on loopback
 //! sockets, audits the four rules, and compares. Start reading at [`cli`].
 
+pub mod advertised_timeout;
 pub mod audit;
 pub mod baselines;
 pub mod capacity;
 pub mod cli;
 pub mod compare;
 pub mod hunt;
-pub mod operator;
+pub mod metrics;
+pub mod operator_command;
 pub mod platform;
 pub mod policy;
 pub mod progress;
@@ -18,10 +20,8 @@
 pub mod rig;
 pub mod scale;
 pub mod scenario;
-pub mod seat;
+pub mod simulated_proxy;
 pub mod stats;
 pub mod sweep;
-pub mod tally;
-pub mod time_told;
 pub mod virt;
 pub mod world;
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -2,10 +2,10 @@
 //! that is never held while anything waits. One task is the clock of all jobs.
 
 use crate::audit::{Auditor, Final};
+use crate::metrics::{End, Tally};
 use crate::platform;
 use crate::real::stand_ins;
-use crate::seat::uid;
-use crate::tally::{End, Tally};
+use crate::simulated_proxy::uid;
 use crate::world::warm;
 use anyhow::Result;
 use hashbrown::HashMap;
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -2,10 +2,10 @@
 //! from when a client meant to send. It measures its own lateness.
 
 use crate::audit::Final;
+use crate::metrics::End;
 use crate::real::SharedFleet;
 use crate::real::stand_ins::made_for;
-use crate::seat::key_text;
-use crate::tally::End;
+use crate::simulated_proxy::key_text;
 use anyhow::Result;
 use futures_util::{SinkExt, StreamExt};
 use hdrhistogram::Histogram;
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -8,8 +8,8 @@
 pub mod stand_ins;
 
 use crate::audit::Auditor;
+use crate::metrics::Tally;
 use crate::results::Results;
-use crate::tally::Tally;
 use anyhow::{Context, Result, ensure};
 use fleet::Fleet;
 use process::Proxies;
--- a/crates/lab/src/real/process.rs
+++ b/crates/lab/src/real/process.rs
@@ -2,7 +2,7 @@
 //! prints without end is read without end, and all but its last lines are dropped.
 
 use crate::real::SharedFleet;
-use crate::{operator, platform};
+use crate::{operator_command, platform};
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -94,7 +94,7 @@
         }
         if day.proxies.fleet {
             let within = Duration::from_secs_f64(day.proxies.ready_seconds);
-            operator::fleet(&all.program, &["found"], &all.proxies[0].config, within).await?;
+            operator_command::fleet(&all.program, &["found"], &all.proxies[0].config, within).await?;
         }
         Ok(all)
     }
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,7 +1,7 @@
 //! What a run gives: the JSON schema, described in `docs/experiments.md`, and the table for a terminal.
 
+use crate::advertised_timeout::TimeTold;
 use crate::audit::Broken;
-use crate::time_told::TimeTold;
 use serde::Serialize;
 use std::fmt::Write;
 
--- a/crates/lab/src/rig/procs.rs
+++ b/crates/lab/src/rig/procs.rs
@@ -5,7 +5,7 @@
 use super::relay::{Mode, Relay};
 use super::witness::Witness;
 use super::{Programs, of_disk, pause};
-use crate::operator;
+use crate::operator_command;
 use anyhow::{Context, Result};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -203,7 +203,7 @@
     /// What an operator asks of the fleet, by the configuration of its last proxy.
     async fn asked(&self, words: &[&str]) -> Result<()> {
         let config = &self.procs[self.plan.processes - 1].config;
-        operator::fleet(&self.programs.proxy, words, config, READY).await
+        operator_command::fleet(&self.programs.proxy, words, config, READY).await
     }
 
     /// Starts commands that ended again, and notices proxies that did, until then.
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -3,7 +3,7 @@
 //! which classes it knows; what is known of a class is what is in force, whatever the carrier says of it.
 
 use super::plan::Plan;
-use crate::operator;
+use crate::operator_command;
 use crate::rig::procs::Home;
 use crate::rig::relay::{Mode, Relay};
 use anyhow::{Context, Result, ensure};
@@ -372,7 +372,7 @@
             play.seen().procs.insert(name.clone(), proc);
             play.spawn(name)?;
         }
-        operator::fleet(&play.program, &["found"], &play.operator, READY).await?;
+        operator_command::fleet(&play.program, &["found"], &play.operator, READY).await?;
         // Links come up: what is played begins with a fleet that is whole.
         play.whole().await?;
         Ok(play)
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -3,11 +3,11 @@
 //! as there are, and the day does not depend on how many.
 
 use crate::audit::Auditor;
+use crate::metrics::Tally;
 use crate::platform;
 use crate::policy;
 use crate::results::Results;
-use crate::seat::{Rules, Seat};
-use crate::tally::Tally;
+use crate::simulated_proxy::{Rules, Seat};
 use crate::world::World;
 use anyhow::Result;
 use pumicebay_core::Nanos;
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -2,8 +2,8 @@
 //! proxies what comes of it.
 
 use crate::audit::{Auditor, Final};
-use crate::seat::{Due, ToSeat, ToWorld, key_mark, uid};
-use crate::tally::{End, Tally};
+use crate::metrics::{End, Tally};
+use crate::simulated_proxy::{Due, ToSeat, ToWorld, key_mark, uid};
 use hashbrown::HashMap;
 use pumicebay_core::table::rendezvous;
 use pumicebay_core::{Nanos, Node, Outcome, RequestId, RequestParams};
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -1,8 +1,8 @@
 //! Every rule broken on purpose, and kept where it looks like broken.
 
 use crate::day;
+use pumicebay_lab::advertised_timeout::TimeTold;
 use pumicebay_lab::audit::{Auditor, Final};
-use pumicebay_lab::time_told::TimeTold;
 use pumicebay_model::registry::NodeState;
 
 const MS: u64 = 1_000_000;
--- a/crates/lab/tests/lab/stand_ins.rs
+++ b/crates/lab/tests/lab/stand_ins.rs
@@ -11,7 +11,7 @@
 use pumicebay_lab::real::fleet::Fleet;
 use pumicebay_lab::real::http::{Answer, Server};
 use pumicebay_lab::real::stand_ins::made_for;
-use pumicebay_lab::seat::key_text;
+use pumicebay_lab::simulated_proxy::key_text;
 use pumicebay_model::faults::WorldChange;
 use pumicebay_model::traffic::{Operation, key_at_rank};
 use serde_json::json;
