--- a/crates/lab/examples/cold.rs
+++ b/crates/lab/examples/cold.rs
@@ -49,7 +49,12 @@
             let day = scenario::parse(&text, &set.map(whole)).expect("a sound day");
             let play = |seed| {
                 let (auditor, tally) = virt::run(&day, "pumicebay", seed, &|_| {}).expect("a day that plays");
-                (auditor.worst, auditor.counts[4], auditor.uncharged, tally.buried)
+                (
+                    auditor.worst_cold_load,
+                    auditor.violations_by_rule[4],
+                    auditor.uncharged_overloads,
+                    tally.cold_node_overloads,
+                )
             };
             let played: Vec<_> = (1..=10u64).into_par_iter().map(play).collect();
             let worst = played.iter().map(|day| day.0).fold(0.0, f64::max);
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -12,225 +12,248 @@
 };
 
 /// How much more than the mean a node may have in flight under bounded load.
-const BOUND: f64 = 1.25;
-const TICK: Nanos = 100_000_000;
+const LOAD_BOUND: f64 = 1.25;
+const TICK_INTERVAL: Nanos = 100_000_000;
 const TICK_TOKEN: u64 = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum Algorithm {
     Random,
     /// The less loaded of two drawn at random.
-    LeastOfTwo,
+    TwoChoices,
     /// The highest rendezvous hash.
     Rendezvous,
     /// The highest rendezvous hash that is not past its bound.
-    Bounded,
+    BoundedRendezvous,
     /// Random; sends to whatever was ever listed, and sends again whatever failed.
     Careless,
 }
 
-struct Cx {
-    ask: RequestParams,
-    ends: Nanos,
-    tries: Vec<Try>,
-    over: bool,
+struct RequestState {
+    params: RequestParams,
+    deadline: Nanos,
+    attempts: Vec<Attempt>,
+    finished: bool,
 }
 
-struct Try {
+struct Attempt {
     node: Node,
-    sent: Nanos,
-    out: bool,
+    sent_at: Nanos,
+    in_flight: bool,
     /// Unless it is known not to have.
     may_have_run: bool,
 }
 
 pub struct Baseline<H: Host> {
     host: H,
-    choice: Choice,
+    algorithm: Algorithm,
     rng: Rand32,
     routes: Vec<Route>,
-    most_tries: usize,
-    asks_list: bool,
+    max_attempts: usize,
+    polls_list: bool,
     nodes: Vec<(ListedNode, usize)>,
     origin: Option<Node>,
-    xchgs: HashMap<RequestId, Cx>,
-    follow_at: Nanos,
+    requests: HashMap<RequestId, RequestState>,
+    watch_at: Nanos,
 }
 
 impl<H: Host + Send> Baseline<H> {
-    pub fn new(host: H, choice: Choice, settings: &Settings, seed: u64, now: Nanos) -> Self {
+    pub fn new(host: H, algorithm: Algorithm, settings: &Settings, seed: u64, now: Nanos) -> Self {
         let mut baseline = Baseline {
             host,
-            choice,
+            algorithm,
             rng: Rand32::new(seed),
             routes: Route::all_from(settings),
-            most_tries: settings.number("most_tries", 1.0) as usize,
-            asks_list: settings.text("discovery") == "ask",
+            max_attempts: settings.number("most_tries", 1.0) as usize,
+            polls_list: settings.text("discovery") == "ask",
             nodes: Vec::new(),
             origin: None,
-            xchgs: HashMap::new(),
-            follow_at: now,
+            requests: HashMap::new(),
+            watch_at: now,
         };
-        baseline.woke(now, TICK_TOKEN);
+        baseline.timer_fired(now, TICK_TOKEN);
         baseline
     }
 
-    fn careless(&self) -> bool {
-        self.choice == Choice::Careless
+    fn is_careless(&self) -> bool {
+        self.algorithm == Algorithm::Careless
     }
 
-    fn candidates(&self, cx: &Cx) -> Vec<Node> {
-        let takes = |&node: &Node| {
+    fn candidates(&self, state: &RequestState) -> Vec<Node> {
+        let eligible = |&node: &Node| {
             let listed = &self.nodes[node].0;
-            let known = listed.status == NodeStatus::Ready || self.careless() && listed.identity != 0;
-            let again = self.careless() || !cx.tries.iter().any(|t| t.node == node);
-            known && !listed.origin && again
+            let listed_ready =
+                listed.status == NodeStatus::Ready || self.is_careless() && listed.identity != 0;
+            let untried = self.is_careless() || !state.attempts.iter().any(|t| t.node == node);
+            listed_ready && !listed.origin && untried
         };
-        (0..self.nodes.len()).filter(takes).collect()
+        (0..self.nodes.len()).filter(eligible).collect()
     }
 
-    fn draw(&mut self, among: &[Node]) -> Option<Node> {
-        let count = u32::try_from(among.len()).unwrap_or(u32::MAX);
-        (count > 0).then(|| among[self.rng.rand_range(0..count) as usize])
+    fn pick_random(&mut self, candidates: &[Node]) -> Option<Node> {
+        let count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
+        (count > 0).then(|| candidates[self.rng.rand_range(0..count) as usize])
     }
 
-    fn choose(&mut self, xchg: RequestId) -> Option<Node> {
-        let cx = &self.xchgs[&xchg];
-        let (among, key) = (self.candidates(cx), cx.ask.key.unwrap_or(xchg));
-        let rank = |node: &Node| rendezvous(key, self.nodes[*node].0.identity);
-        match self.choice {
-            Choice::Random | Choice::Careless => self.draw(&among),
-            Choice::LeastOfTwo => {
-                let two = [self.draw(&among)?, self.draw(&among)?];
-                two.into_iter().min_by_key(|&node| self.nodes[node].1)
+    fn choose_node(&mut self, request: RequestId) -> Option<Node> {
+        let state = &self.requests[&request];
+        let (candidates, key) = (self.candidates(state), state.params.key.unwrap_or(request));
+        let hash = |node: &Node| rendezvous(key, self.nodes[*node].0.identity);
+        match self.algorithm {
+            Algorithm::Random | Algorithm::Careless => self.pick_random(&candidates),
+            Algorithm::TwoChoices => {
+                let pair = [self.pick_random(&candidates)?, self.pick_random(&candidates)?];
+                pair.into_iter().min_by_key(|&node| self.nodes[node].1)
             }
-            Choice::Rendezvous => among.into_iter().max_by_key(rank),
-            Choice::Bounded => {
-                let sum: usize = among.iter().map(|&node| self.nodes[node].1).sum();
-                let most = (BOUND * (sum + 1) as f64 / among.len().max(1) as f64).ceil();
-                let free = |node: &Node| (self.nodes[*node].1 as f64) < most;
-                among.iter().copied().filter(free).max_by_key(rank).or(among.into_iter().max_by_key(rank))
+            Algorithm::Rendezvous => candidates.into_iter().max_by_key(hash),
+            Algorithm::BoundedRendezvous => {
+                let sum: usize = candidates.iter().map(|&node| self.nodes[node].1).sum();
+                let limit = (LOAD_BOUND * (sum + 1) as f64 / candidates.len().max(1) as f64).ceil();
+                let free = |node: &Node| (self.nodes[*node].1 as f64) < limit;
+                candidates
+                    .iter()
+                    .copied()
+                    .filter(free)
+                    .max_by_key(hash)
+                    .or(candidates.into_iter().max_by_key(hash))
             }
         }
     }
 
-    fn place(&mut self, now: Nanos, xchg: RequestId) {
-        let cx = &self.xchgs[&xchg];
-        let missed = |t: &Try| !t.may_have_run && Some(t.node) != self.origin;
-        let to_origin = cx.ask.write || cx.tries.last().is_some_and(missed);
-        let node = if to_origin { self.origin } else { self.choose(xchg).or(self.origin) };
+    fn dispatch(&mut self, now: Nanos, request: RequestId) {
+        let state = &self.requests[&request];
+        let rejected_by_cache = |t: &Attempt| !t.may_have_run && Some(t.node) != self.origin;
+        let to_origin = state.params.write || state.attempts.last().is_some_and(rejected_by_cache);
+        let node = if to_origin { self.origin } else { self.choose_node(request).or(self.origin) };
         match node {
-            Some(node) if self.may_send(now, xchg, node) => self.send(now, xchg, node),
-            _ => self.conclude(xchg),
+            Some(node) if self.may_send(now, request, node) => self.send(now, request, node),
+            _ => self.reject(request),
         }
     }
 
     /// Rule 2, which the careless one does not know.
-    fn may_send(&self, now: Nanos, xchg: RequestId, node: Node) -> bool {
-        let cx = &self.xchgs[&xchg];
-        if cx.tries.len() >= self.most_tries || now >= cx.ends {
+    fn may_send(&self, now: Nanos, request: RequestId, node: Node) -> bool {
+        let state = &self.requests[&request];
+        if state.attempts.len() >= self.max_attempts || now >= state.deadline {
             return false;
         }
-        let first = cx.tries.iter().find(|t| t.may_have_run).filter(|_| !self.careless());
-        let route = &self.routes[cx.ask.route];
+        let first = state.attempts.iter().find(|t| t.may_have_run).filter(|_| !self.is_careless());
+        let route = &self.routes[state.params.route];
         first.is_none_or(|first| match route.retry_safety {
             RetrySafety::Retriable => true,
             RetrySafety::NonRetriable => false,
             RetrySafety::Deduped(scope) => {
                 let (here, there) = (&self.nodes[node].0, &self.nodes[first.node].0);
-                now < first.sent + route.dedup_window && here.shares_dedup_scope(scope, there)
+                now < first.sent_at + route.dedup_window && here.shares_dedup_scope(scope, there)
             }
         })
     }
 
-    fn send(&mut self, now: Nanos, xchg: RequestId, node: Node) {
-        let cx = self.xchgs.get_mut(&xchg).expect("placed exchanges are known");
-        cx.tries.push(Try { node, sent: now, out: true, may_have_run: true });
+    fn send(&mut self, now: Nanos, request: RequestId, node: Node) {
+        let state = self.requests.get_mut(&request).expect("a dispatched request is known");
+        state.attempts.push(Attempt { node, sent_at: now, in_flight: true, may_have_run: true });
         self.nodes[node].1 += 1;
-        self.host.send(xchg, node, cx.ends - now);
+        self.host.send(request, node, state.deadline - now);
     }
 
-    fn conclude(&mut self, xchg: RequestId) {
-        let cx = self.xchgs.get_mut(&xchg).expect("concluded exchanges are known");
-        cx.over = true;
-        let ran = cx.tries.iter().any(|t| t.may_have_run);
-        let repeat = self.routes[cx.ask.route].retry_safety;
-        if !ran || matches!(repeat, RetrySafety::Retriable | RetrySafety::Deduped(DedupScope::Fleet)) {
-            self.host.shed(xchg, 0);
+    fn reject(&mut self, request: RequestId) {
+        let state = self.requests.get_mut(&request).expect("a rejected request is known");
+        state.finished = true;
+        let may_have_run = state.attempts.iter().any(|t| t.may_have_run);
+        let retry_safety = self.routes[state.params.route].retry_safety;
+        if !may_have_run
+            || matches!(retry_safety, RetrySafety::Retriable | RetrySafety::Deduped(DedupScope::Fleet))
+        {
+            self.host.shed(request, 0);
         } else {
-            self.host.error(xchg);
+            self.host.error(request);
         }
-        self.settle(xchg);
+        self.release_if_finished(request);
     }
 
-    fn settle(&mut self, xchg: RequestId) {
-        let cx = &self.xchgs[&xchg];
-        if cx.over && !cx.tries.iter().any(|t| t.out) {
-            self.xchgs.remove(&xchg);
-            self.host.release_request(xchg);
+    fn release_if_finished(&mut self, request: RequestId) {
+        let state = &self.requests[&request];
+        if state.finished && !state.attempts.iter().any(|t| t.in_flight) {
+            self.requests.remove(&request);
+            self.host.release_request(request);
         }
     }
 }
 
 impl<H: Host + Send> Policy<H> for Baseline<H> {
-    fn arrived(&mut self, now: Nanos, xchg: RequestId, ask: RequestParams) {
-        self.xchgs.insert(xchg, Cx { ask, ends: now + ask.client_timeout, tries: Vec::new(), over: false });
-        self.place(now, xchg);
-    }
-
-    fn ended(&mut self, now: Nanos, xchg: RequestId, try_no: usize, outcome: Outcome, over: bool) {
-        let Some(cx) = self.xchgs.get_mut(&xchg) else { return };
-        let Some(this) = cx.tries.get_mut(try_no).filter(|t| t.out) else { return };
-        this.out = false;
-        this.may_have_run = !outcome.never_ran();
-        cx.over |= over;
-        let (node, at_origin) = (this.node, Some(this.node) == self.origin);
-        let lost = outcome == Outcome::Unsent || at_origin && outcome == Outcome::Saturated;
-        let over = cx.over;
+    fn request_arrived(&mut self, now: Nanos, request: RequestId, params: RequestParams) {
+        self.requests.insert(
+            request,
+            RequestState {
+                params,
+                deadline: now + params.client_timeout,
+                attempts: Vec::new(),
+                finished: false,
+            },
+        );
+        self.dispatch(now, request);
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        finished: bool,
+    ) {
+        let Some(state) = self.requests.get_mut(&request) else { return };
+        let Some(ended) = state.attempts.get_mut(attempt).filter(|t| t.in_flight) else { return };
+        ended.in_flight = false;
+        ended.may_have_run = !outcome.never_ran();
+        state.finished |= finished;
+        let (node, at_origin) = (ended.node, Some(ended.node) == self.origin);
+        let not_retried = outcome == Outcome::Unsent || at_origin && outcome == Outcome::Saturated;
+        let finished = state.finished;
         self.nodes[node].1 -= 1;
-        if over {
-            self.settle(xchg);
-        } else if lost || self.xchgs[&xchg].tries.iter().any(|t| t.out) {
-            self.conclude(xchg);
+        if finished {
+            self.release_if_finished(request);
+        } else if not_retried || self.requests[&request].attempts.iter().any(|t| t.in_flight) {
+            self.reject(request);
         } else {
-            self.place(now, xchg);
+            self.dispatch(now, request);
         }
     }
 
-    fn dropped(&mut self, _now: Nanos, xchg: RequestId) {
-        if let Some(cx) = self.xchgs.get_mut(&xchg) {
-            cx.over = true;
-            self.settle(xchg);
+    fn request_cancelled(&mut self, _now: Nanos, request: RequestId) {
+        if let Some(state) = self.requests.get_mut(&request) {
+            state.finished = true;
+            self.release_if_finished(request);
         }
     }
 
-    fn woke(&mut self, now: Nanos, token: u64) {
+    fn timer_fired(&mut self, now: Nanos, token: u64) {
         if token == TICK_TOKEN {
-            self.host.set_timer(now + TICK, TICK_TOKEN);
-            if self.asks_list && self.follow_at <= now {
-                self.follow_at = Nanos::MAX;
+            self.host.set_timer(now + TICK_INTERVAL, TICK_TOKEN);
+            if self.polls_list && self.watch_at <= now {
+                self.watch_at = Nanos::MAX;
                 self.host.watch_node_list();
             }
         }
     }
 
-    fn listed(&mut self, _now: Nanos, node: Node, listed: ListedNode) {
+    fn node_listed(&mut self, _now: Nanos, node: Node, listed: ListedNode) {
         self.nodes.resize(self.nodes.len().max(node + 1), (ListedNode::default(), 0));
         self.nodes[node].0 = listed;
         self.origin = listed.origin.then_some(node).or(self.origin);
     }
 
-    fn listed_all(&mut self, named: &[Node]) {
-        for node in (0..self.nodes.len()).filter(|node| !named.contains(node)) {
+    fn list_completed(&mut self, listed_nodes: &[Node]) {
+        for node in (0..self.nodes.len()).filter(|node| !listed_nodes.contains(node)) {
             self.nodes[node].0.status = NodeStatus::Gone;
         }
     }
 
-    fn list_failed(&mut self, now: Nanos) {
-        self.follow_at = now + 10 * TICK;
+    fn list_request_failed(&mut self, now: Nanos) {
+        self.watch_at = now + 10 * TICK_INTERVAL;
     }
 
-    fn probed(&mut self, _node: Node, _outcome: Outcome) {}
+    fn probe_finished(&mut self, _node: Node, _outcome: Outcome) {}
 
     fn host(&mut self) -> &mut H {
         &mut self.host
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::results::Results;
 use crate::rig::{self, Programs, plan::Plan};
 use crate::scale;
-use crate::scenario::{self, Text};
+use crate::scenario::{self, ScenarioSource};
 use crate::{compare, hunt, policy, real, report, sweep, virt};
 use anyhow::{Context, Result, bail, ensure};
 use lexopt::prelude::*;
@@ -53,11 +53,11 @@
 that is not usable 3.";
 
 /// Days of a hunt, and seeds, where the call has none.
-const RUNS: u64 = 100;
-const SEEDS: u64 = 10;
+const DEFAULT_RUNS: u64 = 100;
+const DEFAULT_SEEDS: u64 = 10;
 
 #[derive(Default)]
-struct Call {
+struct Options {
     command: Option<String>,
     path: Option<PathBuf>,
     clock: Option<String>,
@@ -76,21 +76,21 @@
 }
 
 pub fn main() -> Result<ExitCode> {
-    let call = parse(lexopt::Parser::from_env())?;
-    if let Some(threads) = call.threads {
+    let options = parse(lexopt::Parser::from_env())?;
+    if let Some(threads) = options.threads {
         rayon::ThreadPoolBuilder::new().num_threads(threads).build_global().context("--threads")?;
     }
-    match call.command.as_deref() {
-        Some("list") => list(call.path.as_deref().unwrap_or(Path::new("scenarios"))),
-        Some("run") => run(&call),
-        Some("compare") => compare(&call),
-        Some("sweep") => sweep(&call),
-        Some("hunt") => hunt(&call),
-        Some("fleet") => fleet(&call),
-        Some("capacity") => capacity(&call),
-        Some("scale") => scale(&call),
+    match options.command.as_deref() {
+        Some("list") => list(options.path.as_deref().unwrap_or(Path::new("scenarios"))),
+        Some("run") => run(&options),
+        Some("compare") => compare(&options),
+        Some("sweep") => sweep(&options),
+        Some("hunt") => hunt(&options),
+        Some("fleet") => fleet(&options),
+        Some("capacity") => capacity(&options),
+        Some("scale") => scale(&options),
         Some("help") => {
-            say(&format!("{HELP}\n"));
+            print(&format!("{HELP}\n"));
             Ok(ExitCode::SUCCESS)
         }
         Some(other) => bail!("unknown command {other:?}; see pumicebay-lab help"),
@@ -98,12 +98,12 @@
     }
 }
 
-fn parse(mut args: lexopt::Parser) -> Result<Call> {
-    let mut call = Call::default();
+fn parse(mut args: lexopt::Parser) -> Result<Options> {
+    let mut options = Options::default();
     while let Some(arg) = args.next()? {
         match arg {
-            Long("clock") => call.clock = Some(args.value()?.string()?),
-            Long("seed") => call.seed = Some(args.value()?.parse()?),
+            Long("clock") => options.clock = Some(args.value()?.string()?),
+            Long("seed") => options.seed = Some(args.value()?.parse()?),
             Long("seeds") => {
                 let text = args.value()?.string()?;
                 match text.split_once("..") {
@@ -115,48 +115,48 @@
                         };
                         let (first, last) = (number(first)?, number(last)?);
                         ensure!(first <= last, "--seeds: expected A..B with A no higher than B");
-                        (call.seed, call.seeds) = (Some(first), Some(last - first + 1));
+                        (options.seed, options.seeds) = (Some(first), Some(last - first + 1));
                     }
                     None => {
                         let count = text
                             .parse()
                             .with_context(|| format!("--seeds: expected a count, found {text:?}"))?;
-                        call.seeds = Some(count);
+                        options.seeds = Some(count);
                     }
                 }
             }
-            Long("runs") => call.runs = Some(args.value()?.parse()?),
-            Long("policy") => call.policy = Some(args.value()?.string()?),
-            Long("proxy") => call.proxy = Some(args.value()?.string()?),
-            Long("json") => call.json = Some(args.value()?.into()),
-            Long("report") => call.report = Some(args.value()?.into()),
-            Long("slopes") => call.slopes = Some(args.value()?.into()),
-            Long("page") => call.page = Some(args.value()?.into()),
-            Long("check") => call.check = true,
-            Long("threads") => call.threads = Some(args.value()?.parse()?),
+            Long("runs") => options.runs = Some(args.value()?.parse()?),
+            Long("policy") => options.policy = Some(args.value()?.string()?),
+            Long("proxy") => options.proxy = Some(args.value()?.string()?),
+            Long("json") => options.json = Some(args.value()?.into()),
+            Long("report") => options.report = Some(args.value()?.into()),
+            Long("slopes") => options.slopes = Some(args.value()?.into()),
+            Long("page") => options.page = Some(args.value()?.into()),
+            Long("check") => options.check = true,
+            Long("threads") => options.threads = Some(args.value()?.parse()?),
             Long("set") => {
                 let text = args.value()?.string()?;
                 let (key, value) = text.split_once('=').context("--set: expected KEY=VALUE")?;
-                call.set.push((key.into(), value.into()));
+                options.set.push((key.into(), value.into()));
             }
-            Short('h') | Long("help") => call.command = Some("help".into()),
-            Value(word) if call.command.is_none() => call.command = Some(word.string()?),
-            Value(path) if call.path.is_none() => call.path = Some(path.into()),
+            Short('h') | Long("help") => options.command = Some("help".into()),
+            Value(word) if options.command.is_none() => options.command = Some(word.string()?),
+            Value(path) if options.path.is_none() => options.path = Some(path.into()),
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(call)
+    Ok(options)
 }
 
-impl Call {
+impl Options {
     fn path(&self) -> Result<&Path> {
         self.path.as_deref().context("no scenario; see pumicebay-lab list")
     }
 
     fn read(&self) -> Result<Scenario> {
-        let mut day = scenario::read(self.path()?, &self.set)?;
-        day.seed = self.seed.unwrap_or(day.seed);
-        Ok(day)
+        let mut scenario = scenario::read(self.path()?, &self.set)?;
+        scenario.seed = self.seed.unwrap_or(scenario.seed);
+        Ok(scenario)
     }
 
     fn real(&self) -> Result<bool> {
@@ -169,19 +169,19 @@
 
     fn policy(&self) -> Result<&str> {
         let name = self.policy.as_deref().unwrap_or("pumicebay");
-        policy::named(name).context("--policy")?;
+        policy::parse(name).context("--policy")?;
         Ok(name)
     }
 
     fn seeds(&self) -> Result<u64> {
-        let seeds = self.seeds.unwrap_or(SEEDS);
+        let seeds = self.seeds.unwrap_or(DEFAULT_SEEDS);
         ensure!(seeds > 0, "--seeds: expected 1 or more");
         Ok(seeds)
     }
 }
 
 /// A reader that has seen enough ends nothing.
-fn say(text: &str) {
+fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -197,44 +197,49 @@
     paths.sort();
     for path in paths {
         let line = match scenario::read(&path, &[]) {
-            Ok(day) => day.description,
+            Ok(scenario) => scenario.description,
             Err(error) => format!("can't be read: {error:#}"),
         };
-        say(&format!("{:<32} {line}\n", path.display().to_string()));
+        print(&format!("{:<32} {line}\n", path.display().to_string()));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn run(call: &Call) -> Result<ExitCode> {
-    let (day, policy) = (call.read()?, call.policy()?);
-    let progress = Progress::new(&day.name, 1);
-    let shows = |part| progress.at(part);
-    let results = if call.real()? {
+fn run(options: &Options) -> Result<ExitCode> {
+    let (scenario, policy) = (options.read()?, options.policy()?);
+    let progress = Progress::new(&scenario.name, 1);
+    let show_progress = |fraction| progress.set(fraction);
+    let results = if options.real()? {
         ensure!(policy == "pumicebay", "--policy: baselines are played in virtual time only");
-        real::play(&day, day.seed, call.proxy.as_ref().map(PathBuf::from).as_ref(), &shows)?
+        real::play(
+            &scenario,
+            scenario.seed,
+            options.proxy.as_ref().map(PathBuf::from).as_ref(),
+            &show_progress,
+        )?
     } else {
-        ensure!(call.proxy.is_none(), "--proxy: goes with --clock real");
-        virt::play(&day, policy, day.seed, &shows)?
+        ensure!(options.proxy.is_none(), "--proxy: goes with --clock real");
+        virt::play(&scenario, policy, scenario.seed, &show_progress)?
     };
     drop(progress);
-    say(&results.table());
-    if let Some(path) = &call.json {
+    print(&results.table());
+    if let Some(path) = &options.json {
         write(path, &(serde_json::to_string_pretty(&results)? + "\n"))?;
     }
     // A day on sockets leaves a report in any case: it can't be played again to the letter.
-    let place = std::env::temp_dir().join(format!("pumicebay-{}.html", day.name));
-    let path = call.report.as_ref().or(call.real()?.then_some(&place));
+    let default_path = std::env::temp_dir().join(format!("pumicebay-{}.html", scenario.name));
+    let path = options.report.as_ref().or(options.real()?.then_some(&default_path));
     if let Some(path) = path {
         write(path, &report::html(&results)?)?;
-        say(&format!("  report: {}\n", path.display()));
+        print(&format!("  report: {}\n", path.display()));
     }
-    Ok(code(&[results]))
+    Ok(exit_code(&[results]))
 }
 
-fn code(days: &[Results]) -> ExitCode {
-    if days.iter().any(|day| !day.rules_kept()) {
+fn exit_code(runs: &[Results]) -> ExitCode {
+    if runs.iter().any(|scenario| !scenario.rules_kept()) {
         ExitCode::from(1)
-    } else if days.iter().any(|day| !day.usable) {
+    } else if runs.iter().any(|scenario| !scenario.usable) {
         ExitCode::from(3)
     } else {
         ExitCode::SUCCESS
@@ -242,116 +247,116 @@
 }
 
 /// The first name's own days decide the exit code: the others are there to be compared with.
-fn compare(call: &Call) -> Result<ExitCode> {
-    let (day, seeds) = (call.read()?, call.seeds()?);
+fn compare(options: &Options) -> Result<ExitCode> {
+    let (scenario, seeds) = (options.read()?, options.seeds()?);
     let names = |text: &str| text.split(',').map(str::to_string).collect::<Vec<_>>();
-    let (names, days) = if call.real()? {
-        let proxies = names(call.proxy.as_deref().context("--proxy: expected paths, as A,B")?);
-        let days = compare::builds(&day, &proxies, seeds)?;
-        (proxies, days)
+    let (names, runs) = if options.real()? {
+        let proxies = names(options.proxy.as_deref().context("--proxy: expected paths, as A,B")?);
+        let runs = compare::builds(&scenario, &proxies, seeds)?;
+        (proxies, runs)
     } else {
-        let policies = names(call.policy.as_deref().context("--policy: expected names, as A,B")?);
-        let days = compare::days(&day, &policies, seeds)?;
-        (policies, days)
+        let policies = names(options.policy.as_deref().context("--policy: expected names, as A,B")?);
+        let runs = compare::policies(&scenario, &policies, seeds)?;
+        (policies, runs)
     };
-    say(&compare::table(&names, &days));
-    Ok(code(&days[0]))
+    print(&compare::table(&names, &runs));
+    Ok(exit_code(&runs[0]))
 }
 
-fn sweep(call: &Call) -> Result<ExitCode> {
-    ensure!(!call.set.is_empty(), "--set: expected KEY=V1,V2,...");
-    let (text, policy) = (Text::read(call.path()?)?, call.policy()?);
+fn sweep(options: &Options) -> Result<ExitCode> {
+    ensure!(!options.set.is_empty(), "--set: expected KEY=V1,V2,...");
+    let (text, policy) = (ScenarioSource::read(options.path()?)?, options.policy()?);
     let values = |(key, values): &(String, String)| {
         (key.clone(), values.split(',').map(str::to_string).collect::<Vec<_>>())
     };
-    let set: Vec<_> = call.set.iter().map(values).collect();
-    let points = sweep::play(&text, &set, policy, call.seeds()?, call.seed)?;
-    say(&sweep::table(&points));
-    if let Some(path) = &call.report {
-        let name = call.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+    let set: Vec<_> = options.set.iter().map(values).collect();
+    let points = sweep::play(&text, &set, policy, options.seeds()?, options.seed)?;
+    print(&sweep::table(&points));
+    if let Some(path) = &options.report {
+        let name = options.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         write(path, &report::sweep_html(&name, policy, &points)?)?;
-        say(&format!("report: {}\n", path.display()));
+        print(&format!("report: {}\n", path.display()));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn hunt(call: &Call) -> Result<ExitCode> {
-    let (text, policy) = (Text::read(call.path()?)?, call.policy()?);
-    let found = hunt::hunt(&text, policy, call.runs.unwrap_or(RUNS), call.seed)?;
+fn hunt(options: &Options) -> Result<ExitCode> {
+    let (text, policy) = (ScenarioSource::read(options.path()?)?, options.policy()?);
+    let found = hunt::hunt(&text, policy, options.runs.unwrap_or(DEFAULT_RUNS), options.seed)?;
     let folder = Path::new("found");
     std::fs::create_dir_all(folder).context("found")?;
-    let stem = call.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+    let stem = options.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     let path = folder.join(format!("{stem}-{policy}-{}.toml", found.results.seed));
     write(&path, &found.text)?;
-    say(&found.results.table());
+    print(&found.results.table());
     let (before, after) = found.changes;
-    say(&format!(
+    print(&format!(
         "loses {:.3} ({:.3} before it was cut down from {before} changes to {after}): {}\n",
         found.loss,
-        found.whole_loss,
+        found.unreduced_loss,
         path.display()
     ));
-    if let Some(path) = &call.json {
+    if let Some(path) = &options.json {
         write(path, &(serde_json::to_string_pretty(&found.results)? + "\n"))?;
     }
-    Ok(code(&[found.results]))
+    Ok(exit_code(&[found.results]))
 }
 
 /// Plays a fleet's plan under one seed or several; exit code 1 where anything went wrong.
-fn fleet(call: &Call) -> Result<ExitCode> {
-    let plan = Plan::read(call.path()?)?;
-    let (first, count) = (call.seed.unwrap_or(1), call.seeds.unwrap_or(1));
+fn fleet(options: &Options) -> Result<ExitCode> {
+    let plan = Plan::read(options.path()?)?;
+    let (first, count) = (options.seed.unwrap_or(1), options.seeds.unwrap_or(1));
     // Processes are what a fleet is about: virtual time has to be asked for.
-    let real = call.clock.is_none() || call.real()?;
+    let real = options.clock.is_none() || options.real()?;
     let lab = std::env::current_exe().context("this program's own path")?;
-    let programs = Programs { proxy: call.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
-    let mut wrong = 0;
+    let programs = Programs { proxy: options.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
+    let mut failures = 0;
     for seed in first..first.saturating_add(count) {
         if !real {
             let found = rig::virt::play(&plan, seed);
-            say(&found.summary());
-            wrong += found.wrong();
+            print(&found.summary());
+            failures += found.wrong();
             continue;
         }
         let outcome = rig::play(&plan.drawn(seed), seed, &programs)?;
-        say(&outcome.summary());
+        print(&outcome.summary());
         // Of several seeds, the first that went wrong is kept, or the last.
-        if wrong == 0 {
-            if let Some(file) = &call.json {
+        if failures == 0 {
+            if let Some(file) = &options.json {
                 std::fs::write(file, serde_json::to_string_pretty(&outcome)?).context("--json")?;
             }
-            if let Some(file) = &call.report {
+            if let Some(file) = &options.report {
                 std::fs::write(file, rig::report::page(&outcome)).context("--report")?;
             }
         }
-        wrong += usize::from(!outcome.wrong.is_empty());
+        failures += usize::from(!outcome.wrong.is_empty());
     }
-    Ok(if wrong > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS })
+    Ok(if failures > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
 
 /// The tables of the size in two years, or the measures that some of its slopes come from. `--check` compares and changes
 /// nothing.
-fn capacity(call: &Call) -> Result<ExitCode> {
-    let words = call.path.as_deref().and_then(Path::to_str);
-    let tables = call.check || call.page.is_some();
-    ensure!(words.is_none() || !tables, "--page, --check: do not go with measure");
-    match words {
+fn capacity(options: &Options) -> Result<ExitCode> {
+    let subcommand = options.path.as_deref().and_then(Path::to_str);
+    let tables = options.check || options.page.is_some();
+    ensure!(subcommand.is_none() || !tables, "--page, --check: do not go with measure");
+    match subcommand {
         Some("measure") => {
             let own = std::env::current_exe().context("this program's own path")?;
-            let program = call.proxy.as_ref().map_or(own, PathBuf::from);
+            let program = options.proxy.as_ref().map_or(own, PathBuf::from);
             let measures = capacity::measure::measure(&program, |line| eprintln!("{line}"))?;
-            say(&measures.table());
-            if let Some(file) = &call.json {
+            print(&measures.table());
+            if let Some(file) = &options.json {
                 write(file, &(serde_json::to_string_pretty(&measures)? + "\n"))?;
             }
             return Ok(ExitCode::SUCCESS);
         }
         Some("measure-voters") => {
             let lab = std::env::current_exe().context("this program's own path")?;
-            let programs = Programs { proxy: call.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
+            let programs = Programs { proxy: options.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
             let voters = capacity::measure::voters(&programs, |line| eprintln!("{line}"))?;
-            say(&capacity::measure::voters_table(&voters));
-            if let Some(file) = &call.json {
+            print(&capacity::measure::voters_table(&voters));
+            if let Some(file) = &options.json {
                 write(file, &(serde_json::to_string_pretty(&voters)? + "\n"))?;
             }
             return Ok(ExitCode::SUCCESS);
@@ -359,30 +364,30 @@
         Some(other) => bail!("capacity: expected measure, measure-voters or nothing, found {other:?}"),
         None => {}
     }
-    let slopes = call.slopes.as_deref().unwrap_or(Path::new(capacity::SLOPES));
+    let slopes = options.slopes.as_deref().unwrap_or(Path::new(capacity::SLOPES));
     let file = capacity::slopes::File::read(slopes)?;
-    match (&call.page, call.check) {
+    match (&options.page, options.check) {
         (page, true) => capacity::check(page.as_deref().unwrap_or(Path::new(capacity::PAGE)), &file)?,
         (Some(page), false) => write(page, &capacity::page(&capacity::read(page)?, &file)?)?,
         (None, false) => capacity::tables::all(&file)
             .iter()
-            .for_each(|(name, table)| say(&format!("## {name}\n\n{table}\n"))),
+            .for_each(|(name, table)| print(&format!("## {name}\n\n{table}\n"))),
     }
     Ok(ExitCode::SUCCESS)
 }
 
 /// Plays a whole fleet that takes its configuration by the carrier; exit code 1 where anything went wrong.
-fn scale(call: &Call) -> Result<ExitCode> {
-    let (first, count) = (call.seed.unwrap_or(1), call.seeds.unwrap_or(1));
+fn scale(options: &Options) -> Result<ExitCode> {
+    let (first, count) = (options.seed.unwrap_or(1), options.seeds.unwrap_or(1));
     ensure!(count > 0, "--seeds: expected 1 or more");
-    let wants = scale::Wants {
-        real: call.real()?,
-        set: &call.set,
-        json: call.json.as_deref(),
-        report: call.report.as_deref(),
+    let scale_options = scale::Wants {
+        real: options.real()?,
+        set: &options.set,
+        json: options.json.as_deref(),
+        report: options.report.as_deref(),
     };
     let seeds = first..=first.saturating_add(count - 1);
-    let path = call.path.as_deref().context("no plan; see scenarios/scale")?;
-    let well = scale::command(path, seeds, &wants, &say)?;
-    Ok(if well { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    let path = options.path.as_deref().context("no plan; see scenarios/scale")?;
+    let passed = scale::command(path, seeds, &scale_options, &print)?;
+    Ok(if passed { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 
 /// Plays the scenario with each policy and seed, over the cores; by policy, then seed.
-pub fn days(scenario: &Scenario, policies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
+pub fn policies(scenario: &Scenario, policies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let pairs: Vec<(usize, u64)> = (0..policies.len())
         .flat_map(|policy| (0..seeds).map(move |seed| (policy, scenario.seed + seed)))
         .collect();
@@ -20,7 +20,7 @@
         .par_iter()
         .map(|&(policy, seed)| {
             let results = virt::play(scenario, &policies[policy], seed, &|_| {});
-            progress.step();
+            progress.finish_run();
             results
         })
         .collect();
@@ -32,10 +32,10 @@
 /// one has its proxies be a fleet, `+replication` one that replicates too.
 pub fn builds(scenario: &Scenario, proxies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let progress = Progress::new(&scenario.name, proxies.len() * seeds as usize);
-    let mut days: Vec<Vec<Results>> = proxies.iter().map(|_| Vec::new()).collect();
+    let mut runs: Vec<Vec<Results>> = proxies.iter().map(|_| Vec::new()).collect();
     // Seed by seed, so that what the machine does meanwhile meets all builds alike.
     for seed in 0..seeds {
-        for (proxy, played) in proxies.iter().zip(&mut days) {
+        for (proxy, played) in proxies.iter().zip(&mut runs) {
             let (proxy, replication) = match proxy.strip_suffix("+replication") {
                 Some(proxy) => (proxy, true),
                 None => (proxy.as_str(), scenario.proxies.replication),
@@ -45,18 +45,18 @@
                 None => (proxy, scenario.proxies.fleet || replication),
             };
             let path = (proxy != "self").then(|| PathBuf::from(proxy));
-            let mut day = scenario.clone();
-            (day.proxies.fleet, day.proxies.replication) = (fleet, replication);
-            ensure!(!fleet || day.proxies.count >= 3, "+fleet: expected three proxies or more");
-            played.push(real::play(&day, scenario.seed + seed, path.as_ref(), &|_| {})?);
-            progress.step();
+            let mut build_scenario = scenario.clone();
+            (build_scenario.proxies.fleet, build_scenario.proxies.replication) = (fleet, replication);
+            ensure!(!fleet || build_scenario.proxies.count >= 3, "+fleet: expected three proxies or more");
+            played.push(real::play(&build_scenario, scenario.seed + seed, path.as_ref(), &|_| {})?);
+            progress.finish_run();
         }
     }
-    Ok(days)
+    Ok(runs)
 }
 
 /// A row for each policy: its figures, and the paired difference of the first from it.
-pub fn table(policies: &[String], days: &[Vec<Results>]) -> String {
+pub fn table(policies: &[String], runs: &[Vec<Results>]) -> String {
     let mut text = String::new();
     let first = &policies[0];
     let _ = writeln!(
@@ -64,39 +64,43 @@
         "| policy | payoff | worst 10 s | hit rate | origin/s | tries | p50, p99 ms | {first} gains (95%) | rules broken |"
     );
     let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (name, played) in policies.iter().zip(days) {
+    for (name, played) in policies.iter().zip(runs) {
         let mean =
             |figure: fn(&Results) -> f64| Mean::of(&played.iter().map(figure).collect::<Vec<_>>()).mean;
-        let shares = |played: &[Results]| played.iter().map(|day| day.share).collect::<Vec<f64>>();
-        let gain = Mean::paired(&shares(&days[0]), &shares(played));
+        let shares = |played: &[Results]| played.iter().map(|run| run.share).collect::<Vec<f64>>();
+        let gain = Mean::paired(&shares(&runs[0]), &shares(played));
         let broken: Vec<String> = (1..5)
             .chain([0])
             .filter_map(|rule: usize| {
-                let count: u64 = played.iter().map(|day| day.rules_broken[rule]).sum();
+                let count: u64 = played.iter().map(|run| run.violations_by_rule[rule]).sum();
                 (count > 0).then(|| format!("{rule}: {count}x"))
             })
             .collect();
-        let gain = if std::ptr::eq(played, &days[0]) {
+        let gain = if std::ptr::eq(played, &runs[0]) {
             "-".to_string()
         } else {
-            format!("{:+.4} ±{:.4}", gain.mean, gain.half)
+            format!("{:+.4} ±{:.4}", gain.mean, gain.half_width)
         };
         // Of the first route, and as a part of what the first policy takes: the median day of those with the same seeds.
-        let part = |figure: fn(&Results) -> f64| {
-            let mut parts: Vec<f64> =
-                played.iter().zip(&days[0]).map(|(day, first)| figure(day) / figure(first)).collect();
-            parts.sort_by(f64::total_cmp);
-            format!("{:.2} (x{:.3})", mean(figure), parts.get(parts.len() / 2).copied().unwrap_or(f64::NAN))
+        let with_ratio = |figure: fn(&Results) -> f64| {
+            let mut ratios: Vec<f64> =
+                played.iter().zip(&runs[0]).map(|(run, first)| figure(run) / figure(first)).collect();
+            ratios.sort_by(f64::total_cmp);
+            format!("{:.2} (x{:.3})", mean(figure), ratios.get(ratios.len() / 2).copied().unwrap_or(f64::NAN))
         };
-        let latency = format!("{}, {}", part(|day| day.latency[0].p50_ms), part(|day| day.latency[0].p99_ms));
+        let latency = format!(
+            "{}, {}",
+            with_ratio(|run| run.latency[0].p50_ms),
+            with_ratio(|run| run.latency[0].p99_ms)
+        );
         let _ = writeln!(
             text,
             "| {name} | {:.3} | {:.3} | {:.3} | {:.1} | {:.3} | {latency} | {gain} | {} |",
-            mean(|day| day.share),
-            mean(|day| day.worst_ten_seconds),
-            mean(|day| day.hit_rate),
-            mean(|day| day.fetches_per_second),
-            mean(|day| day.tries_per_exchange),
+            mean(|run| run.share),
+            mean(|run| run.worst_ten_seconds),
+            mean(|run| run.hit_rate),
+            mean(|run| run.fetches_per_second),
+            mean(|run| run.attempts_per_request),
             if broken.is_empty() { "none".to_string() } else { broken.join(", ") },
         );
     }
--- a/crates/lab/src/operator_command.rs
+++ b/crates/lab/src/operator_command.rs
@@ -6,22 +6,22 @@
 use tokio::process::Command;
 use tokio::time::{Instant, sleep, timeout_at};
 
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// `pumicebay fleet WORDS --config FILE`, by this program.
-pub async fn fleet(program: &Path, words: &[&str], config: &Path, within: Duration) -> Result<()> {
-    let until = Instant::now() + within;
+pub async fn fleet(program: &Path, words: &[&str], config: &Path, time_limit: Duration) -> Result<()> {
+    let deadline = Instant::now() + time_limit;
     loop {
         let mut command = Command::new(program);
         command.args(["as-proxy", "fleet"]).args(words).arg("--config").arg(config).kill_on_drop(true);
-        let said = timeout_at(until, command.output()).await;
-        let output = said.with_context(|| format!("fleet {}: not done in time", words.join(" ")))??;
+        let result = timeout_at(deadline, command.output()).await;
+        let output = result.with_context(|| format!("fleet {}: not done in time", words.join(" ")))??;
         if output.status.success() {
             return Ok(());
         }
-        if Instant::now() + AGAIN > until {
+        if Instant::now() + RETRY_INTERVAL > deadline {
             bail!("fleet {}: {}", words.join(" "), String::from_utf8_lossy(&output.stderr));
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -17,8 +17,8 @@
 }
 
 /// The object `settings` of a proxy's configuration.
-pub fn settings(day: &Scenario, me: usize) -> Json {
-    let routes = day.route.iter().map(|route| {
+pub fn settings(scenario: &Scenario, index: usize) -> Json {
+    let routes = scenario.route.iter().map(|route| {
         json!({
             "name": route.name,
             "effect": match route.retry_safety {
@@ -34,34 +34,35 @@
         })
     });
     let routes: Vec<Json> = routes.collect();
-    let tenants = day.tenant.iter().map(|tenant| json!({"name": tenant.name, "quota-per-s": tenant.quota}));
+    let tenants =
+        scenario.tenant.iter().map(|tenant| json!({"name": tenant.name, "quota-per-s": tenant.quota}));
     let tenants: Vec<Json> = tenants.collect();
     json!({
-        "discovery": match day.discovery.mode { DiscoveryMode::Push => "push", DiscoveryMode::Poll => "ask" },
+        "discovery": match scenario.discovery.mode { DiscoveryMode::Push => "push", DiscoveryMode::Poll => "ask" },
         "domain": {"mode": "aside", "origin-kind": 1},
-        "fleet-size": if day.proxies.configured_count > 0 {
-            day.proxies.configured_count
+        "fleet-size": if scenario.proxies.configured_count > 0 {
+            scenario.proxies.configured_count
         } else {
-            day.proxies.count
+            scenario.proxies.count
         },
-        "me": me,
+        "me": index,
         "skus": [CACHE, ORIGIN],
-        "failure-domains": (0..day.nodes.zones).map(zone).collect::<Vec<_>>(),
+        "failure-domains": (0..scenario.nodes.zones).map(zone).collect::<Vec<_>>(),
         "orgs": tenants,
         "permissions": {
-            "may-probe": day.proxies.probes,
-            "retry-after": day.proxies.retry_after,
-            "most-upstream-tries": day.proxies.max_attempts,
-            "conn-idle-us": micros(day.nodes.idle_timeout_seconds * 1000.0),
+            "may-probe": scenario.proxies.probes,
+            "retry-after": scenario.proxies.retry_after,
+            "most-upstream-tries": scenario.proxies.max_attempts,
+            "conn-idle-us": micros(scenario.nodes.idle_timeout_seconds * 1000.0),
             "connect-timeout-us": micros(CONNECT_MS),
         },
         "routes": Json::Array(routes),
         "rules": {
-            "cold-us": micros(day.nodes.warm_up_seconds * 1000.0),
-            "fall-us": micros(day.nodes.overload_window_seconds * 1000.0),
-            "fall-multiple": day.nodes.overload_multiple,
-            "start-capacity": day.nodes.start_capacity,
-            "drain-grace-us": micros(day.nodes.drain_grace_ms),
+            "cold-us": micros(scenario.nodes.warm_up_seconds * 1000.0),
+            "fall-us": micros(scenario.nodes.overload_window_seconds * 1000.0),
+            "fall-multiple": scenario.nodes.overload_multiple,
+            "start-capacity": scenario.nodes.start_capacity,
+            "drain-grace-us": micros(scenario.nodes.drain_grace_ms),
         },
         "telemetry": {"columns": [], "via": "silent"},
     })
--- a/crates/lab/src/progress.rs
+++ b/crates/lab/src/progress.rs
@@ -3,34 +3,34 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 
-const STEPS: f64 = 1000.0;
+const STEPS_PER_RUN: f64 = 1000.0;
 
 pub struct Progress(Option<ProgressBar>);
 
 impl Progress {
     /// Over so many days.
-    pub fn new(what: &str, days: usize) -> Progress {
+    pub fn new(label: &str, runs: usize) -> Progress {
         if !std::io::stderr().is_terminal() {
             return Progress(None);
         }
-        let bar = ProgressBar::new((days as f64 * STEPS) as u64);
+        let bar = ProgressBar::new((runs as f64 * STEPS_PER_RUN) as u64);
         let style = ProgressStyle::with_template("{msg} {wide_bar} {percent}% {eta}");
         bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-        bar.set_message(what.to_string());
+        bar.set_message(label.to_string());
         Progress(Some(bar))
     }
 
     /// Part of one day is over.
-    pub fn at(&self, part: f64) {
+    pub fn set(&self, fraction: f64) {
         if let Some(bar) = &self.0 {
-            bar.set_position((part * STEPS) as u64);
+            bar.set_position((fraction * STEPS_PER_RUN) as u64);
         }
     }
 
     /// One of many days is over.
-    pub fn step(&self) {
+    pub fn finish_run(&self) {
         if let Some(bar) = &self.0 {
-            bar.inc(STEPS as u64);
+            bar.inc(STEPS_PER_RUN as u64);
         }
     }
 }
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -1,12 +1,12 @@
 //! What all stand-ins share: the model's nodes, origin and list, the auditor and the counts, behind one lock
 //! that is never held while anything waits. One task is the clock of all jobs.
 
-use crate::audit::{Auditor, Final};
-use crate::metrics::{End, Tally};
+use crate::audit::{Auditor, FinalAnswer};
+use crate::metrics::{OperationOutcome, RunMetrics};
 use crate::platform;
 use crate::real::stand_ins;
-use crate::simulated_proxy::uid;
-use crate::world::warm;
+use crate::simulated_proxy::node_uid;
+use crate::world::warm_keys;
 use anyhow::Result;
 use hashbrown::HashMap;
 use pumicebay_model::faults::{WorldChange, initially_absent_nodes};
@@ -49,7 +49,7 @@
     xchgs: HashMap<JobId, u64>,
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
-    tally: Tally,
+    tally: RunMetrics,
     fallen: Vec<usize>,
     last: JobId,
 }
@@ -94,7 +94,7 @@
 
     fn execution_started(&mut self, job: JobId) {
         if let Some(&xchg) = self.desk.xchgs.get(&job) {
-            self.desk.auditor.ran(self.desk.now, xchg, self.cache);
+            self.desk.auditor.executed(self.desk.now, xchg, self.cache);
         }
     }
 
@@ -120,7 +120,7 @@
             xchgs: HashMap::new(),
             timers,
             auditor: Auditor::new(day, super::slack()),
-            tally: Tally::new(day),
+            tally: RunMetrics::new(day),
             fallen: Vec::new(),
             last: 0,
         };
@@ -141,7 +141,7 @@
             inner.nodes[node].up = false;
             inner.left[node] = true;
         }
-        for (node, keys) in warm(day, &inner.nodes) {
+        for (node, keys) in warm_keys(day, &inner.nodes) {
             keys.into_iter()
                 .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(day, key)));
         }
@@ -229,9 +229,9 @@
         let mut inner = self.lock();
         let cache = (node < self.origin()).then_some(node);
         let now = inner.desk.now;
-        inner.desk.tally.tries += 1;
-        inner.desk.auditor.sent(now, xchg, cache);
-        inner.desk.auditor.told_time(now, xchg, cache, told);
+        inner.desk.tally.attempts += 1;
+        inner.desk.auditor.attempt_sent(now, xchg, cache);
+        inner.desk.auditor.timeout_advertised(now, xchg, cache, told);
         let (wish, proxy) = inner.out.get(&xchg).map(|out| (out.wish, out.proxy))?;
         let zones = self.day.nodes.zones;
         let Inner { network, rng, .. } = &mut *inner;
@@ -256,7 +256,7 @@
         desk.waiting.insert(job.id, tell);
         desk.xchgs.insert(job.id, xchg);
         let now = desk.now;
-        (node < nodes.len()).then(|| desk.auditor.got(now, xchg, node));
+        (node < nodes.len()).then(|| desk.auditor.node_received(now, xchg, node));
         match nodes.get_mut(node) {
             Some(cache) => cache.job_arrived(now, job, &mut Work { desk, node, cache: Some(node) }),
             None => origin.job_arrived(now, job, &mut Work { desk, node, cache: None }),
@@ -269,7 +269,7 @@
     pub fn cancelled(&self, job: Option<JobId>, xchg: u64, node: usize) {
         let mut inner = self.lock();
         let Inner { desk, nodes, origin, .. } = &mut *inner;
-        desk.auditor.over(desk.now, xchg, (node < nodes.len()).then_some(node));
+        desk.auditor.attempt_ended(desk.now, xchg, (node < nodes.len()).then_some(node));
         if let Some(job) = job {
             desk.waiting.remove(&job);
             desk.xchgs.remove(&job);
@@ -285,7 +285,7 @@
         let mut inner = self.lock();
         let now = inner.desk.now;
         let cache = (node < self.origin()).then_some(node);
-        inner.desk.auditor.over(now, xchg, cache);
+        inner.desk.auditor.attempt_ended(now, xchg, cache);
         inner.desk.xchgs.remove(&job);
         match (cache, verdict) {
             (Some(_), JobOutcome::Missed) => inner.desk.tally.misses += 1,
@@ -355,8 +355,8 @@
     pub fn taken(&self, xchg: u64, wish: &Operation, proxy: usize, timeout: Nanos) {
         let mut inner = self.lock();
         let now = inner.desk.now;
-        inner.desk.tally.exchanges += 1;
-        inner.desk.auditor.taken(now, xchg, proxy, wish.route, now + timeout);
+        inner.desk.tally.requests += 1;
+        inner.desk.auditor.request_accepted(now, xchg, proxy, wish.route, now + timeout);
         inner.out.insert(xchg, Out { wish: *wish, proxy, missed: Vec::new() });
     }
 
@@ -364,24 +364,24 @@
     pub fn asked(&self, xchg: u64, patience: Nanos) {
         let mut inner = self.lock();
         let until = inner.desk.now + patience;
-        inner.desk.auditor.client_waits_until(xchg, until);
+        inner.desk.auditor.set_client_deadline(xchg, until);
     }
 
-    pub fn final_answer(&self, xchg: u64, answer: Final, sound: bool) {
+    pub fn final_answer(&self, xchg: u64, answer: FinalAnswer, sound: bool) {
         let mut inner = self.lock();
         let now = inner.desk.now;
         inner.desk.auditor.answered(now, xchg, answer, sound);
         match answer {
-            Final::Shed => inner.desk.tally.shed += 1,
-            Final::Errored => inner.desk.tally.errored += 1,
-            Final::Served => {}
+            FinalAnswer::Shed => inner.desk.tally.shed += 1,
+            FinalAnswer::Errored => inner.desk.tally.errored += 1,
+            FinalAnswer::Served => {}
         }
-        inner.desk.auditor.sweep(now);
+        inner.desk.auditor.audit_due(now);
     }
 
     /// No answer is owed: nothing was taken, or its proxy was killed.
     pub fn excused(&self, xchg: u64, at: Nanos) {
-        self.lock().desk.auditor.lost(at, xchg);
+        self.lock().desk.auditor.request_abandoned(at, xchg);
     }
 
     pub fn refused(&self) {
@@ -393,8 +393,8 @@
         self.lock().out.remove(&xchg);
     }
 
-    pub fn wish(&self, wish: &Operation, end: End) {
-        self.lock().desk.tally.wish(wish, end);
+    pub fn wish(&self, wish: &Operation, end: OperationOutcome) {
+        self.lock().desk.tally.operation_finished(wish, end);
     }
 
     // ---- Discovery --------------------------------------------------------------------------------
@@ -421,8 +421,8 @@
         };
         let now = inner.desk.now;
         for entry in entries.iter().filter(|entry| entry.node < self.origin()) {
-            inner.desk.auditor.told(now, proxy, entry.node, entry.state);
-            inner.desk.auditor.told_start(now, proxy, entry.node, entry.started_at);
+            inner.desk.auditor.state_announced(now, proxy, entry.node, entry.state);
+            inner.desk.auditor.start_announced(now, proxy, entry.node, entry.started_at);
         }
         let targets: Vec<Json> = entries.iter().map(|entry| self.target(entry)).collect();
         json!({"rev": inner.registry.version(), "all": since.is_none(), "targets": targets})
@@ -433,7 +433,7 @@
         let address = self.addresses.get().and_then(|all| all.get(entry.node)).map(ToString::to_string);
         let unix = self.unix.get().copied().unwrap_or(0);
         json!({
-            "uid": if origin { "origin".into() } else { uid(entry.node) },
+            "uid": if origin { "origin".into() } else { node_uid(entry.node) },
             "endpoint": address.unwrap_or_default(),
             "az": platform::zone(if origin { 0 } else { entry.node % self.day.nodes.zones }),
             "model": if origin { platform::ORIGIN } else { platform::CACHE },
@@ -449,7 +449,7 @@
 
     /// A proxy starts from nothing.
     pub fn restarted(&self, proxy: usize) {
-        self.lock().desk.auditor.restarted(proxy);
+        self.lock().desk.auditor.proxy_restarted(proxy);
     }
 
     fn says(&self, inner: &mut Inner, node: usize) {
@@ -543,7 +543,7 @@
         if !inner.nodes[node].up || inner.left[node] {
             let now = inner.desk.now.max(1);
             inner.nodes[node].start(now);
-            inner.desk.auditor.started(now, node);
+            inner.desk.auditor.node_started(now, node);
             inner.left[node] = false;
             self.lives[node].send_modify(|life| *life = Life { listens: true, epoch: life.epoch + 1 });
         }
@@ -554,8 +554,8 @@
         while let Some(node) = inner.desk.fallen.pop() {
             let now = inner.desk.now;
             let down = if node < self.origin() {
-                inner.desk.tally.buried += 1;
-                inner.desk.auditor.buried(now, node);
+                inner.desk.tally.cold_node_overloads += 1;
+                inner.desk.auditor.cold_node_overloaded(now, node);
                 seconds(self.day.nodes.down_seconds)
             } else {
                 inner.desk.tally.origin_stops += 1;
@@ -588,10 +588,10 @@
     }
 
     /// The rules and the counts; the day is over.
-    pub fn end(&self) -> (Auditor, Tally) {
+    pub fn end(&self) -> (Auditor, RunMetrics) {
         let mut inner = self.lock();
         let auditor = std::mem::replace(&mut inner.desk.auditor, Auditor::new(&self.day, 0));
-        (auditor, std::mem::replace(&mut inner.desk.tally, Tally::new(&self.day)))
+        (auditor, std::mem::replace(&mut inner.desk.tally, RunMetrics::new(&self.day)))
     }
 }
 
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -1,8 +1,8 @@
 //! The load generator: open loop, so that what is slow delays nothing that comes after it, and latencies count
 //! from when a client meant to send. It measures its own lateness.
 
-use crate::audit::Final;
-use crate::metrics::End;
+use crate::audit::FinalAnswer;
+use crate::metrics::OperationOutcome;
 use crate::real::SharedFleet;
 use crate::real::stand_ins::made_for;
 use crate::simulated_proxy::key_text;
@@ -96,25 +96,25 @@
                     refused += 1;
                     proxy = (proxy + 1) % count;
                     if refused >= count.min(MAX_CONNECTION_REFUSALS) {
-                        break End::Lost;
+                        break OperationOutcome::Lost;
                     }
                     continue;
                 }
                 Ended::Lost => {
                     proxy = (proxy + 1) % count;
-                    (End::Lost, millis(self.day.clients.failover_ms))
+                    (OperationOutcome::Lost, millis(self.day.clients.failover_ms))
                 }
                 Ended::Answer(Frame::Bulk(_)) => {
-                    break End::Served(self.fleet.now().saturating_sub(wish.start));
+                    break OperationOutcome::Served(self.fleet.now().saturating_sub(wish.start));
                 }
                 Ended::Answer(Frame::Error(text)) if text.starts_with(b"BUSY") => {
                     let pause =
                         std::str::from_utf8(&text[4..]).ok().and_then(|text| text.trim().parse().ok());
-                    (End::Shed, millis(pause.unwrap_or(0.0)))
+                    (OperationOutcome::Shed, millis(pause.unwrap_or(0.0)))
                 }
-                Ended::Answer(_) => (End::Errored, 0),
+                Ended::Answer(_) => (OperationOutcome::Errored, 0),
             };
-            let again = self.again(tries, pause).filter(|_| !write || end == End::Shed);
+            let again = self.again(tries, pause).filter(|_| !write || end == OperationOutcome::Shed);
             match again {
                 Some(wait) => sleep(Duration::from_nanos(wait)).await,
                 None => break end,
@@ -158,9 +158,9 @@
 
     fn answered(&self, xchg: u64, frame: &Frame) {
         let (answer, sound) = match frame {
-            Frame::Bulk(value) => (Final::Served, made_for(value) == Some(xchg)),
-            Frame::Error(text) if text.starts_with(b"BUSY") => (Final::Shed, true),
-            _ => (Final::Errored, true),
+            Frame::Bulk(value) => (FinalAnswer::Served, made_for(value) == Some(xchg)),
+            Frame::Error(text) if text.starts_with(b"BUSY") => (FinalAnswer::Shed, true),
+            _ => (FinalAnswer::Errored, true),
         };
         self.fleet.final_answer(xchg, answer, sound);
     }
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -8,7 +8,7 @@
 pub mod stand_ins;
 
 use crate::audit::Auditor;
-use crate::metrics::Tally;
+use crate::metrics::RunMetrics;
 use crate::results::Results;
 use anyhow::{Context, Result, ensure};
 use fleet::Fleet;
@@ -113,7 +113,7 @@
     Ok(results)
 }
 
-fn finish(mut auditor: Auditor, tally: &Tally, seed: u64) -> Results {
+fn finish(mut auditor: Auditor, tally: &RunMetrics, seed: u64) -> Results {
     auditor.finish();
     tally.results("pumicebay", "real", seed, &auditor)
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -21,7 +21,7 @@
         "virtual" => "Simulated: played in virtual time against the model, without sockets.",
         _ => "Emulated: real proxies on loopback sockets, with stand-ins for all else.",
     };
-    let _ = writeln!(page, "<p>{kind} Seed {}, {} wishes.</p>", results.seed, results.wishes);
+    let _ = writeln!(page, "<p>{kind} Seed {}, {} wishes.</p>", results.seed, results.operations);
     if !results.usable {
         let _ = writeln!(page, "<p class=bad>This run is not usable; see the notes.</p>");
     }
@@ -73,9 +73,9 @@
         points.iter().enumerate().map(|(at, point)| ((at + 1) as f64, point.mean(figure).mean)).collect()
     };
     let lines: [Line; 3] = [
-        ("payoff", RGBColor(31, 96, 168), figure(|day| day.share)),
-        ("worst ten seconds", RGBColor(178, 34, 34), figure(|day| day.worst_ten_seconds)),
-        ("hit rate", RGBColor(30, 120, 60), figure(|day| day.hit_rate)),
+        ("payoff", RGBColor(31, 96, 168), figure(|run| run.share)),
+        ("worst ten seconds", RGBColor(178, 34, 34), figure(|run| run.worst_ten_seconds)),
+        ("hit rate", RGBColor(30, 120, 60), figure(|run| run.hit_rate)),
     ];
     section(
         &mut page,
@@ -109,22 +109,22 @@
         page.push_str("<p class=good>All four rules were kept.</p>\n");
         return;
     }
-    let [values, one, two, three, four] = results.rules_broken;
+    let [values, one, two, three, four] = results.violations_by_rule;
     let _ = writeln!(
         page,
         "<p class=bad>Rules broken: first {one}, second {two}, third {three}, fourth {four} times; {values} \
          values that were not made for their exchange.</p><table><tr><th>rule</th><th>exchange</th>\
          <th>node</th><th>at, s</th><th>what</th></tr>"
     );
-    for broken in &results.broken {
-        let node = broken.node.as_deref().unwrap_or("-");
+    for violation in &results.violations {
+        let node = violation.node.as_deref().unwrap_or("-");
         let _ = writeln!(
             page,
             "<tr><td>{}</td><td>{}</td><td>{node}</td><td>{:.3}</td><td>{}</td></tr>",
-            broken.rule,
-            broken.exchange,
-            broken.at,
-            escape(&broken.what)
+            violation.rule,
+            violation.request,
+            violation.at,
+            escape(&violation.description)
         );
     }
     page.push_str("</table>\n");
@@ -136,8 +136,8 @@
         ("the same in the worst ten seconds", results.worst_ten_seconds, 3),
         ("reads that a cache node had", results.hit_rate, 3),
         ("origin fetches a second", results.fetches_per_second, 1),
-        ("upstream tries per exchange", results.tries_per_exchange, 3),
-        ("exchanges per wish (retries of clients)", results.exchanges_per_wish, 3),
+        ("upstream tries per exchange", results.attempts_per_request, 3),
+        ("exchanges per wish (retries of clients)", results.requests_per_operation, 3),
         ("part of wishes served late", results.late, 3),
         ("part shed", results.shed, 3),
         ("part errored", results.errored, 3),
@@ -180,7 +180,7 @@
             let _ = writeln!(
                 page,
                 "<tr><td>{name}</td><td>{:.3}</td><td>{}</td></tr>",
-                group.share, group.wishes
+                group.share, group.operations
             );
         }
         page.push_str("</table>\n");
@@ -209,34 +209,34 @@
 
 /// Lines over the same axes; `marks` are upright lines, `top` the highest value where that is known.
 fn plot(lines: &[Line], marks: &[f64], top: Option<f64>) -> Result<String> {
-    let wrong = |error: &dyn std::fmt::Display| anyhow!("plot: {error}");
+    let plot_error = |error: &dyn std::fmt::Display| anyhow!("plot: {error}");
     let points = || lines.iter().flat_map(|(_, _, points)| points);
     let right = points().map(|point| point.0).fold(1.0, f64::max);
     let highest = top.unwrap_or_else(|| points().map(|point| point.1).fold(1.0, f64::max) * 1.05);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|error| wrong(&error))?;
+        area.fill(&WHITE).map_err(|error| plot_error(&error))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(10)
             .x_label_area_size(28)
             .y_label_area_size(52)
             .build_cartesian_2d(0.0..right, 0.0..highest)
-            .map_err(|error| wrong(&error))?;
+            .map_err(|error| plot_error(&error))?;
         chart
             .configure_mesh()
             .light_line_style(WHITE)
             .bold_line_style(RGBColor(228, 228, 228))
             .draw()
-            .map_err(|error| wrong(&error))?;
+            .map_err(|error| plot_error(&error))?;
         let grey = RGBColor(150, 150, 150);
         for &at in marks {
             let mark = LineSeries::new([(at, 0.0), (at, highest)], grey);
-            chart.draw_series(mark).map_err(|error| wrong(&error))?;
+            chart.draw_series(mark).map_err(|error| plot_error(&error))?;
         }
         for (name, colour, points) in lines {
             let series = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
-            let drawn = chart.draw_series(series).map_err(|error| wrong(&error))?;
+            let drawn = chart.draw_series(series).map_err(|error| plot_error(&error))?;
             let colour = *colour;
             drawn
                 .label(*name)
@@ -248,9 +248,9 @@
                 .background_style(WHITE.mix(0.8))
                 .border_style(grey)
                 .draw()
-                .map_err(|error| wrong(&error))?;
+                .map_err(|error| plot_error(&error))?;
         }
-        area.present().map_err(|error| wrong(&error))?;
+        area.present().map_err(|error| plot_error(&error))?;
     }
     Ok(svg)
 }
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -1,7 +1,7 @@
 //! What a run gives: the JSON schema, described in `docs/experiments.md`, and the table for a terminal.
 
-use crate::advertised_timeout::TimeTold;
-use crate::audit::Broken;
+use crate::advertised_timeout::TimeoutCounts;
+use crate::audit::Violation;
 use serde::Serialize;
 use std::fmt::Write;
 
@@ -21,20 +21,24 @@
     /// False where the load generator was late: then no figure here means anything.
     pub usable: bool,
     pub notes: Vec<String>,
-    pub wishes: u64,
+    #[serde(rename = "wishes")]
+    pub operations: u64,
     pub share: f64,
     pub worst_ten_seconds: f64,
     pub hit_rate: f64,
     pub fetches_per_second: f64,
-    pub exchanges_per_wish: f64,
-    pub tries_per_exchange: f64,
+    #[serde(rename = "exchanges_per_wish")]
+    pub requests_per_operation: f64,
+    #[serde(rename = "tries_per_exchange")]
+    pub attempts_per_request: f64,
     pub served: f64,
     pub late: f64,
     pub shed: f64,
     pub errored: f64,
     pub lost: f64,
     pub origin_stops: u64,
-    pub cold_nodes_buried: u64,
+    #[serde(rename = "cold_nodes_buried")]
+    pub cold_node_overloads: u64,
     pub routes: Vec<Group>,
     pub tenants: Vec<Group>,
     pub latency: Vec<Latency>,
@@ -42,10 +46,13 @@
     pub recovery: Vec<Recovery>,
     pub seconds: Vec<Second>,
     /// What attempts told their servers of the time that clients had left.
-    pub time_told: TimeTold,
+    #[serde(rename = "time_told")]
+    pub advertised_timeouts: TimeoutCounts,
     /// How often each was broken: values that were not made for their exchange first, then rules 1 to 4.
-    pub rules_broken: [u64; 5],
-    pub broken: Vec<Broken>,
+    #[serde(rename = "rules_broken")]
+    pub violations_by_rule: [u64; 5],
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -53,7 +60,8 @@
     pub name: String,
     pub share: f64,
     pub asked: f64,
-    pub wishes: u64,
+    #[serde(rename = "wishes")]
+    pub operations: u64,
 }
 
 /// From when the client meant to send to the last byte of the answer, of what was served.
@@ -99,7 +107,7 @@
 
 impl Results {
     pub fn rules_kept(&self) -> bool {
-        self.rules_broken.iter().all(|&count| count == 0)
+        self.violations_by_rule.iter().all(|&count| count == 0)
     }
 
     /// For a terminal.
@@ -117,15 +125,15 @@
         line(format!(
             "  of {} wishes: served {served:.3} (late {late:.3}), shed {shed:.3}, errored {errored:.3}, \
              lost {lost:.3}",
-            self.wishes
+            self.operations
         ));
         line(format!(
             "  hit rate {:.3}, origin fetches {:.1}/s, tries per exchange {:.3}, exchanges per wish {:.3}",
-            self.hit_rate, self.fetches_per_second, self.tries_per_exchange, self.exchanges_per_wish
+            self.hit_rate, self.fetches_per_second, self.attempts_per_request, self.requests_per_operation
         ));
         line(format!(
             "  busiest node {:.2} of the mean; origin stopped {} times, cold nodes buried {}",
-            self.load.busiest_to_mean, self.origin_stops, self.cold_nodes_buried
+            self.load.busiest_to_mean, self.origin_stops, self.cold_node_overloads
         ));
         line(format!(
             "  {:<16} {:>7} {:>9} {:>9} {:>9} {:>9}",
@@ -146,22 +154,23 @@
                 seconds.map_or("not back by the end".into(), |seconds| format!("back after {seconds:.0} s"));
             line(format!("  {at:>5.1} s {fault}: lowest second {lowest:.3}, {back}"));
         }
-        let TimeTold { first, first_too_much, further, further_too_much, worst_ms } = self.time_told;
+        let TimeoutCounts { first_attempts, first_excessive, retries, retries_excessive, worst_excess_ms } =
+            self.advertised_timeouts;
         line(format!(
-            "  told more time than was left: {first_too_much} of {first} first attempts, {further_too_much} of \
-             {further} further ones, at most {worst_ms} ms more"
+            "  told more time than was left: {first_excessive} of {first_attempts} first attempts, {retries_excessive} of \
+             {retries} further ones, at most {worst_excess_ms} ms more"
         ));
-        let [values, one, two, three, four] = self.rules_broken;
+        let [values, one, two, three, four] = self.violations_by_rule;
         line(if self.rules_kept() {
             "  rules: all four kept".into()
         } else {
             format!("  rules broken: 1 {one}x, 2 {two}x, 3 {three}x, 4 {four}x, wrong values {values}")
         });
-        for broken in self.broken.iter().take(10) {
-            let node = broken.node.as_deref().unwrap_or("-");
+        for violation in self.violations.iter().take(10) {
+            let node = violation.node.as_deref().unwrap_or("-");
             line(format!(
                 "    rule {} exchange {} node {node} at {:.3} s: {}",
-                broken.rule, broken.exchange, broken.at, broken.what
+                violation.rule, violation.request, violation.at, violation.description
             ));
         }
         for note in &self.notes {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -8,46 +8,48 @@
 /// Reads the file, with these keys set to other values first. A file may name another as its `base`, relative
 /// to itself, whose keys hold where it has none.
 pub fn read(path: &Path, set: &[(String, String)]) -> Result<Scenario> {
-    let day = Text::read(path)?.scenario(set);
-    let mut day = day.with_context(|| format!("scenario {}", path.display()))?;
-    if day.name.is_empty() {
-        day.name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
+    let scenario = ScenarioSource::read(path)?.scenario(set);
+    let mut scenario = scenario.with_context(|| format!("scenario {}", path.display()))?;
+    if scenario.name.is_empty() {
+        scenario.name = path.file_stem().map(|stem| stem.to_string_lossy().into_owned()).unwrap_or_default();
     }
-    Ok(day)
+    Ok(scenario)
 }
 
 /// A scenario as it is written, and what it is based on.
-pub struct Text {
+pub struct ScenarioSource {
     text: String,
-    base: Option<Box<Text>>,
+    base: Option<Box<ScenarioSource>>,
 }
 
 /// How many files may stand on each other.
-const DEEPEST: usize = 8;
+const MAX_BASE_DEPTH: usize = 8;
 
-impl Text {
-    pub fn new(text: &str) -> Text {
-        Text { text: text.into(), base: None }
+impl ScenarioSource {
+    pub fn new(text: &str) -> ScenarioSource {
+        ScenarioSource { text: text.into(), base: None }
     }
 
-    pub fn read(path: &Path) -> Result<Text> {
-        Text::read_deep(path, DEEPEST)
+    pub fn read(path: &Path) -> Result<ScenarioSource> {
+        ScenarioSource::read_nested(path, MAX_BASE_DEPTH)
     }
 
-    fn read_deep(path: &Path, depth: usize) -> Result<Text> {
+    fn read_nested(path: &Path, depth: usize) -> Result<ScenarioSource> {
         let text = std::fs::read_to_string(path).with_context(|| format!("scenario {}", path.display()))?;
         let tree: Value =
             toml::from_str(&text).map_err(|error| anyhow!("scenario {}: {error}", path.display()))?;
         let base = match tree.get("base") {
             None => None,
-            Some(Value::String(_)) if depth == 0 => bail!("base: more than {DEEPEST} files on each other"),
+            Some(Value::String(_)) if depth == 0 => {
+                bail!("base: more than {MAX_BASE_DEPTH} levels of base files")
+            }
             Some(Value::String(name)) => {
                 let path = path.parent().unwrap_or(Path::new("")).join(name);
-                Some(Box::new(Text::read_deep(&path, depth - 1)?))
+                Some(Box::new(ScenarioSource::read_nested(&path, depth - 1)?))
             }
-            Some(other) => bail!("base: expected a file's name, found {other}"),
+            Some(other) => bail!("base: expected a file name, found {other}"),
         };
-        Ok(Text { text, base })
+        Ok(ScenarioSource { text, base })
     }
 
     /// All keys, those of the base where this has none. Each file is checked by itself first, so that messages
@@ -57,7 +59,7 @@
         own.map_err(|error| anyhow!("{}", error.to_string().trim_end()))?;
         let own: Value = toml::from_str(&self.text).map_err(|error| anyhow!("{error}"))?;
         let Some(base) = &self.base else { return Ok(own) };
-        let mut tree = base.tree().context("in its base")?;
+        let mut tree = base.tree().context("base scenario")?;
         merge(&mut tree, own);
         Ok(tree)
     }
@@ -66,21 +68,21 @@
     pub fn scenario(&self, set: &[(String, String)]) -> Result<Scenario> {
         let mut tree = self.tree()?;
         for (key, value) in set {
-            put(&mut tree, key, value).with_context(|| format!("{key} = {value}"))?;
+            set_value(&mut tree, key, value).with_context(|| format!("{key} = {value}"))?;
         }
         self.check(tree)
     }
 
     /// Checks a tree of keys, naming lines where they stand in these files.
     pub fn check(&self, tree: Value) -> Result<Scenario> {
-        let day: Scenario =
+        let scenario: Scenario =
             tree.try_into().map_err(|error: toml::de::Error| anyhow!("{}", error.to_string().trim_end()))?;
-        let problems = day.validate();
+        let problems = scenario.validate();
         if problems.is_empty() {
-            return Ok(day);
+            return Ok(scenario);
         }
-        let lines = problems.iter().map(|problem| match line(&self.text, &problem.key) {
-            Some(line) => format!("line {line}: {}: {}", problem.key, problem.message),
+        let lines = problems.iter().map(|problem| match line_of_key(&self.text, &problem.key) {
+            Some(line_of_key) => format!("line {line_of_key}: {}: {}", problem.key, problem.message),
             None => format!("{}: {}", problem.key, problem.message),
         });
         bail!("{}", lines.collect::<Vec<_>>().join("\n"))
@@ -88,28 +90,28 @@
 }
 
 pub fn parse(text: &str, set: &[(String, String)]) -> Result<Scenario> {
-    Text::new(text).scenario(set)
+    ScenarioSource::new(text).scenario(set)
 }
 
 /// Puts the keys of one tree over those of another; lists are taken whole.
-fn merge(under: &mut Value, over: Value) {
-    match (under, over) {
-        (Value::Table(under), Value::Table(over)) => {
-            for (key, value) in over {
-                match under.get_mut(&key) {
-                    Some(there) => merge(there, value),
+fn merge(base_value: &mut Value, overriding: Value) {
+    match (base_value, overriding) {
+        (Value::Table(base_value), Value::Table(overriding)) => {
+            for (key, value) in overriding {
+                match base_value.get_mut(&key) {
+                    Some(existing) => merge(existing, value),
                     None => {
-                        under.insert(key, value);
+                        base_value.insert(key, value);
                     }
                 }
             }
         }
-        (under, over) => *under = over,
+        (base_value, overriding) => *base_value = overriding,
     }
 }
 
 /// Sets the value at a path such as `clients.rate` or `route.0.share`; a value that is no TOML is a text.
-pub fn put(tree: &mut Value, key: &str, value: &str) -> Result<()> {
+pub fn set_value(tree: &mut Value, key: &str, value: &str) -> Result<()> {
     let parsed: Option<Value> =
         toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut table| table.remove("v"));
     let value = parsed.unwrap_or_else(|| Value::String(value.to_string()));
@@ -119,12 +121,12 @@
         at = match at {
             Value::Array(list) => {
                 let count = list.len();
-                let place: Option<usize> = part.parse().ok();
-                let member = place.and_then(|place| list.get_mut(place));
-                member.with_context(|| format!("{part}: expected a number below {count}"))?
+                let index: Option<usize> = part.parse().ok();
+                let element = index.and_then(|index| list.get_mut(index));
+                element.with_context(|| format!("{part}: expected a number below {count}"))?
             }
             Value::Table(table) => table.entry(part).or_insert_with(|| Value::Table(toml::Table::new())),
-            _ => bail!("{part}: its parent has no parts"),
+            _ => bail!("{part}: its parent is neither a table nor an array"),
         };
     }
     match at {
@@ -136,13 +138,13 @@
             };
             table.insert(last.to_string(), value);
         }
-        _ => bail!("{last}: its parent has no named parts"),
+        _ => bail!("{last}: its parent is not a table"),
     }
     Ok(())
 }
 
 /// The line where the key at this path stands, from 1.
-fn line(text: &str, key: &str) -> Option<usize> {
+fn line_of_key(text: &str, key: &str) -> Option<usize> {
     let parsed = toml::de::DeTable::parse(text).ok()?;
     let mut span = None;
     let mut at = toml::de::DeValue::Table(parsed.into_inner());
@@ -161,6 +163,6 @@
     line_at(text, span?.start)
 }
 
-fn line_at(text: &str, place: usize) -> Option<usize> {
-    Some(text.get(..place)?.matches('\n').count() + 1)
+fn line_at(text: &str, index: usize) -> Option<usize> {
+    Some(text.get(..index)?.matches('\n').count() + 1)
 }
--- a/crates/lab/src/simulated_proxy.rs
+++ b/crates/lab/src/simulated_proxy.rs
@@ -1,7 +1,7 @@
 //! One proxy in virtual time: a policy, and the host that carries out its acts as messages to the world. Seats
 //! share nothing, so that many can be played at once.
 
-use crate::policy::{self, Boxed};
+use crate::policy::{self, BoxedPolicy};
 use hashbrown::HashMap;
 use pumicebay_core::policy::deadline::advertised_timeout_ms;
 use pumicebay_core::table::ReplicaTable;
@@ -18,29 +18,29 @@
 
 /// What becomes known to a proxy.
 #[derive(Clone, Debug)]
-pub enum ToSeat {
-    Arrived {
-        xchg: RequestId,
-        ask: RequestParams,
+pub enum ProxyInput {
+    RequestArrived {
+        request: RequestId,
+        params: RequestParams,
     },
     /// What came of a try; `epoch` is the node's incarnation, and `value` the exchange it was made for.
-    Back {
-        xchg: RequestId,
-        try_no: usize,
+    AttemptEnded {
+        request: RequestId,
+        attempt: usize,
         outcome: Outcome,
         epoch: u64,
         value: RequestId,
     },
     /// The node's process died: its connections break.
-    Reset {
+    NodeReset {
         node: Node,
     },
-    Listed {
-        whole: bool,
+    NodesListed {
+        complete: bool,
         entries: Arc<Vec<NodeEntry>>,
     },
     ListFailed,
-    Probed {
+    ProbeFinished {
         node: Node,
         outcome: Outcome,
     },
@@ -48,34 +48,34 @@
     /// A new process, with the list it last had.
     Start {
         entries: Arc<Vec<NodeEntry>>,
-        life: u64,
+        incarnation: u64,
     },
 }
 
 /// What a proxy does to the world.
 #[derive(Clone, Debug)]
-pub enum ToWorld {
+pub enum ProxyAction {
     /// `epoch` is that of the connection; none for a new one.
-    Try {
-        xchg: RequestId,
-        try_no: usize,
+    Attempt {
+        request: RequestId,
+        attempt: usize,
         node: Node,
         sent: Nanos,
         epoch: Option<u64>,
         /// How long it tells the node that it will be waited for.
-        told: Nanos,
+        advertised_timeout: Nanos,
     },
     /// Gives up a try by closing its connection.
     Cancel {
-        xchg: RequestId,
-        try_no: usize,
+        request: RequestId,
+        attempt: usize,
         node: Node,
         sent: Nanos,
     },
     /// A try's connection broke.
     Severed {
-        xchg: RequestId,
-        try_no: usize,
+        request: RequestId,
+        attempt: usize,
         node: Node,
         sent: Nanos,
     },
@@ -85,52 +85,52 @@
         epoch: u64,
     },
     Served {
-        xchg: RequestId,
+        request: RequestId,
         sent: Nanos,
         value: RequestId,
     },
     Shed {
-        xchg: RequestId,
+        request: RequestId,
         sent: Nanos,
         pause: Nanos,
     },
     Errored {
-        xchg: RequestId,
+        request: RequestId,
         sent: Nanos,
     },
     /// There is no process to take it.
     Refused {
-        xchg: RequestId,
+        request: RequestId,
     },
     Probe {
         node: Node,
     },
-    Follow,
+    WatchNodeList,
     Log(String),
 }
 
 /// A message and when it arrives; those at the same time in the order they were sent.
-pub struct Due<T> {
+pub struct Scheduled<T> {
     pub at: Nanos,
     pub order: u64,
-    pub what: T,
+    pub message: T,
 }
 
-impl<T> PartialEq for Due<T> {
+impl<T> PartialEq for Scheduled<T> {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl<T> Eq for Due<T> {}
+impl<T> Eq for Scheduled<T> {}
 
-impl<T> PartialOrd for Due<T> {
+impl<T> PartialOrd for Scheduled<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Due<T> {
+impl<T> Ord for Scheduled<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         // The earliest first.
         (other.at, other.order).cmp(&(self.at, self.order))
@@ -138,23 +138,23 @@
 }
 
 enum Timer {
-    Woke(u64),
-    Overdue(RequestId, usize),
+    Policy(u64),
+    AttemptOverdue(RequestId, usize),
     /// Hardly any time was left: it was not begun.
-    NotBegun(RequestId, usize),
+    AttemptUnsent(RequestId, usize),
 }
 
-struct Open {
+struct OpenRequest {
     answered: bool,
     /// Until when its client waits, as far as this proxy knows.
-    client_ends: Nanos,
+    client_deadline: Nanos,
     /// The node of each try that is out.
-    tries: Vec<Option<Node>>,
+    attempts: Vec<Option<Node>>,
 }
 
 /// Carries out what a policy asks for.
-pub struct Acts {
-    number: usize,
+pub struct SimulatedHost {
+    index: usize,
     now: Nanos,
     zones: usize,
     network: Network,
@@ -162,112 +162,117 @@
     idle_limit: Nanos,
     /// By node: when each idle connection was last used, and its epoch.
     idle: Vec<VecDeque<(Nanos, u64)>>,
-    open: HashMap<RequestId, Open>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
     /// What the timers are for, by their order.
-    due: HashMap<u64, Timer>,
+    timer_targets: HashMap<u64, Timer>,
     order: u64,
-    out: Vec<(Nanos, ToWorld)>,
+    actions: Vec<(Nanos, ProxyAction)>,
 }
 
-impl Acts {
-    fn post(&mut self, after: Nanos, what: ToWorld) {
-        self.out.push((self.now + after, what));
+impl SimulatedHost {
+    fn send_after(&mut self, after: Nanos, message: ProxyAction) {
+        self.actions.push((self.now + after, message));
     }
 
     /// To a node; the origin is in the first zone.
     fn delay(&mut self, node: Node) -> Nanos {
         let zone = if node + 1 >= self.idle.len() { 0 } else { node % self.zones };
-        self.network.delay(&mut self.rng, self.number % self.zones, zone)
+        self.network.delay(&mut self.rng, self.index % self.zones, zone)
     }
 
     fn client_delay(&mut self) -> Nanos {
         self.network.delay(&mut self.rng, 0, 0)
     }
 
-    fn timer(&mut self, at: Nanos, timer: Timer) {
+    fn schedule(&mut self, at: Nanos, schedule: Timer) {
         self.order += 1;
         self.timers.push(Reverse((at, self.order)));
-        self.due.insert(self.order, timer);
+        self.timer_targets.insert(self.order, schedule);
     }
 
     /// An idle connection to the node that is not too old; those that are get closed.
     fn connection(&mut self, node: Node) -> Option<u64> {
-        while let Some((used, epoch)) = self.idle[node].pop_front() {
-            if self.now < used + self.idle_limit {
+        while let Some((last_used, epoch)) = self.idle[node].pop_front() {
+            if self.now < last_used + self.idle_limit {
                 return Some(epoch);
             }
             let delay = self.delay(node);
-            self.post(delay, ToWorld::Close { node, epoch });
+            self.send_after(delay, ProxyAction::Close { node, epoch });
         }
         None
     }
 
     /// Whether the exchange still awaits its answer, which it now has.
-    fn answer(&mut self, xchg: RequestId) -> bool {
-        self.open.get_mut(&xchg).is_some_and(|open| !std::mem::replace(&mut open.answered, true))
+    fn take_answer(&mut self, request: RequestId) -> bool {
+        self.open_requests.get_mut(&request).is_some_and(|open| !std::mem::replace(&mut open.answered, true))
     }
 }
 
-impl Host for Acts {
-    fn send(&mut self, xchg: RequestId, node: Node, timeout: Nanos) {
-        let Some(open) = self.open.get_mut(&xchg) else { return };
-        let try_no = open.tries.len();
-        open.tries.push(Some(node));
-        let Some(told) = advertised_timeout_ms(self.now, self.now + timeout, open.client_ends) else {
-            return self.timer(self.now, Timer::NotBegun(xchg, try_no));
+impl Host for SimulatedHost {
+    fn send(&mut self, request: RequestId, node: Node, timeout: Nanos) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let attempt = open.attempts.len();
+        open.attempts.push(Some(node));
+        let Some(advertised_timeout) =
+            advertised_timeout_ms(self.now, self.now + timeout, open.client_deadline)
+        else {
+            return self.schedule(self.now, Timer::AttemptUnsent(request, attempt));
         };
-        let told = millis(told as f64);
+        let advertised_timeout = millis(advertised_timeout as f64);
         let epoch = self.connection(node);
         let one_way = self.delay(node);
         // A new connection is there and back before it carries anything.
-        let takes = if epoch.is_some() { one_way } else { 3 * one_way };
-        self.post(takes, ToWorld::Try { xchg, try_no, node, sent: self.now, epoch, told });
-        self.timer(self.now + timeout, Timer::Overdue(xchg, try_no));
+        let delay = if epoch.is_some() { one_way } else { 3 * one_way };
+        self.send_after(
+            delay,
+            ProxyAction::Attempt { request, attempt, node, sent: self.now, epoch, advertised_timeout },
+        );
+        self.schedule(self.now + timeout, Timer::AttemptOverdue(request, attempt));
     }
 
-    fn shed(&mut self, xchg: RequestId, pause: Nanos) {
-        if self.answer(xchg) {
+    fn shed(&mut self, request: RequestId, pause: Nanos) {
+        if self.take_answer(request) {
             let delay = self.client_delay();
-            self.post(delay, ToWorld::Shed { xchg, sent: self.now, pause });
+            self.send_after(delay, ProxyAction::Shed { request, sent: self.now, pause });
         }
     }
 
-    fn error(&mut self, xchg: RequestId) {
-        if self.answer(xchg) {
+    fn error(&mut self, request: RequestId) {
+        if self.take_answer(request) {
             let delay = self.client_delay();
-            self.post(delay, ToWorld::Errored { xchg, sent: self.now });
+            self.send_after(delay, ProxyAction::Errored { request, sent: self.now });
         }
     }
 
-    fn release_request(&mut self, xchg: RequestId) {
-        self.open.remove(&xchg);
+    fn release_request(&mut self, request: RequestId) {
+        self.open_requests.remove(&request);
     }
 
     fn set_timer(&mut self, at: Nanos, token: u64) {
-        self.timer(at, Timer::Woke(token));
+        self.schedule(at, Timer::Policy(token));
     }
 
     fn probe(&mut self, node: Node) {
         let delay = self.delay(node);
-        self.post(delay, ToWorld::Probe { node });
+        self.send_after(delay, ProxyAction::Probe { node });
     }
 
     /// A node keeps its number here: it may come back.
     fn release_node(&mut self, _node: Node) {}
 
     fn watch_node_list(&mut self) {
-        self.post(self.network.min_delay(), ToWorld::Follow);
+        self.send_after(self.network.min_delay(), ProxyAction::WatchNodeList);
     }
 
     fn log(&mut self, line: &str) {
-        self.post(self.network.min_delay(), ToWorld::Log(line.to_string()));
+        self.send_after(self.network.min_delay(), ProxyAction::Log(line.to_string()));
     }
 }
 
 /// What a seat is made of, the same for each.
 #[derive(Clone)]
-pub struct Rules {
+pub struct ProxyConfig {
     pub policy: String,
     /// Added to the seed of the policy's own chance.
     pub salt: u64,
@@ -279,198 +284,217 @@
     pub network: Network,
 }
 
-pub struct Seat {
-    number: usize,
-    rules: Rules,
-    policy: Option<Boxed<Acts>>,
+pub struct SimulatedProxy {
+    index: usize,
+    config: ProxyConfig,
+    policy: Option<BoxedPolicy<SimulatedHost>>,
     /// What a policy that is killed had learned, where that outlives it.
-    kept_sets: Option<ReplicaTable>,
-    inbox: BinaryHeap<Due<ToSeat>>,
+    kept_replicas: Option<ReplicaTable>,
+    inbox: BinaryHeap<Scheduled<ProxyInput>>,
     /// What it did, since last taken.
-    out: Vec<(Nanos, ToWorld)>,
+    actions: Vec<(Nanos, ProxyAction)>,
 }
 
-impl Seat {
-    pub fn new(rules: Rules, number: usize) -> Seat {
-        Seat { number, rules, policy: None, kept_sets: None, inbox: BinaryHeap::new(), out: Vec::new() }
+impl SimulatedProxy {
+    pub fn new(config: ProxyConfig, index: usize) -> SimulatedProxy {
+        SimulatedProxy {
+            index,
+            config,
+            policy: None,
+            kept_replicas: None,
+            inbox: BinaryHeap::new(),
+            actions: Vec::new(),
+        }
     }
 
-    pub fn mail(&mut self, at: Nanos, order: u64, what: ToSeat) {
-        self.inbox.push(Due { at, order, what });
+    pub fn deliver(&mut self, at: Nanos, order: u64, message: ProxyInput) {
+        self.inbox.push(Scheduled { at, order, message });
     }
 
     /// When something is next to happen here.
-    pub fn next_at(&mut self) -> Nanos {
-        let mail = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
-        let timer = self.policy.as_mut().and_then(|policy| policy.host().timers.peek().map(|due| due.0.0));
-        mail.min(timer.unwrap_or(Nanos::MAX))
+    pub fn next_event_at(&mut self) -> Nanos {
+        let next_message = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
+        let schedule = self.policy.as_mut().and_then(|policy| policy.host().timers.peek().map(|due| due.0.0));
+        next_message.min(schedule.unwrap_or(Nanos::MAX))
     }
 
     /// Plays all that happens here before that time.
-    pub fn play(&mut self, until: Nanos) {
+    pub fn run_until(&mut self, until: Nanos) {
         loop {
-            let mail = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
-            let next = self.next_at();
+            let next_message = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
+            let next = self.next_event_at();
             if next >= until {
                 break;
             }
-            if mail <= next {
+            if next_message <= next {
                 let Some(due) = self.inbox.pop() else { break };
-                self.handle(due.at, due.what);
+                self.handle(due.at, due.message);
             } else if let Some(policy) = &mut self.policy {
                 let Some(Reverse((at, order))) = policy.host().timers.pop() else { break };
                 policy.host().now = at;
-                match policy.host().due.remove(&order) {
-                    Some(Timer::Woke(token)) => policy.woke(at, token),
-                    Some(Timer::Overdue(xchg, try_no)) => self.overdue(at, xchg, try_no),
-                    Some(Timer::NotBegun(xchg, try_no)) => self.not_begun(at, xchg, try_no),
+                match policy.host().timer_targets.remove(&order) {
+                    Some(Timer::Policy(token)) => policy.timer_fired(at, token),
+                    Some(Timer::AttemptOverdue(request, attempt)) => {
+                        self.attempt_overdue(at, request, attempt)
+                    }
+                    Some(Timer::AttemptUnsent(request, attempt)) => self.attempt_unsent(at, request, attempt),
                     None => {}
                 }
             }
-            self.collect();
+            self.collect_actions();
         }
     }
 
     /// What it did since last asked: when each arrives, in the order it was done.
-    pub fn take(&mut self) -> std::vec::Drain<'_, (Nanos, ToWorld)> {
-        self.out.drain(..)
+    pub fn drain_actions(&mut self) -> std::vec::Drain<'_, (Nanos, ProxyAction)> {
+        self.actions.drain(..)
     }
 
-    fn collect(&mut self) {
+    fn collect_actions(&mut self) {
         if let Some(policy) = &mut self.policy {
-            self.out.append(&mut policy.host().out);
+            self.actions.append(&mut policy.host().actions);
         }
     }
 
-    fn handle(&mut self, now: Nanos, what: ToSeat) {
-        if let ToSeat::Start { entries, life } = what {
-            self.start(now, life);
-            return self.listed(now, true, &entries);
+    fn handle(&mut self, now: Nanos, message: ProxyInput) {
+        if let ProxyInput::Start { entries, incarnation } = message {
+            self.start(now, incarnation);
+            return self.nodes_listed(now, true, &entries);
         }
         let Some(policy) = &mut self.policy else {
-            if let ToSeat::Arrived { xchg, .. } = what {
-                self.out.push((now + self.rules.network.min_delay(), ToWorld::Refused { xchg }));
+            if let ProxyInput::RequestArrived { request, .. } = message {
+                self.actions.push((now + self.config.network.min_delay(), ProxyAction::Refused { request }));
             }
             return;
         };
         policy.host().now = now;
-        match what {
-            ToSeat::Arrived { xchg, ask } => {
-                let client_ends = now.saturating_add(ask.client_timeout);
-                policy.host().open.insert(xchg, Open { answered: false, client_ends, tries: Vec::new() });
-                policy.arrived(now, xchg, ask);
+        match message {
+            ProxyInput::RequestArrived { request, params } => {
+                let client_deadline = now.saturating_add(params.client_timeout);
+                policy
+                    .host()
+                    .open_requests
+                    .insert(request, OpenRequest { answered: false, client_deadline, attempts: Vec::new() });
+                policy.request_arrived(now, request, params);
             }
-            ToSeat::Back { xchg, try_no, outcome, epoch, value } => {
-                self.back(now, xchg, try_no, outcome, (epoch, value));
+            ProxyInput::AttemptEnded { request, attempt, outcome, epoch, value } => {
+                self.attempt_ended(now, request, attempt, outcome, (epoch, value));
             }
-            ToSeat::Reset { node } => self.reset(now, node),
-            ToSeat::Listed { whole, entries } => self.listed(now, whole, &entries),
-            ToSeat::ListFailed => policy.list_failed(now),
-            ToSeat::Probed { node, outcome } => policy.probed(node, outcome),
-            ToSeat::Kill => {
-                self.collect();
-                let sets = self.policy.take().and_then(|mut policy| policy.take_sets());
-                self.kept_sets = sets.filter(|_| self.rules.policy == policy::KEEPS_SETS);
+            ProxyInput::NodeReset { node } => self.node_reset(now, node),
+            ProxyInput::NodesListed { complete, entries } => self.nodes_listed(now, complete, &entries),
+            ProxyInput::ListFailed => policy.list_request_failed(now),
+            ProxyInput::ProbeFinished { node, outcome } => policy.probe_finished(node, outcome),
+            ProxyInput::Kill => {
+                self.collect_actions();
+                let replicas = self.policy.take().and_then(|mut policy| policy.take_replicas());
+                self.kept_replicas = replicas.filter(|_| self.config.policy == policy::KEEPS_REPLICAS);
             }
-            ToSeat::Start { .. } => {}
+            ProxyInput::Start { .. } => {}
         }
     }
 
-    fn start(&mut self, now: Nanos, life: u64) {
-        let Rules { policy, salt, settings, seed, nodes, zones, idle_limit, network } = &self.rules;
-        let acts = Acts {
-            number: self.number,
+    fn start(&mut self, now: Nanos, incarnation: u64) {
+        let ProxyConfig { policy, salt, settings, seed, nodes, zones, idle_limit, network } = &self.config;
+        let host = SimulatedHost {
+            index: self.index,
             now,
             zones: *zones,
             network: network.clone(),
-            rng: rng(*seed, "seat", splitmix64(self.number as u64) ^ life),
+            rng: rng(*seed, "seat", splitmix64(self.index as u64) ^ incarnation),
             idle_limit: *idle_limit,
             idle: vec![VecDeque::new(); nodes + 1],
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             timers: BinaryHeap::new(),
-            due: HashMap::new(),
+            timer_targets: HashMap::new(),
             order: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
-        let seed = splitmix64(seed ^ splitmix64(self.number as u64 ^ life << 32)).wrapping_add(*salt);
-        self.policy = policy::make(policy, acts, settings.clone(), seed, now);
-        if let (Some(policy), Some(sets)) = (&mut self.policy, self.kept_sets.take()) {
-            policy.put_sets(sets);
+        let seed = splitmix64(seed ^ splitmix64(self.index as u64 ^ incarnation << 32)).wrapping_add(*salt);
+        self.policy = policy::make(policy, host, settings.clone(), seed, now);
+        if let (Some(policy), Some(replicas)) = (&mut self.policy, self.kept_replicas.take()) {
+            policy.set_replicas(replicas);
         }
     }
 
-    fn listed(&mut self, now: Nanos, whole: bool, entries: &[NodeEntry]) {
-        let (origin, zones) = (self.rules.nodes, self.rules.zones);
+    fn nodes_listed(&mut self, now: Nanos, complete: bool, entries: &[NodeEntry]) {
+        let (origin, zones) = (self.config.nodes, self.config.zones);
         let Some(policy) = &mut self.policy else { return };
         for entry in entries {
-            policy.listed(now, entry.node, listed(entry, origin, zones));
+            policy.node_listed(now, entry.node, listed_node(entry, origin, zones));
         }
-        if whole {
-            let named: Vec<Node> = entries.iter().map(|entry| entry.node).collect();
-            policy.listed_all(&named);
+        if complete {
+            let listed_nodes: Vec<Node> = entries.iter().map(|entry| entry.node).collect();
+            policy.list_completed(&listed_nodes);
         }
     }
 
     /// An outcome counts if its try is still out; a connection that is sound is kept.
-    fn back(&mut self, now: Nanos, xchg: RequestId, try_no: usize, outcome: Outcome, came: (u64, RequestId)) {
+    fn attempt_ended(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        response: (u64, RequestId),
+    ) {
         let Some(policy) = &mut self.policy else { return };
-        let acts = policy.host();
-        let Some(open) = acts.open.get_mut(&xchg) else { return };
-        let Some(node) = open.tries.get_mut(try_no).and_then(Option::take) else { return };
+        let host = policy.host();
+        let Some(open) = host.open_requests.get_mut(&request) else { return };
+        let Some(node) = open.attempts.get_mut(attempt).and_then(Option::take) else { return };
         if !matches!(outcome, Outcome::Unreachable | Outcome::Severed | Outcome::Overdue) {
-            acts.idle[node].push_back((now, came.0));
+            host.idle[node].push_back((now, response.0));
         }
-        if outcome == Outcome::Completed && acts.answer(xchg) {
-            let delay = acts.client_delay();
-            acts.post(delay, ToWorld::Served { xchg, sent: now, value: came.1 });
+        if outcome == Outcome::Completed && host.take_answer(request) {
+            let delay = host.client_delay();
+            host.send_after(delay, ProxyAction::Served { request, sent: now, value: response.1 });
         }
-        let over = acts.open.get(&xchg).is_none_or(|open| open.answered);
-        policy.ended(now, xchg, try_no, outcome, over);
+        let request_finished = host.open_requests.get(&request).is_none_or(|open| open.answered);
+        policy.attempt_ended(now, request, attempt, outcome, request_finished);
     }
 
-    fn overdue(&mut self, now: Nanos, xchg: RequestId, try_no: usize) {
+    fn attempt_overdue(&mut self, now: Nanos, request: RequestId, attempt: usize) {
         let Some(policy) = &mut self.policy else { return };
-        let acts = policy.host();
-        let Some(open) = acts.open.get_mut(&xchg) else { return };
-        let Some(node) = open.tries.get_mut(try_no).and_then(Option::take) else { return };
-        let over = open.answered;
-        let delay = acts.delay(node);
-        acts.post(delay, ToWorld::Cancel { xchg, try_no, node, sent: now });
-        policy.ended(now, xchg, try_no, Outcome::Overdue, over);
+        let host = policy.host();
+        let Some(open) = host.open_requests.get_mut(&request) else { return };
+        let Some(node) = open.attempts.get_mut(attempt).and_then(Option::take) else { return };
+        let request_finished = open.answered;
+        let delay = host.delay(node);
+        host.send_after(delay, ProxyAction::Cancel { request, attempt, node, sent: now });
+        policy.attempt_ended(now, request, attempt, Outcome::Overdue, request_finished);
     }
 
-    fn not_begun(&mut self, now: Nanos, xchg: RequestId, try_no: usize) {
+    fn attempt_unsent(&mut self, now: Nanos, request: RequestId, attempt: usize) {
         let Some(policy) = &mut self.policy else { return };
-        let Some(open) = policy.host().open.get_mut(&xchg) else { return };
-        let taken_out = open.tries.get_mut(try_no).and_then(Option::take).is_some();
-        let over = open.answered;
-        if taken_out {
-            policy.ended(now, xchg, try_no, Outcome::Unsent, over);
+        let Some(open) = policy.host().open_requests.get_mut(&request) else { return };
+        let was_in_flight = open.attempts.get_mut(attempt).and_then(Option::take).is_some();
+        let request_finished = open.answered;
+        if was_in_flight {
+            policy.attempt_ended(now, request, attempt, Outcome::Unsent, request_finished);
         }
     }
 
-    fn reset(&mut self, now: Nanos, node: Node) {
+    fn node_reset(&mut self, now: Nanos, node: Node) {
         let Some(policy) = &mut self.policy else { return };
-        let acts = policy.host();
-        acts.idle[node].clear();
-        let mut broken: Vec<(RequestId, usize)> = Vec::new();
-        for (&xchg, open) in &acts.open {
-            let tries = open.tries.iter().enumerate().filter(|(_, at)| **at == Some(node));
-            broken.extend(tries.map(|(try_no, _)| (xchg, try_no)));
+        let host = policy.host();
+        host.idle[node].clear();
+        let mut severed: Vec<(RequestId, usize)> = Vec::new();
+        for (&request, open) in &host.open_requests {
+            let attempts = open.attempts.iter().enumerate().filter(|(_, at)| **at == Some(node));
+            severed.extend(attempts.map(|(attempt, _)| (request, attempt)));
         }
-        broken.sort_unstable();
-        for &(xchg, try_no) in &broken {
-            let delay = acts.delay(node);
-            acts.post(delay, ToWorld::Severed { xchg, try_no, node, sent: now });
+        severed.sort_unstable();
+        for &(request, attempt) in &severed {
+            let delay = host.delay(node);
+            host.send_after(delay, ProxyAction::Severed { request, attempt, node, sent: now });
         }
-        for (xchg, try_no) in broken {
-            self.back(now, xchg, try_no, Outcome::Severed, (0, xchg));
+        for (request, attempt) in severed {
+            self.attempt_ended(now, request, attempt, Outcome::Severed, (0, request));
         }
     }
 }
 
 /// What stands for a node at every proxy.
-pub fn uid(node: Node) -> String {
+pub fn node_uid(node: Node) -> String {
     format!("n{}", node + 1)
 }
 
@@ -479,14 +503,18 @@
     format!("{key:016x}")
 }
 
-pub fn key_mark(key: u64) -> u64 {
+pub fn key_hash(key: u64) -> u64 {
     pumicebay_names::stable_hash(&key_text(key))
 }
 
-pub fn listed(entry: &NodeEntry, origin: Node, zones: usize) -> ListedNode {
+pub fn listed_node(entry: &NodeEntry, origin: Node, zones: usize) -> ListedNode {
     let is_origin = entry.node == origin;
     ListedNode {
-        identity: pumicebay_names::stable_hash(&if is_origin { "origin".into() } else { uid(entry.node) }),
+        identity: pumicebay_names::stable_hash(&if is_origin {
+            "origin".into()
+        } else {
+            node_uid(entry.node)
+        }),
         zone: if is_origin { 0 } else { entry.node % zones },
         cell: 0,
         status: match entry.state {
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     pub mean: f64,
-    pub half: f64,
+    pub half_width: f64,
 }
 
 impl Mean {
@@ -14,13 +14,13 @@
         let count = figures.len() as f64;
         let mean = figures.iter().sum::<f64>() / count.max(1.0);
         if figures.len() < 2 {
-            return Mean { mean, half: f64::INFINITY };
+            return Mean { mean, half_width: f64::INFINITY };
         }
         let variance = figures.iter().map(|figure| (figure - mean).powi(2)).sum::<f64>() / (count - 1.0);
         let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
         // No spread at all is no width, whatever t is.
-        let half = if variance == 0.0 { 0.0 } else { t * (variance / count).sqrt() };
-        Mean { mean, half }
+        let half_width = if variance == 0.0 { 0.0 } else { t * (variance / count).sqrt() };
+        Mean { mean, half_width }
     }
 
     /// Of the differences between figures of the same seeds.
@@ -30,6 +30,6 @@
 
     /// Whether the interval says nothing about the sign.
     pub fn covers_zero(&self) -> bool {
-        self.mean.abs() <= self.half
+        self.mean.abs() <= self.half_width
     }
 }
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -2,7 +2,7 @@
 
 use crate::progress::Progress;
 use crate::results::Results;
-use crate::scenario::Text;
+use crate::scenario::ScenarioSource;
 use crate::stats::Mean;
 use crate::virt;
 use anyhow::{Context, Result, ensure};
@@ -11,17 +11,17 @@
 use std::fmt::Write;
 
 /// Points of a grid that are played at most.
-const MOST: usize = 400;
+const MAX_POINTS: usize = 400;
 
 /// One place in the grid, and its days by seed.
 pub struct Point {
     pub set: Vec<(String, String)>,
-    pub days: Vec<Results>,
+    pub runs: Vec<Results>,
 }
 
 impl Point {
     pub fn mean(&self, figure: fn(&Results) -> f64) -> Mean {
-        Mean::of(&self.days.iter().map(figure).collect::<Vec<_>>())
+        Mean::of(&self.runs.iter().map(figure).collect::<Vec<_>>())
     }
 
     pub fn name(&self) -> String {
@@ -41,30 +41,31 @@
 }
 
 pub fn play(
-    text: &Text,
+    text: &ScenarioSource,
     set: &[(String, Vec<String>)],
     policy: &str,
     seeds: u64,
     seed: Option<u64>,
 ) -> Result<Vec<Point>> {
     let grid = grid(set);
-    ensure!(grid.len() <= MOST, "--set: {} points, at most {MOST}", grid.len());
+    ensure!(grid.len() <= MAX_POINTS, "--set: {} points, at most {MAX_POINTS}", grid.len());
     // All are checked before the first is played.
-    let days: Result<Vec<Scenario>> =
+    let scenarios: Result<Vec<Scenario>> =
         grid.iter().map(|set| text.scenario(set).with_context(|| format!("with {set:?}"))).collect();
-    let days = days?;
-    let progress = Progress::new("sweep", days.len() * seeds as usize);
-    let one = |day: &Scenario, number: u64| {
-        let results = virt::play(day, policy, seed.unwrap_or(day.seed) + number, &|_| {});
-        progress.step();
+    let scenarios = scenarios?;
+    let progress = Progress::new("sweep", scenarios.len() * seeds as usize);
+    let run_one = |scenario: &Scenario, number: u64| {
+        let results = virt::play(scenario, policy, seed.unwrap_or(scenario.seed) + number, &|_| {});
+        progress.finish_run();
         results
     };
     let pairs: Vec<(usize, u64)> =
-        (0..days.len()).flat_map(|at| (0..seeds).map(move |seed| (at, seed))).collect();
-    let played: Result<Vec<Results>> = pairs.par_iter().map(|&(at, seed)| one(&days[at], seed)).collect();
+        (0..scenarios.len()).flat_map(|at| (0..seeds).map(move |seed| (at, seed))).collect();
+    let played: Result<Vec<Results>> =
+        pairs.par_iter().map(|&(at, seed)| run_one(&scenarios[at], seed)).collect();
     let mut played = played?.into_iter();
     let points = grid.into_iter();
-    Ok(points.map(|set| Point { set, days: played.by_ref().take(seeds as usize).collect() }).collect())
+    Ok(points.map(|set| Point { set, runs: played.by_ref().take(seeds as usize).collect() }).collect())
 }
 
 pub fn table(points: &[Point]) -> String {
@@ -72,18 +73,18 @@
     let _ = writeln!(text, "| set | payoff (95%) | worst 10 s | hit rate | origin/s | shed | rules broken |");
     let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- |");
     for point in points {
-        let share = point.mean(|day| day.share);
-        let broken: u64 = point.days.iter().flat_map(|day| day.rules_broken).sum();
+        let share = point.mean(|run| run.share);
+        let broken: u64 = point.runs.iter().flat_map(|run| run.violations_by_rule).sum();
         let _ = writeln!(
             text,
             "| {} | {:.3} ±{:.3} | {:.3} | {:.3} | {:.1} | {:.3} | {broken} |",
             point.name(),
             share.mean,
-            share.half,
-            point.mean(|day| day.worst_ten_seconds).mean,
-            point.mean(|day| day.hit_rate).mean,
-            point.mean(|day| day.fetches_per_second).mean,
-            point.mean(|day| day.shed).mean,
+            share.half_width,
+            point.mean(|run| run.worst_ten_seconds).mean,
+            point.mean(|run| run.hit_rate).mean,
+            point.mean(|run| run.fetches_per_second).mean,
+            point.mean(|run| run.shed).mean,
         );
     }
     text
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -3,11 +3,11 @@
 //! as there are, and the day does not depend on how many.
 
 use crate::audit::Auditor;
-use crate::metrics::Tally;
+use crate::metrics::RunMetrics;
 use crate::platform;
 use crate::policy;
 use crate::results::Results;
-use crate::simulated_proxy::{Rules, Seat};
+use crate::simulated_proxy::{ProxyConfig, SimulatedProxy};
 use crate::world::World;
 use anyhow::Result;
 use pumicebay_core::Nanos;
@@ -17,68 +17,80 @@
 use rayon::prelude::*;
 
 /// Work of a window, in nodes times proxies that have something to do, below which one thread is quicker.
-const LITTLE: usize = 4000;
+const MIN_PARALLEL_WORK: usize = 4000;
 /// What a day may take beyond its last arrival.
-const AFTER: Nanos = 120 * SECOND;
+const MAX_OVERRUN: Nanos = 120 * SECOND;
 
 /// Plays the day; `progress` hears how much of it is over, between 0 and 1.
-pub fn play(day: &Scenario, policy: &str, seed: u64, progress: &(dyn Fn(f64) + Sync)) -> Result<Results> {
-    let (auditor, tally) = run(day, policy, seed, progress)?;
-    Ok(tally.results(policy, "virtual", seed, &auditor))
+pub fn play(
+    scenario: &Scenario,
+    policy: &str,
+    seed: u64,
+    progress: &(dyn Fn(f64) + Sync),
+) -> Result<Results> {
+    let (auditor, metrics) = run(scenario, policy, seed, progress)?;
+    Ok(metrics.results(policy, "virtual", seed, &auditor))
 }
 
 pub fn run(
-    day: &Scenario,
+    scenario: &Scenario,
     policy: &str,
     seed: u64,
     progress: &(dyn Fn(f64) + Sync),
-) -> Result<(Auditor, Tally)> {
-    let (name, salt) = policy::named(policy)?;
-    let rules = |proxy| Rules {
+) -> Result<(Auditor, RunMetrics)> {
+    let (name, salt) = policy::parse(policy)?;
+    let config = |proxy| ProxyConfig {
         policy: name.into(),
         salt,
-        settings: pumicebay_names::settings_from_json(&platform::settings(day, proxy)),
+        settings: pumicebay_names::settings_from_json(&platform::settings(scenario, proxy)),
         seed,
-        nodes: day.nodes.count,
-        zones: day.nodes.zones,
-        idle_limit: seconds(day.nodes.idle_timeout_seconds * 0.9),
-        network: Network::new(&day.network),
+        nodes: scenario.nodes.count,
+        zones: scenario.nodes.zones,
+        idle_limit: seconds(scenario.nodes.idle_timeout_seconds * 0.9),
+        network: Network::new(&scenario.network),
     };
-    let mut seats: Vec<Seat> = (0..day.proxies.count).map(|proxy| Seat::new(rules(proxy), proxy)).collect();
-    let mut world = World::new(day, seed);
-    let window = Network::new(&day.network).min_delay();
-    let (whole, mut order, mut told) = (seconds(day.seconds), 0, 0);
+    let mut proxies: Vec<SimulatedProxy> =
+        (0..scenario.proxies.count).map(|proxy| SimulatedProxy::new(config(proxy), proxy)).collect();
+    let mut world = World::new(scenario, seed);
+    let window = Network::new(&scenario.network).min_delay();
+    let (duration, mut order, mut reported) = (seconds(scenario.seconds), 0, 0);
     loop {
-        for (proxy, at, what) in world.mail() {
+        for (index, at, input) in world.drain_inputs() {
             order += 1;
-            seats[proxy].mail(at, order, what);
+            proxies[index].deliver(at, order, input);
         }
-        let next = seats.iter_mut().map(Seat::next_at).min().unwrap_or(Nanos::MAX).min(world.next_at());
-        if world.done() || next >= whole + AFTER {
+        let next = proxies
+            .iter_mut()
+            .map(SimulatedProxy::next_event_at)
+            .min()
+            .unwrap_or(Nanos::MAX)
+            .min(world.next_event_at());
+        if world.done() || next >= duration + MAX_OVERRUN {
             break;
         }
         let until = next + window;
-        let mut busy: Vec<&mut Seat> = seats.iter_mut().filter_map(|seat| due(seat, until)).collect();
-        if busy.len() * day.nodes.count < LITTLE {
-            busy.iter_mut().for_each(|seat| seat.play(until));
+        let mut busy: Vec<&mut SimulatedProxy> =
+            proxies.iter_mut().filter_map(|proxy| has_event_before(proxy, until)).collect();
+        if busy.len() * scenario.nodes.count < MIN_PARALLEL_WORK {
+            busy.iter_mut().for_each(|proxy| proxy.run_until(until));
         } else {
-            busy.par_iter_mut().for_each(|seat| seat.play(until));
+            busy.par_iter_mut().for_each(|proxy| proxy.run_until(until));
         }
-        world.play(until);
-        for (proxy, seat) in seats.iter_mut().enumerate() {
-            for (at, what) in seat.take() {
-                world.take(proxy, at, what);
+        world.run_until(until);
+        for (index, proxy) in proxies.iter_mut().enumerate() {
+            for (at, action) in proxy.drain_actions() {
+                world.apply(index, at, action);
             }
         }
-        if next / SECOND > told {
-            told = next / SECOND;
-            progress((next as f64 / whole as f64).min(1.0));
+        if next / SECOND > reported {
+            reported = next / SECOND;
+            progress((next as f64 / duration as f64).min(1.0));
         }
     }
     progress(1.0);
-    Ok(world.end())
+    Ok(world.finish())
 }
 
-fn due(seat: &mut Seat, until: Nanos) -> Option<&mut Seat> {
-    (seat.next_at() < until).then_some(seat)
+fn has_event_before(proxy: &mut SimulatedProxy, until: Nanos) -> Option<&mut SimulatedProxy> {
+    (proxy.next_event_at() < until).then_some(proxy)
 }
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -1,8 +1,8 @@
 //! Every rule broken on purpose, and kept where it looks like broken.
 
 use crate::day;
-use pumicebay_lab::advertised_timeout::TimeTold;
-use pumicebay_lab::audit::{Auditor, Final};
+use pumicebay_lab::advertised_timeout::TimeoutCounts;
+use pumicebay_lab::audit::{Auditor, FinalAnswer};
 use pumicebay_model::registry::NodeState;
 
 const MS: u64 = 1_000_000;
@@ -28,26 +28,26 @@
 /// What the auditor says of one exchange, taken at 0 with a second to go, after this has happened.
 fn judged(route: usize, happens: impl FnOnce(&mut Auditor)) -> Vec<String> {
     let mut auditor = Auditor::new(&day(ROUTES), MS);
-    auditor.taken(0, 1, 0, route, 1000 * MS);
+    auditor.request_accepted(0, 1, 0, route, 1000 * MS);
     happens(&mut auditor);
     auditor.finish();
-    assert_eq!(auditor.judged(), 1);
-    let line = |broken: &pumicebay_lab::audit::Broken| format!("{}: {}", broken.rule, broken.what);
-    auditor.broken.iter().map(line).collect()
+    assert_eq!(auditor.audited_requests(), 1);
+    let line = |broken: &pumicebay_lab::audit::Violation| format!("{}: {}", broken.rule, broken.description);
+    auditor.violations.iter().map(line).collect()
 }
 
 /// A try at a node from one time to another; it ran there.
 fn tried(auditor: &mut Auditor, node: usize, from: u64, until: u64) {
-    auditor.sent(from * MS, 1, Some(node));
-    auditor.ran((from + 1) * MS, 1, Some(node));
-    auditor.over(until * MS, 1, Some(node));
+    auditor.attempt_sent(from * MS, 1, Some(node));
+    auditor.executed((from + 1) * MS, 1, Some(node));
+    auditor.attempt_ended(until * MS, 1, Some(node));
 }
 
 #[test]
 fn an_ordinary_exchange_breaks_nothing() {
     let broken = judged(PUT, |auditor| {
         tried(auditor, 0, 10, 20);
-        auditor.answered(20 * MS, 1, Final::Served, true);
+        auditor.answered(20 * MS, 1, FinalAnswer::Served, true);
     });
     assert!(broken.is_empty(), "{broken:?}");
 }
@@ -56,21 +56,21 @@
 fn one_answer_in_time() {
     assert_eq!(judged(READ, |_| {}), ["1: never answered"]);
     let twice = judged(READ, |auditor| {
-        auditor.answered(20 * MS, 1, Final::Shed, true);
-        auditor.answered(30 * MS, 1, Final::Served, true);
+        auditor.answered(20 * MS, 1, FinalAnswer::Shed, true);
+        auditor.answered(30 * MS, 1, FinalAnswer::Served, true);
     });
     assert_eq!(twice, ["1: answered 2 times"]);
-    let late = judged(READ, |auditor| auditor.answered(1020 * MS, 1, Final::Errored, true));
+    let late = judged(READ, |auditor| auditor.answered(1020 * MS, 1, FinalAnswer::Errored, true));
     assert_eq!(late, ["1: answered 0.020 s past its overall timeout"]);
     // A proxy that died owes nothing.
-    assert!(judged(READ, |auditor| auditor.lost(500 * MS, 1)).is_empty());
+    assert!(judged(READ, |auditor| auditor.request_abandoned(500 * MS, 1)).is_empty());
 }
 
 #[test]
 fn no_try_after_the_answer() {
     let broken = judged(READ, |auditor| {
-        auditor.answered(20 * MS, 1, Final::Shed, true);
-        auditor.sent(30 * MS, 1, Some(2));
+        auditor.answered(20 * MS, 1, FinalAnswer::Shed, true);
+        auditor.attempt_sent(30 * MS, 1, Some(2));
     });
     assert_eq!(broken, ["1: sent after its final answer"]);
 }
@@ -80,13 +80,13 @@
     let broken = judged(READ, |auditor| {
         tried(auditor, 0, 10, 40);
         tried(auditor, 1, 20, 30);
-        auditor.answered(40 * MS, 1, Final::Served, true);
+        auditor.answered(40 * MS, 1, FinalAnswer::Served, true);
     });
-    assert_eq!(broken, ["2: sent while another try was out"]);
+    assert_eq!(broken, ["2: sent while another attempt was in flight"]);
     let one_by_one = judged(READ, |auditor| {
         tried(auditor, 0, 10, 20);
         tried(auditor, 1, 20, 30);
-        auditor.answered(40 * MS, 1, Final::Served, true);
+        auditor.answered(40 * MS, 1, FinalAnswer::Served, true);
     });
     assert!(one_by_one.is_empty(), "{one_by_one:?}");
 }
@@ -97,7 +97,7 @@
         judged(route, |auditor| {
             tried(auditor, 0, 10, 20);
             tried(auditor, node, second, second + 5);
-            auditor.answered((second + 6) * MS, 1, Final::Served, true);
+            auditor.answered((second + 6) * MS, 1, FinalAnswer::Served, true);
         })
     };
     assert!(twice(READ, 1, 30).is_empty());
@@ -113,11 +113,11 @@
     let shed = |route| {
         judged(route, |auditor| {
             tried(auditor, 0, 10, 20);
-            auditor.answered(30 * MS, 1, Final::Shed, true);
+            auditor.answered(30 * MS, 1, FinalAnswer::Shed, true);
         })
     };
     assert!(shed(READ).is_empty());
-    assert_eq!(shed(PUT), ["2: shed, as if it had never run, though it had"]);
+    assert_eq!(shed(PUT), ["2: shed as not executed, although it was executed"]);
     assert_eq!(shed(MARK).len(), 1);
 }
 
@@ -125,46 +125,46 @@
 fn nothing_new_to_a_node_past_the_grace() {
     let sent = |at: u64, tell: &dyn Fn(&mut Auditor)| {
         judged(READ, |auditor| {
-            auditor.told(0, 0, 3, NodeState::Ready);
+            auditor.state_announced(0, 0, 3, NodeState::Ready);
             tell(auditor);
-            auditor.sent(at * MS, 1, Some(3));
-            auditor.over((at + 1) * MS, 1, Some(3));
-            auditor.answered((at + 2).min(999) * MS, 1, Final::Served, true);
+            auditor.attempt_sent(at * MS, 1, Some(3));
+            auditor.attempt_ended((at + 1) * MS, 1, Some(3));
+            auditor.answered((at + 2).min(999) * MS, 1, FinalAnswer::Served, true);
         })
     };
     // The drain was a second and more before the exchange began.
-    let drained = |auditor: &mut Auditor| auditor.told(0, 0, 3, NodeState::Draining);
+    let drained = |auditor: &mut Auditor| auditor.state_announced(0, 0, 3, NodeState::Draining);
     assert!(sent(900, &drained).is_empty());
     let mut auditor = Auditor::new(&day(ROUTES), MS);
-    auditor.told(0, 0, 3, NodeState::Draining);
-    auditor.told(0, 1, 4, NodeState::Draining);
+    auditor.state_announced(0, 0, 3, NodeState::Draining);
+    auditor.state_announced(0, 1, 4, NodeState::Draining);
     for (xchg, proxy) in [(1, 0), (2, 1)] {
-        auditor.taken(2000 * MS, xchg, proxy, READ, 3000 * MS);
-        auditor.sent(2010 * MS, xchg, Some(3));
-        auditor.over(2020 * MS, xchg, Some(3));
-        auditor.answered(2020 * MS, xchg, Final::Served, true);
+        auditor.request_accepted(2000 * MS, xchg, proxy, READ, 3000 * MS);
+        auditor.attempt_sent(2010 * MS, xchg, Some(3));
+        auditor.attempt_ended(2020 * MS, xchg, Some(3));
+        auditor.answered(2020 * MS, xchg, FinalAnswer::Served, true);
     }
     // Told again the same it has no new grace, and ready again it may be sent to.
-    auditor.told(1900 * MS, 0, 3, NodeState::Left);
-    auditor.told(2050 * MS, 0, 3, NodeState::Ready);
-    auditor.taken(4000 * MS, 3, 0, READ, 5000 * MS);
-    auditor.sent(4010 * MS, 3, Some(3));
-    auditor.over(4020 * MS, 3, Some(3));
-    auditor.answered(4020 * MS, 3, Final::Served, true);
+    auditor.state_announced(1900 * MS, 0, 3, NodeState::Left);
+    auditor.state_announced(2050 * MS, 0, 3, NodeState::Ready);
+    auditor.request_accepted(4000 * MS, 3, 0, READ, 5000 * MS);
+    auditor.attempt_sent(4010 * MS, 3, Some(3));
+    auditor.attempt_ended(4020 * MS, 3, Some(3));
+    auditor.answered(4020 * MS, 3, FinalAnswer::Served, true);
     auditor.finish();
     let broken: Vec<(u8, u64, Option<String>)> =
-        auditor.broken.iter().map(|broken| (broken.rule, broken.exchange, broken.node.clone())).collect();
+        auditor.violations.iter().map(|broken| (broken.rule, broken.request, broken.node.clone())).collect();
     assert_eq!(broken, [(3, 1, Some("n4".to_string()))]);
 }
 
 #[test]
 fn values_and_cold_nodes() {
-    let broken = judged(READ, |auditor| auditor.answered(20 * MS, 1, Final::Served, false));
-    assert_eq!(broken, ["0: served with what was not made for it"]);
+    let broken = judged(READ, |auditor| auditor.answered(20 * MS, 1, FinalAnswer::Served, false));
+    assert_eq!(broken, ["0: served with a value that was made for another request"]);
     let mut auditor = Auditor::new(&day(ROUTES), MS);
-    auditor.buried(7 * MS, 2);
+    auditor.cold_node_overloaded(7 * MS, 2);
     auditor.origin_stopped(8 * MS);
-    assert_eq!(auditor.counts, [0, 0, 0, 0, 2]);
+    assert_eq!(auditor.violations_by_rule, [0, 0, 0, 0, 2]);
 }
 
 /// What the auditor says of so many requests at once, by three proxies in turn, to a node whose process is 0.1 s old:
@@ -172,26 +172,30 @@
 fn burst(count: u64, told: [Option<u64>; 3]) -> (Vec<String>, u64) {
     let nodes = "cores = 1\nstart_capacity = 0.1\nwarm_up_seconds = 10\nfall_multiple = 1";
     let mut auditor = Auditor::new(&day(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
-    auditor.started(5000 * MS, 2);
+    auditor.node_started(5000 * MS, 2);
     for (proxy, started) in told.into_iter().enumerate() {
-        started.into_iter().for_each(|started| auditor.told_start(5050 * MS, proxy, 2, started * MS));
+        started.into_iter().for_each(|started| auditor.start_announced(5050 * MS, proxy, 2, started * MS));
     }
     for xchg in 1..=count {
-        auditor.taken(5090 * MS, xchg, (xchg % 3) as usize, READ, 6000 * MS);
-        auditor.sent(5095 * MS, xchg, Some(2));
-        auditor.got(5100 * MS, xchg, 2);
-        auditor.answered(5110 * MS, xchg, Final::Served, true);
+        auditor.request_accepted(5090 * MS, xchg, (xchg % 3) as usize, READ, 6000 * MS);
+        auditor.attempt_sent(5095 * MS, xchg, Some(2));
+        auditor.node_received(5100 * MS, xchg, 2);
+        auditor.answered(5110 * MS, xchg, FinalAnswer::Served, true);
     }
     auditor.finish();
-    (auditor.broken.iter().map(|broken| broken.what.clone()).collect(), auditor.uncharged)
+    (
+        auditor.violations.iter().map(|broken| broken.description.clone()).collect(),
+        auditor.uncharged_overloads,
+    )
 }
 
 #[test]
 fn a_cold_node_falls_under_the_sum_of_all_that_knew_of_its_start() {
     let (knew, before) = (Some(5000), Some(4000));
     assert_eq!(burst(39, [knew; 3]), (vec![], 0));
-    let fell =
-        |part| vec![format!("a cold node was buried: 40 requests, {part}% by proxies told of its start")];
+    let fell = |part| {
+        vec![format!("a cold node was overloaded: 40 requests, {part}% by proxies that knew its start time")]
+    };
     assert_eq!(burst(40, [knew; 3]), (fell(100), 0));
     assert_eq!(burst(400, [knew; 3]), (fell(100), 0), "a process falls once");
     // Those who were not told, or of the process before, could not know; a third of it is no excuse.
@@ -206,14 +210,14 @@
     let fell = |at: fn(u64) -> u64| {
         let nodes = "cores = 1\nstart_capacity = 0.1\nwarm_up_seconds = 10\nfall_multiple = 1";
         let mut auditor = Auditor::new(&day(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
-        auditor.started(MS, 2);
-        auditor.told_start(MS, 0, 2, MS);
+        auditor.node_started(MS, 2);
+        auditor.start_announced(MS, 0, 2, MS);
         for xchg in 1..=60 {
-            auditor.taken(at(xchg) * MS, xchg, 0, READ, (at(xchg) + 1000) * MS);
-            auditor.sent((at(xchg) + 5) * MS, xchg, Some(2));
-            auditor.got((at(xchg) + 5) * MS, xchg, 2);
+            auditor.request_accepted(at(xchg) * MS, xchg, 0, READ, (at(xchg) + 1000) * MS);
+            auditor.attempt_sent((at(xchg) + 5) * MS, xchg, Some(2));
+            auditor.node_received((at(xchg) + 5) * MS, xchg, 2);
         }
-        auditor.counts[4]
+        auditor.violations_by_rule[4]
     };
     assert_eq!(fell(|_| 100), 1);
     assert_eq!(fell(|xchg| 100 + 30 * xchg), 0, "spread over two windows");
@@ -226,30 +230,31 @@
 #[test]
 fn no_attempt_tells_more_time_than_its_client_has_left() {
     let told = |first: Option<u64>, further: Option<u64>| {
-        let mut time_told = TimeTold::default();
+        let mut time_told = TimeoutCounts::default();
         let broken = judged(READ, |auditor| {
-            auditor.client_waits_until(1, 900 * MS);
+            auditor.set_client_deadline(1, 900 * MS);
             for (at, told) in [(100, first), (400, further)] {
-                auditor.sent(at * MS, 1, Some(0));
-                auditor.told_time(at * MS, 1, Some(0), told.map(|told| told * MS));
-                auditor.over((at + 100) * MS, 1, Some(0));
+                auditor.attempt_sent(at * MS, 1, Some(0));
+                auditor.timeout_advertised(at * MS, 1, Some(0), told.map(|told| told * MS));
+                auditor.attempt_ended((at + 100) * MS, 1, Some(0));
             }
-            auditor.answered(600 * MS, 1, Final::Served, true);
-            time_told = auditor.time_told;
+            auditor.answered(600 * MS, 1, FinalAnswer::Served, true);
+            time_told = auditor.advertised_timeouts;
         });
         (time_told, broken)
     };
     let (counted, broken) = told(Some(850), Some(550));
-    let within = TimeTold { first: 1, further: 1, worst_ms: 50, ..TimeTold::default() };
+    let within =
+        TimeoutCounts { first_attempts: 1, retries: 1, worst_excess_ms: 50, ..TimeoutCounts::default() };
     assert_eq!((counted, broken), (within, vec![]));
     let (counted, broken) = told(Some(851), Some(700));
-    assert_eq!((counted.first_too_much, counted.further_too_much, counted.worst_ms), (1, 1, 200));
+    assert_eq!((counted.first_excessive, counted.retries_excessive, counted.worst_excess_ms), (1, 1, 200));
     assert_eq!(
         broken,
         [
-            "1: told its server 0.051 s more than its client had left",
-            "1: told its server 0.200 s more than its client had left"
+            "1: sent its server a timeout 0.051 s longer than its client had left",
+            "1: sent its server a timeout 0.200 s longer than its client had left"
         ]
     );
-    assert_eq!(told(Some(1), None).1, ["1: told its server no time"]);
+    assert_eq!(told(Some(1), None).1, ["1: sent its server no timeout"]);
 }
--- a/crates/lab/tests/lab/crowds.rs
+++ b/crates/lab/tests/lab/crowds.rs
@@ -26,10 +26,10 @@
     ));
     let results = sockets::play(&day, Path::new(LAB)).expect("a day that plays");
     println!("{}", results.table());
-    assert!(results.rules_kept(), "{:?}", results.broken);
+    assert!(results.rules_kept(), "{:?}", results.violations);
     assert!(results.notes.is_empty(), "{:?}", results.notes);
-    let told = results.time_told;
-    assert_eq!((told.first_too_much, told.further_too_much), (0, 0), "{told:?}");
+    let told = results.advertised_timeouts;
+    assert_eq!((told.first_excessive, told.retries_excessive), (0, 0), "{told:?}");
     results
 }
 
--- a/crates/lab/tests/lab/sockets.rs
+++ b/crates/lab/tests/lab/sockets.rs
@@ -77,14 +77,14 @@
         proxies = ["p2"]
     "#;
     let results = play(&day(&(text.to_string() + ROUTES)), Path::new(LAB)).expect("a day that plays");
-    assert!(results.rules_kept(), "{:?}", results.broken);
+    assert!(results.rules_kept(), "{:?}", results.violations);
     assert!(results.notes.is_empty(), "{:?}", results.notes);
     assert!(results.share > 0.8, "{}", results.table());
     assert!(results.hit_rate > 0.5 && results.fetches_per_second > 1.0);
     // Nobody was told more time than a client had left, and further attempts were among those looked at.
-    let told = results.time_told;
-    assert!(told.first > 300 && told.further > 30, "{told:?}");
-    assert_eq!((told.first_too_much, told.further_too_much), (0, 0), "{told:?}");
+    let told = results.advertised_timeouts;
+    assert!(told.first_attempts > 300 && told.retries > 30, "{told:?}");
+    assert_eq!((told.first_excessive, told.retries_excessive), (0, 0), "{told:?}");
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let results = play(&day(SHORT), &proxy).expect("a day, though not a good one");
     assert!(!results.usable && results.notes[0].contains("p1 hung"), "{:?}", results.notes);
     // It took exchanges and never answered them.
-    assert!(results.rules_broken[1] > 0, "{:?}", results.rules_broken);
+    assert!(results.violations_by_rule[1] > 0, "{:?}", results.violations_by_rule);
 }
 
 #[test]
--- a/crates/lab/tests/lab/virtual_days.rs
+++ b/crates/lab/tests/lab/virtual_days.rs
@@ -94,13 +94,13 @@
     let day = day(TROUBLE);
     for policy in ["pumicebay", "two", "bounded"] {
         let results = play(&day, policy);
-        assert_eq!(results.wishes, Traffic::new(&day, day.seed).count() as u64, "{policy}");
+        assert_eq!(results.operations, Traffic::new(&day, day.seed).count() as u64, "{policy}");
         let Results { served, shed, errored, lost, .. } = results;
         assert!((served + shed + errored + lost - 1.0).abs() < 1e-9, "{policy}: {results:?}");
-        assert_eq!(results.rules_broken[..4], [0; 4], "{policy}: {:?}", results.broken);
+        assert_eq!(results.violations_by_rule[..4], [0; 4], "{policy}: {:?}", results.violations);
     }
     let results = play(&day, "pumicebay");
-    assert!(results.rules_kept(), "{:?}", results.broken);
+    assert!(results.rules_kept(), "{:?}", results.violations);
 }
 
 #[test]
@@ -122,9 +122,9 @@
         nodes = ["n1..n4"]
     "#);
     let careless = play(&spoilt, "careless");
-    assert!(careless.rules_broken[2] > 10, "{:?}", careless.rules_broken);
-    let broken = &careless.broken[0];
-    assert!(broken.rule == 2 && broken.exchange > 0 && broken.node.is_some() && broken.at >= 2.0);
+    assert!(careless.violations_by_rule[2] > 10, "{:?}", careless.violations_by_rule);
+    let broken = &careless.violations[0];
+    assert!(broken.rule == 2 && broken.request > 0 && broken.node.is_some() && broken.at >= 2.0);
     let drained = day(r#"
         seconds = 8
         warm_up_seconds = 1
@@ -136,11 +136,11 @@
         lasts = 5
         nodes = ["n1..n4"]
     "#);
-    assert!(play(&drained, "careless").rules_broken[3] > 10);
+    assert!(play(&drained, "careless").violations_by_rule[3] > 10);
     for day in [spoilt, drained] {
         for careful in ["pumicebay", "random"] {
             let results = play(&day, careful);
-            assert!(results.rules_kept(), "{careful}: {:?}", results.broken);
+            assert!(results.rules_kept(), "{careful}: {:?}", results.violations);
         }
     }
 }
@@ -163,9 +163,9 @@
         lasts = 2
         nodes = ["n1"]
     "#);
-    assert!(play(&day, "random").rules_broken[4] > 0);
+    assert!(play(&day, "random").violations_by_rule[4] > 0);
     let results = play(&day, "pumicebay");
-    assert!(results.rules_kept(), "{:?}", results.broken);
+    assert!(results.rules_kept(), "{:?}", results.violations);
 }
 
 /// The sum of all proxies' parts: one has ten times the traffic of another, and there are twice as many as is said.
@@ -176,9 +176,14 @@
     let day = scenario::read(&path, &[]).expect("a sound scenario");
     let played = |policy| virt::run(&day, policy, day.seed, &|_| {}).expect("a day that plays").0;
     let auditor = played("pumicebay");
-    assert_eq!((auditor.counts, auditor.uncharged), ([0; 5], 0), "{:?}", auditor.broken);
-    assert!((0.3..1.0).contains(&auditor.worst), "{} of what it bears", auditor.worst);
-    assert!(played("random").counts[4] > 0, "a policy without budgets");
+    assert_eq!(
+        (auditor.violations_by_rule, auditor.uncharged_overloads),
+        ([0; 5], 0),
+        "{:?}",
+        auditor.violations
+    );
+    assert!((0.3..1.0).contains(&auditor.worst_cold_load), "{} of what it bears", auditor.worst_cold_load);
+    assert!(played("random").violations_by_rule[4] > 0, "a policy without budgets");
 }
 
 #[test]
@@ -210,12 +215,12 @@
     let _shared = shared();
     let day = day("seconds = 6\n[nodes]\nmemory_mb = 8\n[origin]\nslots = 4\n[clients]\nrate = 800");
     let names = ["pumicebay".to_string(), "pumicebay#1".into(), "random".into()];
-    let days = compare::days(&day, &names, 6).expect("days that play");
+    let days = compare::policies(&day, &names, 6).expect("days that play");
     let shares = |at: usize| days[at].iter().map(|day| day.share).collect::<Vec<_>>();
     let noise = Mean::paired(&shares(0), &shares(1));
     assert!(noise.covers_zero(), "{noise:?}");
     let gain = Mean::paired(&shares(0), &shares(2));
-    assert!(gain.mean > gain.half, "{gain:?}");
+    assert!(gain.mean > gain.half_width, "{gain:?}");
     assert!(compare::table(&names, &days).lines().count() == 5);
 }
 
@@ -229,11 +234,11 @@
         .map(|point| point.into_iter().map(|(key, value)| key + &value).collect::<String>())
         .collect();
     assert_eq!(points, ["a1b3", "a1b4", "a2b3", "a2b4"]);
-    let text = pumicebay_lab::scenario::Text::new(
+    let text = pumicebay_lab::scenario::ScenarioSource::new(
         "seconds = 8\n[clients]\nrate = 200\n[ranges]\n\"clients.rate\" = [100.0, 600.0]",
     );
     let found = hunt::hunt(&text, "random", 6, Some(3)).expect("a hunt");
-    assert!(found.loss >= 0.9 * found.whole_loss && found.changes.1 <= found.changes.0);
+    assert!(found.loss >= 0.9 * found.unreduced_loss && found.changes.1 <= found.changes.0);
     // The day that was written is the day that was found.
     let again = play(&day(&found.text), "random");
     assert_eq!(again.share, found.results.share);
