--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -1,6 +1,14 @@
-//! Holds the four rules against what was seen, by reasons of its own: it shares nothing with the decisions.
-//! Whoever plays a day tells it what was taken, sent, run, answered and told, in any order within a second
-//! or so; each exchange is judged once, some time after its overall timeout.
+//! Audits a run against the rules that every policy must keep. The auditor shares no code with the balancing decisions,
+//! so an error there cannot hide itself here.
+//!
+//! - Rule 1: each accepted request gets exactly one final answer before its overall timeout, and no attempt after that;
+//!   no attempt advertises a longer timeout to its server than the client has left.
+//! - Rule 2: no effect happens twice.
+//! - Rule 3: no new work goes to a node that drains or is gone once the drain grace is over.
+//! - Rule 4: the proxies together neither overload a cold node nor stop the origin.
+//!
+//! The simulation or the stand-ins report what was accepted, sent, executed, answered and announced, in any order within
+//! about a second. Each request is audited once, `AUDIT_DELAY` after its overall timeout.
 
 use crate::advertised_timeout::TimeoutCounts;
 use hashbrown::HashMap;
@@ -10,14 +18,15 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// How long after its deadline an exchange is judged: what comes later is not seen.
+/// How long after its deadline a request is audited; events of the request that come later are not audited with it.
 const AUDIT_DELAY: Nanos = 3 * SECOND;
-/// Broken rules that are kept with their words; more are only counted.
+/// The number of violations recorded with a description; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 100;
-/// A fall is rule 4's when more than this part of what the node got came from proxies that knew of its start.
+/// An overload of a cold node violates rule 4 if more than this share of the work that the node received came from proxies
+/// that knew its start time.
 const CHARGED_SHARE: f64 = 2.0 / 3.0;
 
-/// The final answer to an exchange, as the client has it.
+/// The final answer to a request, as its client receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     Served,
@@ -25,55 +34,64 @@
     Errored,
 }
 
+/// One violation of a rule.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Violation {
-    /// 1 to 4; 0 for a value that was not made for its exchange.
+    /// The rule, 1 to 4; 0 for a value that was made for another request.
     pub rule: u8,
+    /// 0 if the violation concerns no single request.
     #[serde(rename = "exchange")]
     pub request: u64,
+    /// The node's name; `None` for the origin or where no node is involved.
     pub node: Option<String>,
-    /// Seconds from the start of the day.
+    /// Seconds from the start of the run.
     pub at: f64,
     #[serde(rename = "what")]
     pub description: String,
 }
 
+/// An attempt that left its proxy.
 #[derive(Clone, Debug)]
 struct SentAttempt {
     at: Nanos,
+    /// `usize::MAX` for the origin, as in all records of the auditor.
     node: usize,
 }
 
+/// What is known of one request until it is audited.
 #[derive(Clone, Debug)]
 struct RequestRecord {
     proxy: usize,
     route: usize,
     accepted_at: Nanos,
     deadline: Nanos,
-    /// Until when its client waits, by the client's own clock.
+    /// When the client stops waiting, by its own clock.
     client_deadline: Nanos,
     answers: Vec<(Nanos, FinalAnswer)>,
     sent: Vec<SentAttempt>,
-    /// When tries were over, and at which node.
+    /// When each attempt ended, and at which node.
     ended_attempts: Vec<(Nanos, usize)>,
+    /// When the request was executed, and at which node.
     executions: Vec<(Nanos, usize)>,
-    /// Its client left, or its proxy died.
+    /// When its client left or its proxy died.
     abandoned_at: Option<Nanos>,
 }
 
-/// What a cold process of a node was sent lately.
+/// What the cold process of a node received within the overload window.
 #[derive(Clone, Debug)]
 struct ColdProcess {
     started_at: Nanos,
-    /// Of each request: when it came, its work in requests of mean work, and whether its proxy knew of the start.
+    /// For each request: when it arrived, its work in units of the mean work of a request, and whether its proxy knew the
+    /// process's start time.
     received: VecDeque<(Nanos, f64, bool)>,
-    /// A process falls once.
+    /// Whether an overload of this process was recorded; each process has at most one.
     overloaded: bool,
 }
 
 impl ColdProcess {
-    /// Requests of mean work that came in the window, and the part of them from proxies that knew.
-    fn sum(&self) -> (f64, f64) {
+    /// The work that arrived in the window, in units of the mean work of a request, and the share of it from proxies that
+    /// knew the start time.
+    fn window_load(&self) -> (f64, f64) {
         let all: f64 = self.received.iter().map(|(_, work, _)| work).sum();
         let informed: f64 =
             self.received.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
@@ -81,36 +99,43 @@
     }
 }
 
+/// Collects the events of a run and counts the violations of the rules.
 pub struct Auditor {
     nodes: NodeSpec,
-    /// What one request of each route takes, in requests of mean work, and that mean in seconds.
+    /// The work of one request, by route, in units of the mean work of a request.
     relative_work: Vec<f64>,
+    /// The mean service time of a request, in seconds.
     mean_service_seconds: f64,
+    /// By node: its process while it warms up.
     cold_processes: HashMap<usize, ColdProcess>,
-    /// What each proxy was told of a node's start: when, and what it is said to be.
+    /// By proxy and node: when a start time was announced, and which one.
     announced_starts: HashMap<(usize, usize), Vec<(Nanos, Nanos)>>,
-    /// The most that a cold node got in its window, as a part of what it falls by.
+    /// The highest load of a cold node within its window, as a ratio to its overload threshold.
     pub worst_cold_load: f64,
-    /// Falls that came mostly from proxies that could not know.
+    /// Overloads that are no violation, because most of the load came from proxies that did not know the start time.
     pub uncharged_overloads: u64,
+    /// By route: its retry safety, and the scope and the window of its deduplication.
     retry_rules: Vec<(RetrySafety, DedupScope, Nanos)>,
     zones: usize,
     drain_grace: Nanos,
-    /// What measuring may be off by, and whether the same proxy may have two tries out.
+    /// How far recorded times may be off, which is also how long two attempts of a request may overlap.
     tolerance: Nanos,
     records: HashMap<u64, RequestRecord>,
-    /// The exchanges in the order they were taken.
+    /// When each request is due for its audit, in the order in which they were accepted.
     audit_queue: VecDeque<(Nanos, u64)>,
-    /// What each proxy was told of a node, and when.
+    /// By proxy and node: when a new state was announced, and which one.
     announced_states: HashMap<(usize, usize), Vec<(Nanos, NodeState)>>,
+    /// The timeouts that attempts advertised to their servers.
     pub advertised_timeouts: TimeoutCounts,
+    /// The first violations, at most `MAX_RECORDED_VIOLATIONS`.
     pub violations: Vec<Violation>,
+    /// The number of violations of each rule; index 0 counts values that were made for another request.
     pub violations_by_rule: [u64; 5],
     audited: u64,
 }
 
 impl Auditor {
-    /// `slack` is what times may be off by: nothing in virtual time, what the machine takes on sockets.
+    /// `tolerance` is how far reported times may be off, in nanoseconds.
     pub fn new(scenario: &Scenario, tolerance: Nanos) -> Auditor {
         let effect = |route: &pumicebay_model::spec::Route| {
             (route.retry_safety, route.dedup_scope, seconds(route.dedup_window_seconds))
@@ -144,7 +169,7 @@
         }
     }
 
-    /// A proxy has taken an exchange; `deadline` is its overall timeout.
+    /// A proxy accepted a request; `deadline` is when its overall timeout expires.
     pub fn request_accepted(&mut self, at: Nanos, request: u64, proxy: usize, route: usize, deadline: Nanos) {
         let record = RequestRecord {
             proxy,
@@ -162,7 +187,7 @@
         self.records.insert(request, record);
     }
 
-    /// A try left its proxy. Nodes count from 0, the origin is none of them.
+    /// An attempt left its proxy. `node` counts from 0; `None` is the origin, here and below.
     pub fn attempt_sent(&mut self, at: Nanos, request: u64, node: Option<usize>) {
         let Some(record) = self.records.get_mut(&request) else {
             return self.record_violation(
@@ -186,27 +211,33 @@
         }
     }
 
-    /// Until when its client waits, where that is not the deadline.
-    pub fn set_client_deadline(&mut self, request: u64, until: Nanos) {
+    /// Sets when the client stops waiting, if that is not the deadline of the proxy.
+    pub fn set_client_deadline(&mut self, request: u64, client_deadline: Nanos) {
         if let Some(record) = self.records.get_mut(&request) {
-            record.client_deadline = until;
+            record.client_deadline = client_deadline;
         }
     }
 
-    /// The attempt that was sent last told its server that it would be waited for so long; `None` where it told nothing.
-    pub fn timeout_advertised(&mut self, at: Nanos, request: u64, node: Option<usize>, told: Option<Nanos>) {
+    /// The latest attempt advertised this timeout to its server; `None` if it advertised none.
+    pub fn timeout_advertised(
+        &mut self,
+        at: Nanos,
+        request: u64,
+        node: Option<usize>,
+        advertised: Option<Nanos>,
+    ) {
         let Some(record) = self.records.get(&request) else { return };
         let left = record.client_deadline.saturating_sub(at);
-        let too_much = told.map_or(Nanos::MAX, |told| told.saturating_sub(left));
-        let further = record.sent.len() > 1;
-        if !self.advertised_timeouts.add(further, too_much, self.tolerance) {
+        let excess = advertised.map_or(Nanos::MAX, |timeout| timeout.saturating_sub(left));
+        let is_retry = record.sent.len() > 1;
+        if !self.advertised_timeouts.add(is_retry, excess, self.tolerance) {
             return;
         }
-        let description = match told {
+        let description = match advertised {
             Some(_) => {
                 format!(
                     "sent its server a timeout {:.3} s longer than its client had left",
-                    too_much as f64 / 1e9
+                    excess as f64 / 1e9
                 )
             }
             None => "sent its server no timeout".into(),
@@ -214,21 +245,21 @@
         self.record_violation(1, request, node, at, description);
     }
 
-    /// A try at this node is over, as far as its proxy can know.
+    /// An attempt at this node ended, as far as its proxy can know.
     pub fn attempt_ended(&mut self, at: Nanos, request: u64, node: Option<usize>) {
         if let Some(record) = self.records.get_mut(&request) {
             record.ended_attempts.push((at, node.unwrap_or(usize::MAX)));
         }
     }
 
-    /// A node, or the origin, has run it.
+    /// A node, or the origin, executed the request.
     pub fn executed(&mut self, at: Nanos, request: u64, node: Option<usize>) {
         if let Some(record) = self.records.get_mut(&request) {
             record.executions.push((at, node.unwrap_or(usize::MAX)));
         }
     }
 
-    /// The proxy has answered; `sound` says that a value was made for this exchange.
+    /// The proxy answered; `sound` is false for a value that was made for another request.
     pub fn answered(&mut self, at: Nanos, request: u64, answer: FinalAnswer, sound: bool) {
         let Some(record) = self.records.get_mut(&request) else {
             return self.record_violation(
@@ -251,69 +282,68 @@
         }
     }
 
-    /// The client has left, or the proxy has died: no answer is owed any more.
+    /// The client left or the proxy died, so no answer is required any more.
     pub fn request_abandoned(&mut self, at: Nanos, request: u64) {
         if let Some(record) = self.records.get_mut(&request) {
             record.abandoned_at.get_or_insert(at);
         }
     }
 
-    /// A proxy was told what becomes of a node.
+    /// The state of a node was announced to a proxy.
     pub fn state_announced(&mut self, at: Nanos, proxy: usize, node: usize, state: NodeState) {
         let told = self.announced_states.entry((proxy, node)).or_default();
-        // Told again the same, it learned nothing.
+        // A repeated announcement does not restart the drain grace.
         if told.last().is_none_or(|&(_, last)| last != state) {
             told.push((at, state));
             told.sort_by_key(|(at, _)| *at);
         }
     }
 
-    /// A proxy starts from nothing, with a list of its own.
+    /// A proxy restarted and lost all earlier announcements.
     pub fn proxy_restarted(&mut self, proxy: usize) {
         self.announced_states.retain(|(told, _), _| *told != proxy);
         self.announced_starts.retain(|(told, _), _| *told != proxy);
     }
 
-    /// A node's process began, cold.
+    /// A node's process started, cold.
     pub fn node_started(&mut self, at: Nanos, node: usize) {
         self.cold_processes
             .insert(node, ColdProcess { started_at: at, received: VecDeque::new(), overloaded: false });
     }
 
-    /// A proxy was told when a node's process began.
+    /// The start time of a node's process was announced to a proxy.
     pub fn start_announced(&mut self, at: Nanos, proxy: usize, node: usize, started: Nanos) {
         self.announced_starts.entry((proxy, node)).or_default().push((at, started));
     }
 
-    /// An exchange has come to a node. Past what a cold one bears it falls, whatever the node itself made of it.
+    /// A request arrived at a node. A cold node whose load exceeds the threshold counts as overloaded, even if it did not
+    /// crash.
     pub fn node_received(&mut self, at: Nanos, request: u64, node: usize) {
-        let (Some(cold_processes), Some(record)) =
-            (self.cold_processes.get_mut(&node), self.records.get(&request))
+        let (Some(process), Some(record)) = (self.cold_processes.get_mut(&node), self.records.get(&request))
         else {
             return;
         };
-        let Some(threshold) = overload_threshold(
-            &self.nodes,
-            self.mean_service_seconds,
-            at.saturating_sub(cold_processes.started_at),
-        ) else {
+        let Some(threshold) =
+            overload_threshold(&self.nodes, self.mean_service_seconds, at.saturating_sub(process.started_at))
+        else {
             self.cold_processes.remove(&node);
             return;
         };
         let sent = record.sent.iter().rev().find(|sent| sent.node == node).map_or(at, |sent| sent.at);
         let announced_starts =
             self.announced_starts.get(&(record.proxy, node)).map_or(&[][..], Vec::as_slice);
-        // Told of one before it, or of an age that is not its own, a proxy does not know that it is cold.
+        // A proxy that knows only an earlier start time, of a previous process or a wrong one, does not know that the node
+        // is cold.
         let informed = announced_starts
             .iter()
-            .any(|&(told, started)| told + self.tolerance <= sent && started >= cold_processes.started_at);
+            .any(|&(told, started)| told + self.tolerance <= sent && started >= process.started_at);
         let window = seconds(self.nodes.overload_window_seconds);
-        while cold_processes.received.front().is_some_and(|(came, ..)| came + window <= at) {
-            cold_processes.received.pop_front();
+        while process.received.front().is_some_and(|(came, ..)| came + window <= at) {
+            process.received.pop_front();
         }
-        cold_processes.received.push_back((at, self.relative_work[record.route], informed));
-        let received = cold_processes.sum().0;
-        if !cold_processes.overloaded {
+        process.received.push_back((at, self.relative_work[record.route], informed));
+        let received = process.window_load().0;
+        if !process.overloaded {
             self.worst_cold_load = self.worst_cold_load.max(received / threshold);
         }
         if received > threshold {
@@ -321,38 +351,41 @@
         }
     }
 
-    /// A node overloaded over while it was cold.
+    /// A cache node crashed from overload.
     pub fn cold_node_overloaded(&mut self, at: Nanos, node: usize) {
         self.record_overload(at, node);
     }
 
-    /// Charges a process's fall to those who knew better. What nobody saw come is charged too.
+    /// Records an overload once for each process. It is a violation if most of the load came from proxies that knew the
+    /// start time, or if no load of the process is known at all.
     fn record_overload(&mut self, at: Nanos, node: usize) {
-        let cold_processes = self.cold_processes.get_mut(&node).map(|cold_processes| {
-            (std::mem::replace(&mut cold_processes.overloaded, true), cold_processes.sum())
-        });
-        let (again, (received, informed)) = cold_processes.unwrap_or((false, (0.0, 1.0)));
-        if again {
+        let process = self
+            .cold_processes
+            .get_mut(&node)
+            .map(|process| (std::mem::replace(&mut process.overloaded, true), process.window_load()));
+        let (already_recorded, (received, informed)) = process.unwrap_or((false, (0.0, 1.0)));
+        if already_recorded {
             return;
         }
         if informed <= CHARGED_SHARE {
             self.uncharged_overloads += 1;
             return;
         }
-        let part = 100.0 * informed;
+        let percent = 100.0 * informed;
         let description = format!(
-            "a cold node was overloaded: {received:.0} requests, {part:.0}% by proxies that knew its start time"
+            "a cold node was overloaded: {received:.0} requests, {percent:.0}% by proxies that knew its start time"
         );
         self.record_violation(4, 0, Some(node), at, description);
     }
 
-    /// The origin stopped, overrun, with nothing wrong with it but what it was asked. How warm processes are says nothing of
-    /// it: long after their warm-up caches that were emptied still miss, and 79 stops of one day went unjudged.
+    /// The origin, without a fault of its own, was stopped by the load of requests. This counts whether or not any process is
+    /// warming up: caches that were emptied still miss long after their warm-up, and a condition on warm-up let 79 stops of
+    /// one run pass.
     pub fn origin_stopped(&mut self, at: Nanos) {
         self.record_violation(4, 0, None, at, "the origin was stopped by the load of requests".into());
     }
 
-    /// Judges those that are over by now.
+    /// Audits the requests that are due by now.
     pub fn audit_due(&mut self, now: Nanos) {
         while let Some(&(due, request)) = self.audit_queue.front().filter(|(due, _)| *due <= now) {
             debug_assert!(due <= now);
@@ -363,12 +396,12 @@
         }
     }
 
-    /// Judges all that is left; the day is over.
+    /// Audits all remaining requests at the end of the run.
     pub fn finish(&mut self) {
         self.audit_due(Nanos::MAX);
     }
 
-    /// How many exchanges were judged.
+    /// The number of requests audited so far.
     pub fn audited_requests(&self) -> u64 {
         self.audited
     }
@@ -404,9 +437,9 @@
     }
 
     fn audit_attempts(&mut self, request: u64, record: &RequestRecord) {
-        let ends = record.answers.first().map(|(at, _)| *at).into_iter().chain(record.abandoned_at).min();
-        let ends = ends.unwrap_or(Nanos::MAX).min(record.deadline);
-        if let Some(late) = record.sent.iter().find(|sent| sent.at > ends + self.tolerance) {
+        let end = record.answers.first().map(|(at, _)| *at).into_iter().chain(record.abandoned_at).min();
+        let end = end.unwrap_or(Nanos::MAX).min(record.deadline);
+        if let Some(late) = record.sent.iter().find(|sent| sent.at > end + self.tolerance) {
             self.record_violation(
                 1,
                 request,
@@ -418,15 +451,15 @@
         let (mut sent, mut ended_attempts) = (record.sent.clone(), record.ended_attempts.clone());
         sent.sort_by_key(|sent| sent.at);
         ended_attempts.sort_unstable();
-        for (place, attempt) in sent.iter().enumerate() {
-            let over = ended_attempts.iter().position(|&(at, node)| node == attempt.node && at >= attempt.at);
-            let until = over.map_or(Nanos::MAX, |over| ended_attempts.remove(over).0);
-            if let Some(also) = sent.get(place + 1).filter(|also| also.at + self.tolerance < until) {
+        for (index, attempt) in sent.iter().enumerate() {
+            let end = ended_attempts.iter().position(|&(at, node)| node == attempt.node && at >= attempt.at);
+            let ended_at = end.map_or(Nanos::MAX, |end| ended_attempts.remove(end).0);
+            if let Some(next) = sent.get(index + 1).filter(|next| next.at + self.tolerance < ended_at) {
                 self.record_violation(
                     2,
                     request,
-                    cache_index(also.node),
-                    also.at,
+                    cache_index(next.node),
+                    next.at,
                     "sent while another attempt was in flight".into(),
                 );
                 return;
@@ -440,14 +473,14 @@
         executions.sort_unstable();
         let Some(&(first, first_node)) = executions.first() else { return };
         let zones = self.zones;
-        let group = |node: usize| if node == usize::MAX { 0 } else { node % zones };
+        let dedup_zone = |node: usize| if node == usize::MAX { 0 } else { node % zones };
         for &(at, node) in &executions[1..] {
             let tolerated = match (effect, scope) {
                 (RetrySafety::Retriable, _) => true,
                 (RetrySafety::NonRetriable, _) => false,
                 (RetrySafety::Deduped, DedupScope::Fleet) => at <= first + window,
                 (RetrySafety::Deduped, DedupScope::Zone) => {
-                    at <= first + window && group(node) == group(first_node)
+                    at <= first + window && dedup_zone(node) == dedup_zone(first_node)
                 }
             };
             if !tolerated {
@@ -483,19 +516,21 @@
     }
 }
 
+/// The node's index; `None` for the origin.
 fn cache_index(node: usize) -> Option<usize> {
     (node != usize::MAX).then_some(node)
 }
 
-/// By how many requests of mean work within its window a cold node of that age falls: what the settings allow it
-/// then, and what may come on top by chance. None for one that can't.
+/// The load within the overload window, in units of the mean work of a request, above which a cold node of this age counts
+/// as overloaded: what the settings allow, and a margin for random variation. `None` if the node is warm or the scenario
+/// has no overload limit.
 fn overload_threshold(nodes: &NodeSpec, mean_service_seconds: f64, age: Nanos) -> Option<f64> {
     let warmth = age as f64 / 1e9 / nodes.warm_up_seconds;
     if warmth.is_nan() || warmth >= 1.0 || nodes.overload_multiple <= 0.0 {
         return None;
     }
-    let part = nodes.start_capacity + (1.0 - nodes.start_capacity) * warmth;
-    let allowed = nodes.overload_multiple * nodes.cores as f64 * part * nodes.overload_window_seconds
+    let capacity = nodes.start_capacity + (1.0 - nodes.start_capacity) * warmth;
+    let allowed = nodes.overload_multiple * nodes.cores as f64 * capacity * nodes.overload_window_seconds
         / mean_service_seconds;
     Some(allowed + 2.0 * allowed.sqrt() + 2.0)
 }
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -1,5 +1,5 @@
-//! Policies to compare with. They keep the plain rules of retries and drains (all but the careless one) and
-//! nothing else: no bounds, no budgets for cold nodes, no line before the origin.
+//! Baseline policies for comparisons. All but `careless` retry only where that is safe and send nothing to draining nodes.
+//! They have no concurrency limits, no budgets for cold nodes and no queue in front of the origin.
 
 use crate::policy::Policy;
 use hashbrown::HashMap;
@@ -11,28 +11,33 @@
     Host, ListedNode, Nanos, Node, NodeStatus, Outcome, RequestId, RequestParams, Settings,
 };
 
-/// How much more than the mean a node may have in flight under bounded load.
+/// The most attempts in flight at a node under bounded load, as a multiple of the mean of all candidates.
 const LOAD_BOUND: f64 = 1.25;
+/// The interval of the periodic timer, in nanoseconds.
 const TICK_INTERVAL: Nanos = 100_000_000;
 const TICK_TOKEN: u64 = 0;
 
+/// How a baseline chooses among the candidate nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Algorithm {
+    /// A uniformly random node.
     Random,
-    /// The less loaded of two drawn at random.
+    /// The one with fewer attempts in flight of two random nodes.
     TwoChoices,
-    /// The highest rendezvous hash.
+    /// The node with the highest rendezvous hash.
     Rendezvous,
-    /// The highest rendezvous hash that is not past its bound.
+    /// The node with the highest rendezvous hash among those below the load bound; among all if none is.
     BoundedRendezvous,
-    /// Random; sends to whatever was ever listed, and sends again whatever failed.
+    /// A random node among all that were ever listed, draining and gone ones too; retries every failure, safe or not.
     Careless,
 }
 
+/// A request from its arrival until it is finished and no attempt is in flight.
 struct RequestState {
     params: RequestParams,
     deadline: Nanos,
     attempts: Vec<Attempt>,
+    /// The request was answered or cancelled: no further attempt is made.
     finished: bool,
 }
 
@@ -40,10 +45,11 @@
     node: Node,
     sent_at: Nanos,
     in_flight: bool,
-    /// Unless it is known not to have.
+    /// False once the outcome shows that the node did not execute the request.
     may_have_run: bool,
 }
 
+/// A baseline policy with its host.
 pub struct Baseline<H: Host> {
     host: H,
     algorithm: Algorithm,
@@ -51,13 +57,16 @@
     routes: Vec<Route>,
     max_attempts: usize,
     polls_list: bool,
+    /// By node: its latest list entry and its attempts in flight.
     nodes: Vec<(ListedNode, usize)>,
     origin: Option<Node>,
     requests: HashMap<RequestId, RequestState>,
+    /// When the node list is requested next; `Nanos::MAX` while a request is pending.
     watch_at: Nanos,
 }
 
 impl<H: Host + Send> Baseline<H> {
+    /// Creates the policy and starts its periodic timer. `seed` determines its random choices.
     pub fn new(host: H, algorithm: Algorithm, settings: &Settings, seed: u64, now: Nanos) -> Self {
         let mut baseline = Baseline {
             host,
@@ -82,10 +91,9 @@
     fn candidates(&self, state: &RequestState) -> Vec<Node> {
         let eligible = |&node: &Node| {
             let listed = &self.nodes[node].0;
-            let listed_ready =
-                listed.status == NodeStatus::Ready || self.is_careless() && listed.identity != 0;
-            let untried = self.is_careless() || !state.attempts.iter().any(|t| t.node == node);
-            listed_ready && !listed.origin && untried
+            let available = listed.status == NodeStatus::Ready || self.is_careless() && listed.identity != 0;
+            let untried = self.is_careless() || !state.attempts.iter().any(|attempt| attempt.node == node);
+            available && !listed.origin && untried
         };
         (0..self.nodes.len()).filter(eligible).collect()
     }
@@ -120,9 +128,12 @@
         }
     }
 
+    /// Sends the next attempt of a request, or rejects it if none is possible. Writes, and reads that a cache answered without
+    /// executing them, go to the origin.
     fn dispatch(&mut self, now: Nanos, request: RequestId) {
         let state = &self.requests[&request];
-        let rejected_by_cache = |t: &Attempt| !t.may_have_run && Some(t.node) != self.origin;
+        let rejected_by_cache =
+            |attempt: &Attempt| !attempt.may_have_run && Some(attempt.node) != self.origin;
         let to_origin = state.params.write || state.attempts.last().is_some_and(rejected_by_cache);
         let node = if to_origin { self.origin } else { self.choose_node(request).or(self.origin) };
         match node {
@@ -131,20 +142,22 @@
         }
     }
 
-    /// Rule 2, which the careless one does not know.
+    /// Whether an attempt at this node is allowed: there is time and an attempt left, and the request cannot take effect twice.
+    /// The careless baseline skips the last check.
     fn may_send(&self, now: Nanos, request: RequestId, node: Node) -> bool {
         let state = &self.requests[&request];
         if state.attempts.len() >= self.max_attempts || now >= state.deadline {
             return false;
         }
-        let first = state.attempts.iter().find(|t| t.may_have_run).filter(|_| !self.is_careless());
+        let first =
+            state.attempts.iter().find(|attempt| attempt.may_have_run).filter(|_| !self.is_careless());
         let route = &self.routes[state.params.route];
         first.is_none_or(|first| match route.retry_safety {
             RetrySafety::Retriable => true,
             RetrySafety::NonRetriable => false,
             RetrySafety::Deduped(scope) => {
-                let (here, there) = (&self.nodes[node].0, &self.nodes[first.node].0);
-                now < first.sent_at + route.dedup_window && here.shares_dedup_scope(scope, there)
+                let (listed, first_listed) = (&self.nodes[node].0, &self.nodes[first.node].0);
+                now < first.sent_at + route.dedup_window && listed.shares_dedup_scope(scope, first_listed)
             }
         })
     }
@@ -156,10 +169,11 @@
         self.host.send(request, node, state.deadline - now);
     }
 
+    /// Ends a request without a value: sheds it if the client may safely send it again, else answers with an error.
     fn reject(&mut self, request: RequestId) {
         let state = self.requests.get_mut(&request).expect("a rejected request is known");
         state.finished = true;
-        let may_have_run = state.attempts.iter().any(|t| t.may_have_run);
+        let may_have_run = state.attempts.iter().any(|attempt| attempt.may_have_run);
         let retry_safety = self.routes[state.params.route].retry_safety;
         if !may_have_run
             || matches!(retry_safety, RetrySafety::Retriable | RetrySafety::Deduped(DedupScope::Fleet))
@@ -173,7 +187,7 @@
 
     fn release_if_finished(&mut self, request: RequestId) {
         let state = &self.requests[&request];
-        if state.finished && !state.attempts.iter().any(|t| t.in_flight) {
+        if state.finished && !state.attempts.iter().any(|attempt| attempt.in_flight) {
             self.requests.remove(&request);
             self.host.release_request(request);
         }
@@ -203,7 +217,7 @@
         finished: bool,
     ) {
         let Some(state) = self.requests.get_mut(&request) else { return };
-        let Some(ended) = state.attempts.get_mut(attempt).filter(|t| t.in_flight) else { return };
+        let Some(ended) = state.attempts.get_mut(attempt).filter(|attempt| attempt.in_flight) else { return };
         ended.in_flight = false;
         ended.may_have_run = !outcome.never_ran();
         state.finished |= finished;
@@ -213,7 +227,7 @@
         self.nodes[node].1 -= 1;
         if finished {
             self.release_if_finished(request);
-        } else if not_retried || self.requests[&request].attempts.iter().any(|t| t.in_flight) {
+        } else if not_retried || self.requests[&request].attempts.iter().any(|attempt| attempt.in_flight) {
             self.reject(request);
         } else {
             self.dispatch(now, request);
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: parses the arguments and runs one command.
 
 use crate::capacity;
 use crate::progress::Progress;
@@ -15,47 +15,49 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-pumicebay-lab: plays scenarios against the proxy's decisions, audits the rules, and compares
+pumicebay-lab: runs scenarios against the proxy's decisions, audits the rules, and compares
 
 usage: pumicebay-lab COMMAND ...
 
   list [FOLDER]        the scenarios that ship, one line each (FOLDER: scenarios)
   run SCENARIO [--clock virtual|real] [--seed N] [--policy NAME] [--proxy PATH]
       [--json FILE] [--report FILE.html] [--set KEY=VALUE]
-                       plays one day, in virtual time or with real proxies on loopback
+                       runs a scenario once, in virtual time or with real proxies on loopback
                        sockets (PATH: another build of pumicebay)
   compare SCENARIO --policy A,B,... [--seeds N]
-                       paired by seed: mean difference with a 95% interval
+                       compares policies, paired by seed: mean difference with a 95% interval
   compare SCENARIO --clock real --proxy PATH,PATH,... [--seeds N]
-                       the same for builds, on sockets; `self` is the lab's own, PATH+fleet one
-                       whose proxies are a fleet
+                       compares builds on sockets; `self` is the lab's own build, PATH+fleet a
+                       build whose proxies form a fleet
   sweep SCENARIO --set KEY=V1,V2,... [--seeds N] [--report FILE.html]
-                       a table and a plot over a grid
+                       runs a grid of settings: a table and a plot
   hunt SCENARIO [--runs N] [--json FILE]
-                       looks for the day that loses most, cuts it down, and writes it
-                       to found/
+                       searches for the run with the largest loss, removes the changes that
+                       do not contribute to it, and writes the scenario to found/
   fleet PLAN [--clock real|virtual] [--seed N] [--seeds N] [--proxy PATH] [--json FILE] [--report FILE.html]
                        starts the processes of a fleet on loopback, injects PLAN's faults between
-                       them, and judges leases and the record by a witness
+                       them, and checks the leases and the record against a witness
   capacity [--slopes FILE] [--page FILE [--check]]
-                       what the slopes that were measured say at the size in two years, as tables; with
-                       --page they are written into the page, or compared with it
+                       tables of the resources needed at the size in two years, from measured slopes;
+                       with --page they are written into the page, or compared with it
   capacity measure|measure-voters [--proxy PATH] [--json FILE]
-                       the memory and processor time of a proxy by nodes, changes of the list and requests;
-                       of a voter by processes that are linked to it
+                       measures the memory and processor time of a proxy by nodes, list changes and
+                       requests; of a voter by the processes connected to it
   scale PLAN [--seed N] [--seeds A..B|N] [--clock virtual|real] [--set KEY=VALUE]
       [--json FILE] [--report FILE.html]
-                       plays a whole fleet that takes its configuration by the carrier (A..B: both
-                       included)
+                       runs a whole fleet that receives its configuration through the carrier (A..B
+                       includes both)
   help                 print this
 
-Every command takes --threads N. A broken rule makes the exit code 1, a wrong call 2, a run
-that is not usable 3.";
+Every command takes --threads N. The exit code is 1 if a rule was broken, 2 for a usage or
+other error, 3 if a run is not usable.";
 
-/// Days of a hunt, and seeds, where the call has none.
+/// The number of runs of `hunt` without `--runs`.
 const DEFAULT_RUNS: u64 = 100;
+/// The number of seeds of `compare` and `sweep` without `--seeds`.
 const DEFAULT_SEEDS: u64 = 10;
 
+/// The parsed command line.
 #[derive(Default)]
 struct Options {
     command: Option<String>,
@@ -75,6 +77,8 @@
     check: bool,
 }
 
+/// Runs the command that the process's arguments name. Returns an error for wrong arguments, unreadable files and
+/// failed runs.
 pub fn main() -> Result<ExitCode> {
     let options = parse(lexopt::Parser::from_env())?;
     if let Some(threads) = options.threads {
@@ -90,11 +94,11 @@
         Some("capacity") => capacity(&options),
         Some("scale") => scale(&options),
         Some("help") => {
-            print(&format!("{HELP}\n"));
+            write_stdout(&format!("{HELP}\n"));
             Ok(ExitCode::SUCCESS)
         }
         Some(other) => bail!("unknown command {other:?}; see pumicebay-lab help"),
-        None => bail!("no command; see pumicebay-lab help"),
+        None => bail!("no command given; see pumicebay-lab help"),
     }
 }
 
@@ -107,7 +111,7 @@
             Long("seeds") => {
                 let text = args.value()?.string()?;
                 match text.split_once("..") {
-                    // From one to another, both included.
+                    // A..B includes both ends.
                     Some((first, last)) => {
                         let number = |text: &str| {
                             text.parse::<u64>()
@@ -150,7 +154,7 @@
 
 impl Options {
     fn path(&self) -> Result<&Path> {
-        self.path.as_deref().context("no scenario; see pumicebay-lab list")
+        self.path.as_deref().context("no scenario given; see pumicebay-lab list")
     }
 
     fn read(&self) -> Result<Scenario> {
@@ -180,8 +184,8 @@
     }
 }
 
-/// A reader that has seen enough ends nothing.
-fn print(text: &str) {
+/// Writes to standard output. A write error is ignored, so that a closed pipe does not end the run.
+fn write_stdout(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -198,9 +202,9 @@
     for path in paths {
         let line = match scenario::read(&path, &[]) {
             Ok(scenario) => scenario.description,
-            Err(error) => format!("can't be read: {error:#}"),
+            Err(error) => format!("unreadable: {error:#}"),
         };
-        print(&format!("{:<32} {line}\n", path.display().to_string()));
+        write_stdout(&format!("{:<32} {line}\n", path.display().to_string()));
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -210,7 +214,7 @@
     let progress = Progress::new(&scenario.name, 1);
     let show_progress = |fraction| progress.set(fraction);
     let results = if options.real()? {
-        ensure!(policy == "pumicebay", "--policy: baselines are played in virtual time only");
+        ensure!(policy == "pumicebay", "--policy: baselines run in virtual time only");
         real::play(
             &scenario,
             scenario.seed,
@@ -218,35 +222,36 @@
             &show_progress,
         )?
     } else {
-        ensure!(options.proxy.is_none(), "--proxy: goes with --clock real");
+        ensure!(options.proxy.is_none(), "--proxy: requires --clock real");
         virt::play(&scenario, policy, scenario.seed, &show_progress)?
     };
     drop(progress);
-    print(&results.table());
+    write_stdout(&results.table());
     if let Some(path) = &options.json {
         write(path, &(serde_json::to_string_pretty(&results)? + "\n"))?;
     }
-    // A day on sockets leaves a report in any case: it can't be played again to the letter.
+    // A run on sockets always writes a report, because it cannot be reproduced exactly.
     let default_path = std::env::temp_dir().join(format!("pumicebay-{}.html", scenario.name));
     let path = options.report.as_ref().or(options.real()?.then_some(&default_path));
     if let Some(path) = path {
         write(path, &report::html(&results)?)?;
-        print(&format!("  report: {}\n", path.display()));
+        write_stdout(&format!("  report: {}\n", path.display()));
     }
     Ok(exit_code(&[results]))
 }
 
+/// 1 if a rule was broken, else 3 if a run is not usable, else 0.
 fn exit_code(runs: &[Results]) -> ExitCode {
-    if runs.iter().any(|scenario| !scenario.rules_kept()) {
+    if runs.iter().any(|results| !results.rules_kept()) {
         ExitCode::from(1)
-    } else if runs.iter().any(|scenario| !scenario.usable) {
+    } else if runs.iter().any(|results| !results.usable) {
         ExitCode::from(3)
     } else {
         ExitCode::SUCCESS
     }
 }
 
-/// The first name's own days decide the exit code: the others are there to be compared with.
+/// Only the runs of the first policy or build decide the exit code; the others are its reference.
 fn compare(options: &Options) -> Result<ExitCode> {
     let (scenario, seeds) = (options.read()?, options.seeds()?);
     let names = |text: &str| text.split(',').map(str::to_string).collect::<Vec<_>>();
@@ -259,7 +264,7 @@
         let runs = compare::policies(&scenario, &policies, seeds)?;
         (policies, runs)
     };
-    print(&compare::table(&names, &runs));
+    write_stdout(&compare::table(&names, &runs));
     Ok(exit_code(&runs[0]))
 }
 
@@ -271,11 +276,11 @@
     };
     let set: Vec<_> = options.set.iter().map(values).collect();
     let points = sweep::play(&text, &set, policy, options.seeds()?, options.seed)?;
-    print(&sweep::table(&points));
+    write_stdout(&sweep::table(&points));
     if let Some(path) = &options.report {
         let name = options.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         write(path, &report::sweep_html(&name, policy, &points)?)?;
-        print(&format!("report: {}\n", path.display()));
+        write_stdout(&format!("report: {}\n", path.display()));
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -288,10 +293,10 @@
     let stem = options.path()?.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     let path = folder.join(format!("{stem}-{policy}-{}.toml", found.results.seed));
     write(&path, &found.text)?;
-    print(&found.results.table());
+    write_stdout(&found.results.table());
     let (before, after) = found.changes;
-    print(&format!(
-        "loses {:.3} ({:.3} before it was cut down from {before} changes to {after}): {}\n",
+    write_stdout(&format!(
+        "loss {:.3} ({:.3} before reduction from {before} changes to {after}): {}\n",
         found.loss,
         found.unreduced_loss,
         path.display()
@@ -302,25 +307,25 @@
     Ok(exit_code(&[found.results]))
 }
 
-/// Plays a fleet's plan under one seed or several; exit code 1 where anything went wrong.
+/// Runs a fleet plan with one or more seeds; exit code 1 if any run failed.
 fn fleet(options: &Options) -> Result<ExitCode> {
     let plan = Plan::read(options.path()?)?;
     let (first, count) = (options.seed.unwrap_or(1), options.seeds.unwrap_or(1));
-    // Processes are what a fleet is about: virtual time has to be asked for.
+    // Unlike for the other commands, real processes are the default; virtual time needs `--clock virtual`.
     let real = options.clock.is_none() || options.real()?;
-    let lab = std::env::current_exe().context("this program's own path")?;
+    let lab = std::env::current_exe().context("path of the current executable")?;
     let programs = Programs { proxy: options.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
     let mut failures = 0;
     for seed in first..first.saturating_add(count) {
         if !real {
             let found = rig::virt::play(&plan, seed);
-            print(&found.summary());
+            write_stdout(&found.summary());
             failures += found.wrong();
             continue;
         }
         let outcome = rig::play(&plan.drawn(seed), seed, &programs)?;
-        print(&outcome.summary());
-        // Of several seeds, the first that went wrong is kept, or the last.
+        write_stdout(&outcome.summary());
+        // Of several seeds, the files keep the first run that failed, or the last run if none failed.
         if failures == 0 {
             if let Some(file) = &options.json {
                 std::fs::write(file, serde_json::to_string_pretty(&outcome)?).context("--json")?;
@@ -334,28 +339,28 @@
     Ok(if failures > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
 
-/// The tables of the size in two years, or the measures that some of its slopes come from. `--check` compares and changes
-/// nothing.
+/// Writes the tables of the resources needed at the size in two years, or runs the measurements that some of their
+/// slopes come from. `--check` compares the page with the tables and changes nothing.
 fn capacity(options: &Options) -> Result<ExitCode> {
     let subcommand = options.path.as_deref().and_then(Path::to_str);
     let tables = options.check || options.page.is_some();
-    ensure!(subcommand.is_none() || !tables, "--page, --check: do not go with measure");
+    ensure!(subcommand.is_none() || !tables, "--page, --check: not allowed with measure or measure-voters");
     match subcommand {
         Some("measure") => {
-            let own = std::env::current_exe().context("this program's own path")?;
+            let own = std::env::current_exe().context("path of the current executable")?;
             let program = options.proxy.as_ref().map_or(own, PathBuf::from);
             let measures = capacity::measure::measure(&program, |line| eprintln!("{line}"))?;
-            print(&measures.table());
+            write_stdout(&measures.table());
             if let Some(file) = &options.json {
                 write(file, &(serde_json::to_string_pretty(&measures)? + "\n"))?;
             }
             return Ok(ExitCode::SUCCESS);
         }
         Some("measure-voters") => {
-            let lab = std::env::current_exe().context("this program's own path")?;
+            let lab = std::env::current_exe().context("path of the current executable")?;
             let programs = Programs { proxy: options.proxy.as_ref().map_or(lab.clone(), PathBuf::from), lab };
             let voters = capacity::measure::voters(&programs, |line| eprintln!("{line}"))?;
-            print(&capacity::measure::voters_table(&voters));
+            write_stdout(&capacity::measure::voters_table(&voters));
             if let Some(file) = &options.json {
                 write(file, &(serde_json::to_string_pretty(&voters)? + "\n"))?;
             }
@@ -371,12 +376,12 @@
         (Some(page), false) => write(page, &capacity::page(&capacity::read(page)?, &file)?)?,
         (None, false) => capacity::tables::all(&file)
             .iter()
-            .for_each(|(name, table)| print(&format!("## {name}\n\n{table}\n"))),
+            .for_each(|(name, table)| write_stdout(&format!("## {name}\n\n{table}\n"))),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Plays a whole fleet that takes its configuration by the carrier; exit code 1 where anything went wrong.
+/// Runs a whole fleet that receives its configuration through the carrier; exit code 1 if any run failed.
 fn scale(options: &Options) -> Result<ExitCode> {
     let (first, count) = (options.seed.unwrap_or(1), options.seeds.unwrap_or(1));
     ensure!(count > 0, "--seeds: expected 1 or more");
@@ -387,7 +392,7 @@
         report: options.report.as_deref(),
     };
     let seeds = first..=first.saturating_add(count - 1);
-    let path = options.path.as_deref().context("no plan; see scenarios/scale")?;
-    let passed = scale::command(path, seeds, &scale_options, &print)?;
+    let path = options.path.as_deref().context("no plan given; see scenarios/scale")?;
+    let passed = scale::command(path, seeds, &scale_options, &write_stdout)?;
     Ok(if passed { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,12 +1,12 @@
-//! The program `pumicebay-lab`.
+//! The binary `pumicebay-lab`.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     #[cfg(feature = "planted")]
     plant();
-    // The lab is also the proxy that it plays with, where no other is named; `as-proxy` goes before its commands that
-    // the lab has too.
+    // This binary is also the proxy under test unless `--proxy` names another one. `as-proxy` selects a proxy command
+    // whose name the lab uses too.
     let mut args = std::env::args_os().peekable();
     let program = args.next().unwrap_or_default();
     let as_proxy = args.next_if(|word| word == "as-proxy").is_some();
@@ -19,7 +19,7 @@
             }
         };
     }
-    // What the rig's commands run under a lease.
+    // `act` is the command that the rig's fleet plans run while a lease is held.
     if args.next_if(|word| word == "act").is_some() {
         let words: Vec<String> = args.map(|word| word.to_string_lossy().into_owned()).collect();
         return match pumicebay_lab::rig::act(&words) {
@@ -40,7 +40,8 @@
     }
 }
 
-/// Plants the fault whose number `$PUMICEBAY_PLANT` gives, in this process and in all that the rig starts.
+/// Injects the fault whose number is in `$PUMICEBAY_PLANT` into this process. Processes that the rig starts inherit
+/// the variable and inject the same fault.
 #[cfg(feature = "planted")]
 fn plant() {
     let number = std::env::var("PUMICEBAY_PLANT").ok().and_then(|number| number.parse::<u8>().ok());
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,22 +1,25 @@
-//! The scenario's rules in the words of the platform's configuration: what the proxy on sockets reads from a
-//! file, and what the decisions get in virtual time by the same way.
+//! Converts a scenario into the `settings` of a proxy's configuration. A proxy on sockets reads them from a file; in virtual
+//! time the decisions receive them through the same parser.
 
 use pumicebay_model::spec::{DedupScope, DiscoveryMode, RetrySafety, Scenario};
 use serde_json::{Value as Json, json};
 
-/// The kind that the origin has in the list of nodes, and that of the caches.
+/// The kind of the origin in the node list.
 pub const ORIGIN: &str = "origin";
+/// The kind of a cache node in the node list.
 pub const CACHE: &str = "cache";
 
+/// Milliseconds to microseconds.
 fn micros(millis: f64) -> u64 {
     (millis * 1000.0) as u64
 }
 
+/// The name of the zone with this index.
 pub fn zone(number: usize) -> String {
     format!("z{}", number + 1)
 }
 
-/// The object `settings` of a proxy's configuration.
+/// The object `settings` in the configuration of the proxy with this index.
 pub fn settings(scenario: &Scenario, index: usize) -> Json {
     let routes = scenario.route.iter().map(|route| {
         json!({
@@ -68,5 +71,5 @@
     })
 }
 
-/// How long a connection to a node may take to come up.
+/// The connect timeout of a proxy for its nodes, in milliseconds.
 pub const CONNECT_MS: f64 = 200.0;
--- a/crates/lab/src/progress.rs
+++ b/crates/lab/src/progress.rs
@@ -1,14 +1,16 @@
-//! Shows how far a long run is, on a terminal only.
+//! A progress bar for long runs, shown on a terminal only.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 
+/// Steps of the bar for one run.
 const STEPS_PER_RUN: f64 = 1000.0;
 
+/// A progress bar on standard error; nothing if that is no terminal.
 pub struct Progress(Option<ProgressBar>);
 
 impl Progress {
-    /// Over so many days.
+    /// Creates a bar for this number of runs.
     pub fn new(label: &str, runs: usize) -> Progress {
         if !std::io::stderr().is_terminal() {
             return Progress(None);
@@ -20,14 +22,14 @@
         Progress(Some(bar))
     }
 
-    /// Part of one day is over.
+    /// Sets the elapsed fraction of a single run, from 0 to 1.
     pub fn set(&self, fraction: f64) {
         if let Some(bar) = &self.0 {
             bar.set_position((fraction * STEPS_PER_RUN) as u64);
         }
     }
 
-    /// One of many days is over.
+    /// Counts one of several runs as finished.
     pub fn finish_run(&self) {
         if let Some(bar) = &self.0 {
             bar.inc(STEPS_PER_RUN as u64);
--- a/crates/lab/src/simulated_proxy.rs
+++ b/crates/lab/src/simulated_proxy.rs
@@ -1,5 +1,5 @@
-//! One proxy in virtual time: a policy, and the host that carries out its acts as messages to the world. Seats
-//! share nothing, so that many can be played at once.
+//! One proxy in virtual time: a policy, and a host that turns the policy's actions into messages to the world. Simulated
+//! proxies share no state, so many can run in parallel.
 
 use crate::policy::{self, BoxedPolicy};
 use hashbrown::HashMap;
@@ -16,100 +16,64 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// What becomes known to a proxy.
+/// A message from the world to a proxy.
 #[derive(Clone, Debug)]
 pub enum ProxyInput {
-    RequestArrived {
-        request: RequestId,
-        params: RequestParams,
-    },
-    /// What came of a try; `epoch` is the node's incarnation, and `value` the exchange it was made for.
-    AttemptEnded {
-        request: RequestId,
-        attempt: usize,
-        outcome: Outcome,
-        epoch: u64,
-        value: RequestId,
-    },
-    /// The node's process died: its connections break.
-    NodeReset {
-        node: Node,
-    },
-    NodesListed {
-        complete: bool,
-        entries: Arc<Vec<NodeEntry>>,
-    },
+    /// A client's request arrived.
+    RequestArrived { request: RequestId, params: RequestParams },
+    /// An attempt ended. `epoch` is the connection epoch of the node, and `value` the request that the value was made for.
+    AttemptEnded { request: RequestId, attempt: usize, outcome: Outcome, epoch: u64, value: RequestId },
+    /// The node's process died and its connections broke.
+    NodeReset { node: Node },
+    /// Entries of the node list: all of them if `complete`, else those that changed.
+    NodesListed { complete: bool, entries: Arc<Vec<NodeEntry>> },
+    /// The request for the node list failed.
     ListFailed,
-    ProbeFinished {
-        node: Node,
-        outcome: Outcome,
-    },
+    /// A health probe ended.
+    ProbeFinished { node: Node, outcome: Outcome },
+    /// The proxy's process is killed.
     Kill,
-    /// A new process, with the list it last had.
-    Start {
-        entries: Arc<Vec<NodeEntry>>,
-        incarnation: u64,
-    },
+    /// A new process starts with this node list.
+    Start { entries: Arc<Vec<NodeEntry>>, incarnation: u64 },
 }
 
-/// What a proxy does to the world.
+/// A message from a proxy to the world.
 #[derive(Clone, Debug)]
 pub enum ProxyAction {
-    /// `epoch` is that of the connection; none for a new one.
+    /// An attempt is sent to a node. `epoch` is the epoch of the reused connection; `None` opens a new one.
     Attempt {
         request: RequestId,
         attempt: usize,
         node: Node,
         sent: Nanos,
         epoch: Option<u64>,
-        /// How long it tells the node that it will be waited for.
+        /// How long the proxy tells the node that it will wait.
         advertised_timeout: Nanos,
     },
-    /// Gives up a try by closing its connection.
-    Cancel {
-        request: RequestId,
-        attempt: usize,
-        node: Node,
-        sent: Nanos,
-    },
-    /// A try's connection broke.
-    Severed {
-        request: RequestId,
-        attempt: usize,
-        node: Node,
-        sent: Nanos,
-    },
+    /// Cancels an attempt by closing its connection.
+    Cancel { request: RequestId, attempt: usize, node: Node, sent: Nanos },
+    /// The connection of an attempt broke.
+    Severed { request: RequestId, attempt: usize, node: Node, sent: Nanos },
     /// Closes an idle connection.
-    Close {
-        node: Node,
-        epoch: u64,
-    },
-    Served {
-        request: RequestId,
-        sent: Nanos,
-        value: RequestId,
-    },
-    Shed {
-        request: RequestId,
-        sent: Nanos,
-        pause: Nanos,
-    },
-    Errored {
-        request: RequestId,
-        sent: Nanos,
-    },
-    /// There is no process to take it.
-    Refused {
-        request: RequestId,
-    },
-    Probe {
-        node: Node,
-    },
+    Close { node: Node, epoch: u64 },
+    /// Answers the client with a value; `value` is the request that the value was made for.
+    Served { request: RequestId, sent: Nanos, value: RequestId },
+    /// Rejects the request because of overload; the client should wait for `pause` before a retry.
+    Shed { request: RequestId, sent: Nanos, pause: Nanos },
+    /// Answers the client with an error.
+    Errored { request: RequestId, sent: Nanos },
+    /// No process is running, so the client's connection is refused.
+    Refused { request: RequestId },
+    /// Sends a health probe.
+    Probe { node: Node },
+    /// Requests the node list and its changes.
     WatchNodeList,
+    /// A log line.
     Log(String),
 }
 
-/// A message and when it arrives; those at the same time in the order they were sent.
+/// A message with its arrival time. Messages that arrive at the same time are handled by ascending `order`. Comparisons are
+/// reversed, so that a max-heap yields the earliest message.
 pub struct Scheduled<T> {
     pub at: Nanos,
     pub order: u64,
@@ -132,27 +96,30 @@
 
 impl<T> Ord for Scheduled<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        // The earliest first.
+        // Reversed: the earliest message is the greatest.
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
 enum Timer {
+    /// Set by the policy with this token.
     Policy(u64),
+    /// The timeout of an attempt.
     AttemptOverdue(RequestId, usize),
-    /// Hardly any time was left: it was not begun.
+    /// Reports an attempt that was not sent because too little time was left to advertise a timeout.
     AttemptUnsent(RequestId, usize),
 }
 
+/// A request that the policy has not released yet.
 struct OpenRequest {
     answered: bool,
-    /// Until when its client waits, as far as this proxy knows.
+    /// When the client stops waiting, as far as this proxy knows.
     client_deadline: Nanos,
-    /// The node of each try that is out.
+    /// By attempt: its node while it is in flight.
     attempts: Vec<Option<Node>>,
 }
 
-/// Carries out what a policy asks for.
+/// Carries out the actions of a policy.
 pub struct SimulatedHost {
     index: usize,
     now: Nanos,
@@ -160,11 +127,11 @@
     network: Network,
     rng: Rng,
     idle_limit: Nanos,
-    /// By node: when each idle connection was last used, and its epoch.
+    /// By node: when each idle connection was last used, and its connection epoch.
     idle: Vec<VecDeque<(Nanos, u64)>>,
     open_requests: HashMap<RequestId, OpenRequest>,
     timers: BinaryHeap<Reverse<(Nanos, u64)>>,
-    /// What the timers are for, by their order.
+    /// The purpose of each timer, by its order number.
     timer_targets: HashMap<u64, Timer>,
     order: u64,
     actions: Vec<(Nanos, ProxyAction)>,
@@ -175,7 +142,7 @@
         self.actions.push((self.now + after, message));
     }
 
-    /// To a node; the origin is in the first zone.
+    /// A random one-way delay to a node. The origin is in the first zone.
     fn delay(&mut self, node: Node) -> Nanos {
         let zone = if node + 1 >= self.idle.len() { 0 } else { node % self.zones };
         self.network.delay(&mut self.rng, self.index % self.zones, zone)
@@ -185,13 +152,13 @@
         self.network.delay(&mut self.rng, 0, 0)
     }
 
-    fn schedule(&mut self, at: Nanos, schedule: Timer) {
+    fn schedule(&mut self, at: Nanos, timer: Timer) {
         self.order += 1;
         self.timers.push(Reverse((at, self.order)));
-        self.timer_targets.insert(self.order, schedule);
+        self.timer_targets.insert(self.order, timer);
     }
 
-    /// An idle connection to the node that is not too old; those that are get closed.
+    /// Takes an idle connection to the node and closes those that exceeded the idle limit. `None` if none is left.
     fn connection(&mut self, node: Node) -> Option<u64> {
         while let Some((last_used, epoch)) = self.idle[node].pop_front() {
             if self.now < last_used + self.idle_limit {
@@ -203,8 +170,8 @@
         None
     }
 
-    /// Whether the exchange still awaits its answer, which it now has.
-    fn take_answer(&mut self, request: RequestId) -> bool {
+    /// Marks the request as answered; false if it was answered before or is not open.
+    fn mark_answered(&mut self, request: RequestId) -> bool {
         self.open_requests.get_mut(&request).is_some_and(|open| !std::mem::replace(&mut open.answered, true))
     }
 }
@@ -222,7 +189,7 @@
         let advertised_timeout = millis(advertised_timeout as f64);
         let epoch = self.connection(node);
         let one_way = self.delay(node);
-        // A new connection is there and back before it carries anything.
+        // A new connection needs one round trip before it carries the attempt.
         let delay = if epoch.is_some() { one_way } else { 3 * one_way };
         self.send_after(
             delay,
@@ -232,14 +199,14 @@
     }
 
     fn shed(&mut self, request: RequestId, pause: Nanos) {
-        if self.take_answer(request) {
+        if self.mark_answered(request) {
             let delay = self.client_delay();
             self.send_after(delay, ProxyAction::Shed { request, sent: self.now, pause });
         }
     }
 
     fn error(&mut self, request: RequestId) {
-        if self.take_answer(request) {
+        if self.mark_answered(request) {
             let delay = self.client_delay();
             self.send_after(delay, ProxyAction::Errored { request, sent: self.now });
         }
@@ -258,7 +225,7 @@
         self.send_after(delay, ProxyAction::Probe { node });
     }
 
-    /// A node keeps its number here: it may come back.
+    /// Does nothing: a node keeps its number, because it may come back.
     fn release_node(&mut self, _node: Node) {}
 
     fn watch_node_list(&mut self) {
@@ -270,32 +237,37 @@
     }
 }
 
-/// What a seat is made of, the same for each.
+/// The configuration of a simulated proxy.
 #[derive(Clone)]
 pub struct ProxyConfig {
     pub policy: String,
-    /// Added to the seed of the policy's own chance.
+    /// Added to the seed of the policy's random choices.
     pub salt: u64,
     pub settings: Settings,
     pub seed: u64,
+    /// The number of cache nodes; the origin has the next index.
     pub nodes: usize,
     pub zones: usize,
+    /// How long an idle connection may be reused, in nanoseconds.
     pub idle_limit: Nanos,
     pub network: Network,
 }
 
+/// A proxy in virtual time. It handles messages and timers in order of time.
 pub struct SimulatedProxy {
     index: usize,
     config: ProxyConfig,
+    /// `None` while no process is running.
     policy: Option<BoxedPolicy<SimulatedHost>>,
-    /// What a policy that is killed had learned, where that outlives it.
+    /// The replica table of a killed process, if the policy keeps it across restarts.
     kept_replicas: Option<ReplicaTable>,
     inbox: BinaryHeap<Scheduled<ProxyInput>>,
-    /// What it did, since last taken.
+    /// Actions since the last call of `drain_actions`, with their arrival times.
     actions: Vec<(Nanos, ProxyAction)>,
 }
 
 impl SimulatedProxy {
+    /// Creates a proxy without a process; `ProxyInput::Start` starts one.
     pub fn new(config: ProxyConfig, index: usize) -> SimulatedProxy {
         SimulatedProxy {
             index,
@@ -307,18 +279,20 @@
         }
     }
 
+    /// Delivers a message for its arrival time `at`; `order` breaks ties.
     pub fn deliver(&mut self, at: Nanos, order: u64, message: ProxyInput) {
         self.inbox.push(Scheduled { at, order, message });
     }
 
-    /// When something is next to happen here.
+    /// The time of the next message or timer; `Nanos::MAX` if there is none.
     pub fn next_event_at(&mut self) -> Nanos {
         let next_message = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
-        let schedule = self.policy.as_mut().and_then(|policy| policy.host().timers.peek().map(|due| due.0.0));
-        next_message.min(schedule.unwrap_or(Nanos::MAX))
+        let next_timer =
+            self.policy.as_mut().and_then(|policy| policy.host().timers.peek().map(|due| due.0.0));
+        next_message.min(next_timer.unwrap_or(Nanos::MAX))
     }
 
-    /// Plays all that happens here before that time.
+    /// Handles all messages and timers before `until`.
     pub fn run_until(&mut self, until: Nanos) {
         loop {
             let next_message = self.inbox.peek().map_or(Nanos::MAX, |due| due.at);
@@ -345,7 +319,7 @@
         }
     }
 
-    /// What it did since last asked: when each arrives, in the order it was done.
+    /// Takes the actions since the last call with their arrival times, in the order in which they were taken.
     pub fn drain_actions(&mut self) -> std::vec::Drain<'_, (Nanos, ProxyAction)> {
         self.actions.drain(..)
     }
@@ -410,7 +384,7 @@
             actions: Vec::new(),
         };
         let seed = splitmix64(seed ^ splitmix64(self.index as u64 ^ incarnation << 32)).wrapping_add(*salt);
-        self.policy = policy::make(policy, host, settings.clone(), seed, now);
+        self.policy = policy::create(policy, host, settings.clone(), seed, now);
         if let (Some(policy), Some(replicas)) = (&mut self.policy, self.kept_replicas.take()) {
             policy.set_replicas(replicas);
         }
@@ -428,7 +402,7 @@
         }
     }
 
-    /// An outcome counts if its try is still out; a connection that is sound is kept.
+    /// Passes an outcome to the policy if its attempt is still in flight. A connection that is still usable becomes idle.
     fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -444,7 +418,7 @@
         if !matches!(outcome, Outcome::Unreachable | Outcome::Severed | Outcome::Overdue) {
             host.idle[node].push_back((now, response.0));
         }
-        if outcome == Outcome::Completed && host.take_answer(request) {
+        if outcome == Outcome::Completed && host.mark_answered(request) {
             let delay = host.client_delay();
             host.send_after(delay, ProxyAction::Served { request, sent: now, value: response.1 });
         }
@@ -493,20 +467,22 @@
     }
 }
 
-/// What stands for a node at every proxy.
+/// The identifier of a cache node in the node list, the same at every proxy.
 pub fn node_uid(node: Node) -> String {
     format!("n{}", node + 1)
 }
 
-/// A key as clients write it, and what stands for it in the decisions, which is a hash of that.
+/// A key as clients write it: 16 hexadecimal digits.
 pub fn key_text(key: u64) -> String {
     format!("{key:016x}")
 }
 
+/// The hash of the key's text, by which the decisions know a key.
 pub fn key_hash(key: u64) -> u64 {
     pumicebay_names::stable_hash(&key_text(key))
 }
 
+/// Converts an entry of the registry into the list entry that a policy receives. `origin` is the node number of the origin.
 pub fn listed_node(entry: &NodeEntry, origin: Node, zones: usize) -> ListedNode {
     let is_origin = entry.node == origin;
     ListedNode {
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,4 +1,4 @@
-//! A scenario over a grid of settings.
+//! Runs a scenario over a grid of settings.
 
 use crate::progress::Progress;
 use crate::results::Results;
@@ -10,27 +10,29 @@
 use rayon::prelude::*;
 use std::fmt::Write;
 
-/// Points of a grid that are played at most.
+/// The maximum number of points of a grid.
 const MAX_POINTS: usize = 400;
 
-/// One place in the grid, and its days by seed.
+/// One point of the grid, with its runs by seed.
 pub struct Point {
     pub set: Vec<(String, String)>,
     pub runs: Vec<Results>,
 }
 
 impl Point {
+    /// The mean of a figure over the seeds.
     pub fn mean(&self, figure: fn(&Results) -> f64) -> Mean {
         Mean::of(&self.runs.iter().map(figure).collect::<Vec<_>>())
     }
 
+    /// The settings of the point as `KEY=VALUE`, separated by spaces.
     pub fn name(&self) -> String {
         let pairs = self.set.iter().map(|(key, value)| format!("{key}={value}"));
         pairs.collect::<Vec<_>>().join(" ")
     }
 }
 
-/// Every combination of the values, the last key's changing first.
+/// Every combination of the values; the value of the last key changes fastest.
 pub fn grid(set: &[(String, Vec<String>)]) -> Vec<Vec<(String, String)>> {
     set.iter().fold(vec![Vec::new()], |points, (key, values)| {
         let with = |point: &Vec<(String, String)>, value: &String| {
@@ -40,6 +42,8 @@
     })
 }
 
+/// Runs the scenario at every point of the grid with `seeds` seeds, from `seed` or else from the seed of the scenario. Returns
+/// an error if the grid has too many points or a point is no valid scenario.
 pub fn play(
     text: &ScenarioSource,
     set: &[(String, Vec<String>)],
@@ -48,14 +52,14 @@
     seed: Option<u64>,
 ) -> Result<Vec<Point>> {
     let grid = grid(set);
-    ensure!(grid.len() <= MAX_POINTS, "--set: {} points, at most {MAX_POINTS}", grid.len());
-    // All are checked before the first is played.
+    ensure!(grid.len() <= MAX_POINTS, "--set: {} points, expected at most {MAX_POINTS}", grid.len());
+    // All points are checked before the first run.
     let scenarios: Result<Vec<Scenario>> =
         grid.iter().map(|set| text.scenario(set).with_context(|| format!("with {set:?}"))).collect();
     let scenarios = scenarios?;
     let progress = Progress::new("sweep", scenarios.len() * seeds as usize);
-    let run_one = |scenario: &Scenario, number: u64| {
-        let results = virt::play(scenario, policy, seed.unwrap_or(scenario.seed) + number, &|_| {});
+    let run_one = |scenario: &Scenario, seed_offset: u64| {
+        let results = virt::play(scenario, policy, seed.unwrap_or(scenario.seed) + seed_offset, &|_| {});
         progress.finish_run();
         results
     };
@@ -68,6 +72,7 @@
     Ok(points.map(|set| Point { set, runs: played.by_ref().take(seeds as usize).collect() }).collect())
 }
 
+/// A Markdown table with a row for each point.
 pub fn table(points: &[Point]) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "| set | payoff (95%) | worst 10 s | hit rate | origin/s | shed | rules broken |");
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -1,6 +1,6 @@
-//! A day in virtual time: the world and the proxies by turns, in windows no longer than a message takes at
-//! least. Within a window nobody can hear of another, so the proxies are played at once, on as many threads
-//! as there are, and the day does not depend on how many.
+//! Runs a scenario in virtual time. The world and the proxies take turns in windows no longer than the minimum network delay.
+//! Messages sent within a window arrive after it, so the proxies run in parallel on all threads, and the results do not
+//! depend on the number of threads.
 
 use crate::audit::Auditor;
 use crate::metrics::RunMetrics;
@@ -16,12 +16,13 @@
 use pumicebay_model::{SECOND, seconds};
 use rayon::prelude::*;
 
-/// Work of a window, in nodes times proxies that have something to do, below which one thread is quicker.
+/// The work of a window, as nodes times active proxies, below which one thread is faster than several.
 const MIN_PARALLEL_WORK: usize = 4000;
-/// What a day may take beyond its last arrival.
+/// How long a run may continue after the scenario's end until all operations are finished.
 const MAX_OVERRUN: Nanos = 120 * SECOND;
 
-/// Plays the day; `progress` hears how much of it is over, between 0 and 1.
+/// Runs the scenario and returns its results. `progress` receives the elapsed fraction, from 0 to 1. Returns an error for an
+/// unknown policy.
 pub fn play(
     scenario: &Scenario,
     policy: &str,
@@ -32,6 +33,7 @@
     Ok(metrics.results(policy, "virtual", seed, &auditor))
 }
 
+/// The same as [`play`], but returns the auditor and the metrics.
 pub fn run(
     scenario: &Scenario,
     policy: &str,
@@ -91,6 +93,7 @@
     Ok(world.finish())
 }
 
+/// The proxy, if it has an event before `until`.
 fn has_event_before(proxy: &mut SimulatedProxy, until: Nanos) -> Option<&mut SimulatedProxy> {
     (proxy.next_event_at() < until).then_some(proxy)
 }
