--- a/crates/lab/src/advertised_timeout.rs
+++ b/crates/lab/src/advertised_timeout.rs
@@ -1,33 +1,36 @@
-//! Counts what attempts told their servers, against what their clients had left by their own clocks.
+//! Compares the timeouts that attempts advertise to their servers with the time that their clients had left by their own
+//! clocks.
 
 use pumicebay_model::{Nanos, SECOND};
 use serde::Serialize;
 
 const MILLISECOND: Nanos = SECOND / 1000;
-/// An attempt may tell its server so much more time than its client has left, for what measuring is off by.
+/// How much longer than the client's remaining time an advertised timeout may be, to allow for measurement errors.
 const MEASUREMENT_TOLERANCE: Nanos = 50 * MILLISECOND;
 
-/// Attempts by what they told.
+/// Counts of attempts, and of those whose advertised timeout was longer than the time that the client had left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TimeoutCounts {
-    /// First attempts, and those of them that told too much.
+    /// The first attempts of their requests.
     #[serde(rename = "first")]
     pub first_attempts: u64,
+    /// First attempts with an excessive timeout.
     #[serde(rename = "first_too_much")]
     pub first_excessive: u64,
-    /// The same of further attempts.
+    /// All further attempts.
     #[serde(rename = "further")]
     pub retries: u64,
+    /// Further attempts with an excessive timeout.
     #[serde(rename = "further_too_much")]
     pub retries_excessive: u64,
-    /// The most that was told beyond what was left, in milliseconds.
+    /// The largest excess over the time left, in milliseconds.
     #[serde(rename = "worst_ms")]
     pub worst_excess_ms: u64,
 }
 
 impl TimeoutCounts {
-    /// Counts an attempt that told `beyond` more than was left. Whether that was too much; `slack` is what times may be
-    /// off by beside what measuring always is.
+    /// Counts an attempt whose advertised timeout exceeded the time left by `excess` nanoseconds. Returns whether that is more
+    /// than the measurement tolerance and more than `tolerance`.
     pub fn add(&mut self, is_retry: bool, excess: Nanos, tolerance: Nanos) -> bool {
         let excessive = excess > MEASUREMENT_TOLERANCE.max(tolerance);
         let (counted, counted_excessive) = match is_retry {
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Sends the next attempt of a request, or rejects it if none is possible. Writes, and reads that a cache answered without
-    /// executing them, go to the origin.
+    /// Sends the next attempt of a request, or rejects it if none is possible. Writes go to the origin, and so do
+    /// reads whose latest attempt was not executed by its cache node, for example after a miss.
     fn dispatch(&mut self, now: Nanos, request: RequestId) {
         let state = &self.requests[&request];
         let rejected_by_cache =
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Many days: policies against each other on the same seeds, and a scenario over a grid of settings.
+//! Compares policies in virtual time, or builds on sockets, on the same seeds.
 
 use crate::progress::Progress;
 use crate::results::Results;
@@ -10,7 +10,8 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Plays the scenario with each policy and seed, over the cores; by policy, then seed.
+/// Runs the scenario with each policy and seed, in parallel on all cores. Returns the results by policy, then by seed, or an
+/// error for an unknown policy.
 pub fn policies(scenario: &Scenario, policies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let pairs: Vec<(usize, u64)> = (0..policies.len())
         .flat_map(|policy| (0..seeds).map(move |seed| (policy, scenario.seed + seed)))
@@ -28,12 +29,13 @@
     Ok(policies.iter().map(|_| played.by_ref().take(seeds as usize).collect()).collect())
 }
 
-/// Plays the scenario on sockets with each build and seed, one day after another; `self` is the lab's own. `+fleet` after
-/// one has its proxies be a fleet, `+replication` one that replicates too.
+/// Runs the scenario on sockets with each build and seed, one run at a time. `self` is the lab's own build. A path with the
+/// suffix `+fleet` runs its proxies as a fleet, one with `+replication` as a fleet that also replicates. Returns an error for
+/// a fleet of fewer than three proxies, or if a run fails.
 pub fn builds(scenario: &Scenario, proxies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let progress = Progress::new(&scenario.name, proxies.len() * seeds as usize);
     let mut runs: Vec<Vec<Results>> = proxies.iter().map(|_| Vec::new()).collect();
-    // Seed by seed, so that what the machine does meanwhile meets all builds alike.
+    // Seed by seed, so that other load on the machine affects all builds alike.
     for seed in 0..seeds {
         for (proxy, played) in proxies.iter().zip(&mut runs) {
             let (proxy, replication) = match proxy.strip_suffix("+replication") {
@@ -47,7 +49,7 @@
             let path = (proxy != "self").then(|| PathBuf::from(proxy));
             let mut build_scenario = scenario.clone();
             (build_scenario.proxies.fleet, build_scenario.proxies.replication) = (fleet, replication);
-            ensure!(!fleet || build_scenario.proxies.count >= 3, "+fleet: expected three proxies or more");
+            ensure!(!fleet || build_scenario.proxies.count >= 3, "+fleet: expected 3 or more proxies");
             played.push(real::play(&build_scenario, scenario.seed + seed, path.as_ref(), &|_| {})?);
             progress.finish_run();
         }
@@ -55,7 +57,8 @@
     Ok(runs)
 }
 
-/// A row for each policy: its figures, and the paired difference of the first from it.
+/// A Markdown table with a row for each policy or build: its figures, and the mean gain of the first one over it, paired by
+/// seed.
 pub fn table(policies: &[String], runs: &[Vec<Results>]) -> String {
     let mut text = String::new();
     let first = &policies[0];
@@ -81,7 +84,7 @@
         } else {
             format!("{:+.4} ±{:.4}", gain.mean, gain.half_width)
         };
-        // Of the first route, and as a part of what the first policy takes: the median day of those with the same seeds.
+        // The mean of a figure, and the median over the seeds of its ratio to the same figure of the first policy.
         let with_ratio = |figure: fn(&Results) -> f64| {
             let mut ratios: Vec<f64> =
                 played.iter().zip(&runs[0]).map(|(run, first)| figure(run) / figure(first)).collect();
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Looks for the day on which a policy loses most: draws days from the scenario's ranges with faults of all
-//! kinds, keeps the worst, and takes away what does not matter.
+//! Searches for the run on which a policy loses most: draws random values from the scenario's ranges and random faults of all
+//! kinds, keeps the worst run, and removes the changes that do not contribute to its loss.
 
 use crate::progress::Progress;
 use crate::results::Results;
@@ -12,11 +12,11 @@
 use rayon::prelude::*;
 use toml::{Table, Value};
 
-/// Faults that are drawn for a day, at most.
+/// The maximum number of faults drawn for a run.
 const MAX_FAULTS: usize = 3;
-/// What may go while this part of the loss stays.
+/// A change is removed if at least this share of the loss remains without it.
 const MIN_RETAINED_LOSS: f64 = 0.9;
-/// Kinds that are drawn, and whether each befalls nodes.
+/// The fault kinds that are drawn, and whether each one targets nodes.
 const FAULT_KINDS: &[(&str, bool)] = &[
     ("crash", true),
     ("slow", true),
@@ -42,32 +42,37 @@
     ("partition", true),
 ];
 
-/// A day that was found, as text, with its results and what it loses without its faults.
+/// The reduced scenario with the largest loss that was found.
 pub struct WorstCase {
+    /// The scenario as TOML.
     pub text: String,
     pub results: Results,
+    /// The payoff share that the run loses to its faults; 1 more if it breaks a rule.
     pub loss: f64,
-    /// What it lost before it was cut down, and how many changes it had.
+    /// The loss before the reduction.
     pub unreduced_loss: f64,
+    /// The number of changes before and after the reduction.
     pub changes: (usize, usize),
 }
 
-/// One change of a drawn day: a fault, or a key's value.
+/// One random change to the scenario: a fault, or the value of a key.
 #[derive(Clone, Debug)]
 enum Mutation {
     Fault(Table),
     Set(String, f64),
 }
 
-/// What a day loses: payoff that the same day keeps where nothing goes wrong; a broken rule is all of it.
+/// The loss of a run: the payoff share of the same run without faults, less its own; 1 more if it breaks a rule.
 fn loss(scenario: &Scenario, policy: &str) -> Result<(f64, Results)> {
     let results = virt::play(scenario, policy, scenario.seed, &|_| {})?;
     let faultless = Scenario { fault: Vec::new(), ..scenario.clone() };
     let faultless = virt::play(&faultless, policy, scenario.seed, &|_| {})?;
-    let broken = if results.rules_kept() { 0.0 } else { 1.0 };
-    Ok((faultless.share - results.share + broken, results))
+    let penalty = if results.rules_kept() { 0.0 } else { 1.0 };
+    Ok((faultless.share - results.share + penalty, results))
 }
 
+/// Plays `runs` random variants and reduces the worst. `seed` replaces the seed of the scenario. Returns an error for no runs,
+/// an unknown policy, or a range whose key does not exist.
 pub fn hunt(text: &ScenarioSource, policy: &str, runs: u64, seed: Option<u64>) -> Result<WorstCase> {
     let tree = text.tree()?;
     let scenario = text.check(tree.clone())?;
@@ -81,12 +86,10 @@
         played.map(|(loss, _)| (loss, run, mutations))
     };
     let played: Result<Vec<(f64, u64, Vec<Mutation>)>> = (0..runs).into_par_iter().map(run_one).collect();
-    let worst = played?
-        .into_iter()
-        .max_by(|run_one, other| run_one.0.total_cmp(&other.0).then(other.1.cmp(&run_one.1)));
+    let worst = played?.into_iter().max_by(|one, other| one.0.total_cmp(&other.0).then(other.1.cmp(&one.1)));
     let (unreduced_loss, run, mut mutations) = worst.context("--runs: expected 1 or more")?;
     let unreduced_count = mutations.len();
-    // One after another is taken away, as long as most of the loss stays.
+    // Removes one change after another, as long as most of the loss remains.
     let mut index = 0;
     while index < mutations.len() && unreduced_loss > 0.0 {
         let mut reduced = mutations.clone();
@@ -134,6 +137,7 @@
     mutations
 }
 
+/// The scenario's tree with these changes and this seed. Its base is merged already.
 fn apply(tree: &Value, mutations: &[Mutation], seed: u64) -> Result<Value> {
     let mut tree = tree.clone();
     let faults = mutations.iter().filter_map(|mutation| match mutation {
@@ -143,7 +147,7 @@
     let faults: Vec<Value> = faults.collect();
     for mutation in mutations {
         if let Mutation::Set(key, value) = mutation {
-            // Counts stay whole.
+            // Integer keys keep integer values.
             let is_integer = matches!(value_at(&tree, key), Some(Value::Integer(_)));
             let value = if is_integer { format!("{}", value.round() as i64) } else { format!("{value:?}") };
             set_value(&mut tree, key, &value).with_context(|| format!("ranges: {key}"))?;
--- a/crates/lab/src/metrics.rs
+++ b/crates/lab/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts a day as it is played, and works out its results.
+//! Counts what happens in a run, and computes its results.
 
 use crate::audit::Auditor;
 use crate::results::{Group, Latency, Load, Recovery, Results, SCHEMA, Second};
@@ -7,15 +7,18 @@
 use pumicebay_model::traffic::Operation;
 use pumicebay_model::{Nanos, SECOND, millis, seconds};
 
-/// Windows over which the worst stretch is looked for, in seconds.
+/// The length of the window whose worst share is reported, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
-/// Service is back when its share over so many seconds is within this of what it was over so many before.
+/// Service has recovered when the payoff share over [`RECOVERY_WINDOW_SECONDS`] is at most this much below its mean over the
+/// [`BASELINE_SECONDS`] before the fault.
 const RECOVERY_TOLERANCE: f64 = 0.02;
 const RECOVERY_WINDOW_SECONDS: usize = 3;
 const BASELINE_SECONDS: usize = 5;
 
+/// Counts of operations by outcome, and their payoff.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCounts {
+    /// The payoff of all operations, and of those that were served within the objective.
     asked: f64,
     earned: f64,
     operations: u64,
@@ -26,16 +29,20 @@
     lost: u64,
 }
 
-/// How a wish ended, all its retries taken together.
+/// How an operation ended after all its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationOutcome {
+    /// Served with a value, this long after the operation started.
     Served(Nanos),
+    /// Rejected because of overload.
     Shed,
+    /// Answered with an error.
     Errored,
-    /// No answer, or nobody to ask.
+    /// Not answered, or no proxy accepted a connection.
     Lost,
 }
 
+/// The counts of one run.
 pub struct RunMetrics {
     scenario: Scenario,
     total: OutcomeCounts,
@@ -43,26 +50,35 @@
     routes: Vec<OutcomeCounts>,
     tenants: Vec<OutcomeCounts>,
     latency: Vec<Histogram<u64>>,
-    /// By node, and at the origin by second.
+    /// Values served: by cache node, and by the origin in each second.
     served: Vec<u64>,
     fetches: Vec<u64>,
+    /// Jobs of cache nodes that found the key, and those that did not.
     pub hits: u64,
     pub misses: u64,
+    /// Requests that clients sent, retries included.
     pub requests: u64,
+    /// Attempts that proxies sent to nodes and to the origin.
     pub attempts: u64,
+    /// Requests that were shed, and that were answered with an error.
     pub shed: u64,
     pub errored: u64,
+    /// Connections of clients that were refused.
     pub refused: u64,
+    /// How often the origin stopped because of overload.
     pub origin_stops: u64,
+    /// How often a cache node crashed from overload while cold.
     pub cold_node_overloads: u64,
+    /// Log lines of all proxies.
     pub log_lines: u64,
 }
 
 impl RunMetrics {
+    /// Empty counts for a run of this scenario.
     pub fn new(scenario: &Scenario) -> RunMetrics {
         let length = scenario.seconds.ceil() as usize;
-        // Three digits, from 1 µs to 100 s.
-        let histogram = || Histogram::new_with_bounds(1, 100_000_000, 3).expect("sound bounds");
+        // Three significant digits, from 1 µs to 100 s.
+        let histogram = || Histogram::new_with_bounds(1, 100_000_000, 3).expect("histogram bounds are valid");
         RunMetrics {
             total: OutcomeCounts::default(),
             seconds: vec![OutcomeCounts::default(); length],
@@ -85,7 +101,7 @@
         }
     }
 
-    /// A wish is over. What began in the warm-up is kept by second only.
+    /// Counts an operation that ended. One that started in the warm-up is counted by second only.
     pub fn operation_finished(&mut self, operation: &Operation, outcome: OperationOutcome) {
         let route = &self.scenario.route[operation.route];
         let objective = millis(route.objective_ms);
@@ -120,7 +136,7 @@
         }
     }
 
-    /// A cache node answered with a value, or the origin did.
+    /// Counts a value that a cache node served, or the origin if `node` is `None`.
     pub fn served(&mut self, now: Nanos, node: Option<usize>) {
         match node {
             Some(node) => self.served[node] += 1,
@@ -131,7 +147,7 @@
         }
     }
 
-    /// What the day came to, by these counts and by its auditor.
+    /// The results of the run from these counts and its auditor.
     pub fn results(&self, policy: &str, clock: &str, seed: u64, auditor: &Auditor) -> Results {
         let scenario = &self.scenario;
         let per_operation = |count: u64| count as f64 / self.total.operations.max(1) as f64;
@@ -198,20 +214,20 @@
     }
 
     fn latencies(&self) -> Vec<Latency> {
-        let one = |(route, histogram): (&pumicebay_model::spec::Route, &Histogram<u64>)| {
-            let at = |counts| histogram.value_at_quantile(counts) as f64 / 1000.0;
+        let summarize = |(route, histogram): (&pumicebay_model::spec::Route, &Histogram<u64>)| {
+            let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
             Latency {
                 route: route.name.clone(),
                 count: histogram.len(),
                 objective_ms: route.objective_ms,
-                p50_ms: at(0.5),
-                p90_ms: at(0.9),
-                p99_ms: at(0.99),
-                p999_ms: at(0.999),
+                p50_ms: quantile_ms(0.5),
+                p90_ms: quantile_ms(0.9),
+                p99_ms: quantile_ms(0.99),
+                p999_ms: quantile_ms(0.999),
                 max_ms: histogram.max() as f64 / 1000.0,
             }
         };
-        self.scenario.route.iter().zip(&self.latency).map(one).collect()
+        self.scenario.route.iter().zip(&self.latency).map(summarize).collect()
     }
 
     fn load(&self) -> Load {
@@ -231,12 +247,11 @@
         let at = fault.start_seconds as usize;
         let from = at.saturating_sub(BASELINE_SECONDS).max(self.scenario.warm_up_seconds as usize);
         let before = self.seconds.get(from..at).filter(|counts| !counts.is_empty()).map(mean_share);
-        // The second in which it begins is the first that can suffer.
+        // The fault can affect service from the second in which it starts.
         let later = self.seconds.get(at..).unwrap_or_default();
         let lowest = later.iter().take(30).map(share).fold(1.0, f64::min);
         let recovery_seconds = |before: f64| {
-            // Back for good: the first second from which the share stays up for some seconds, after the last
-            // in the fault's first minute that is down.
+            // The first window at or after the first one below the baseline that is no longer below it.
             let down = |window: &[OutcomeCounts]| mean_share(window) < before - RECOVERY_TOLERANCE;
             let windows = later.windows(RECOVERY_WINDOW_SECONDS.min(later.len()).max(1));
             let below: Vec<bool> = windows.map(down).collect();
--- a/crates/lab/src/operator_command.rs
+++ b/crates/lab/src/operator_command.rs
@@ -6,7 +6,7 @@
 use tokio::process::Command;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// The wait between two tries of the command.
+/// The wait between two attempts of the command.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs `pumicebay fleet WORDS --config FILE` with the lab's or another program until it succeeds. Returns an error if it does
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports that a person can read: one HTML file with its plots in it.
+//! HTML reports: one file with embedded SVG plots.
 
 use crate::results::Results;
 use crate::sweep::{self, Point};
@@ -6,20 +6,24 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
+/// The size of a plot, in pixels.
 const SIZE: (u32, u32) = (960, 260);
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:1000px;margin:2em auto;padding:0 1em;\
 color:#222}table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .8em;border-bottom:1px solid #ddd;\
 text-align:right}td:first-child,th:first-child{text-align:left}.bad{color:#a00;font-weight:600}.good{color:#070}\
 svg{max-width:100%;height:auto}pre{background:#f6f6f6;padding:.6em;overflow:auto}p.note{color:#555}";
 
-/// A line of a plot: its name, colour and points.
+/// A line of a plot: its name, color and points.
 type Line<'a> = (&'a str, RGBColor, Vec<(f64, f64)>);
 
+/// The report of one run. Returns an error if a plot cannot be drawn.
 pub fn html(results: &Results) -> Result<String> {
     let mut page = head(&format!("{} with {}", results.scenario, results.policy));
     let kind = match results.clock.as_str() {
-        "virtual" => "Simulated: played in virtual time against the model, without sockets.",
-        _ => "Emulated: real proxies on loopback sockets, with stand-ins for all else.",
+        "virtual" => "Simulated: run in virtual time against the model, without sockets.",
+        _ => {
+            "Emulated: real proxies on loopback sockets, with simulated clients, nodes, origin and discovery."
+        }
     };
     let _ = writeln!(page, "<p>{kind} Seed {}, {} wishes.</p>", results.seed, results.operations);
     if !results.usable {
@@ -35,8 +39,8 @@
     section(
         &mut page,
         "Payoff within the objective, by second",
-        "1 is all that was asked for. Grey lines mark where a fault begins; a wish counts in the second it was \
-         made.",
+        "1 is the payoff of all wishes (operations of clients). Grey lines mark the start of a fault; a wish counts in the \
+         second in which it starts.",
         &plot(&[("payoff", blue, share)], &faults, Some(1.0))?,
     );
     let count = |figure: fn(&crate::results::Second) -> u64| -> Vec<(f64, f64)> {
@@ -49,16 +53,16 @@
     ];
     section(
         &mut page,
-        "Origin fetches, and wishes that came to nothing, by second",
-        "Shed wishes were refused with a word; errored ones failed, or had no answer.",
+        "Origin fetches, and wishes without a value, by second",
+        "Shed wishes were rejected because of overload; errored ones were answered with an error, or not at all.",
         &plot(&lines, &faults, None)?,
     );
     let served = results.load.served_by_node.iter().enumerate();
     let served = served.map(|(node, &count)| ((node + 1) as f64, count as f64)).collect();
     section(
         &mut page,
-        "What each node served",
-        "By the node's number. Keys that many ask for make some nodes busier than others.",
+        "Values served by node",
+        "By node number. Popular keys make some nodes busier than others.",
         &plot(&[("served", blue, served)], &[], None)?,
     );
     tables(&mut page, results);
@@ -66,9 +70,9 @@
     Ok(page)
 }
 
-/// A grid of settings.
+/// The report of a sweep over a grid of settings. Returns an error if the plot cannot be drawn.
 pub fn sweep_html(name: &str, policy: &str, points: &[Point]) -> Result<String> {
-    let mut page = head(&format!("{name} with {policy}, over a grid"));
+    let mut page = head(&format!("{name} with {policy}, sweep over a grid"));
     let figure = |figure: fn(&Results) -> f64| -> Vec<(f64, f64)> {
         points.iter().enumerate().map(|(at, point)| ((at + 1) as f64, point.mean(figure).mean)).collect()
     };
@@ -113,7 +117,7 @@
     let _ = writeln!(
         page,
         "<p class=bad>Rules broken: first {one}, second {two}, third {three}, fourth {four} times; {values} \
-         values that were not made for their exchange.</p><table><tr><th>rule</th><th>exchange</th>\
+         values that were made for another exchange.</p><table><tr><th>rule</th><th>exchange</th>\
          <th>node</th><th>at, s</th><th>what</th></tr>"
     );
     for violation in &results.violations {
@@ -153,8 +157,8 @@
 
 fn tables(page: &mut String, results: &Results) {
     page.push_str(
-        "<h2>Routes</h2><p class=note>Milliseconds from when the client meant to send to the last byte, of what \
-         was served.</p><table><tr><th>route</th><th>payoff</th><th>objective</th><th>p50</th><th>p90</th>\
+        "<h2>Routes</h2><p class=note>Milliseconds from the intended start of the operation to the last byte, of served \
+         operations.</p><table><tr><th>route</th><th>payoff</th><th>objective</th><th>p50</th><th>p90</th>\
          <th>p99</th><th>p99.9</th><th>most</th></tr>\n",
     );
     for (group, at) in results.routes.iter().zip(&results.latency) {
@@ -207,7 +211,8 @@
     }
 }
 
-/// Lines over the same axes; `marks` are upright lines, `top` the highest value where that is known.
+/// Draws lines over the same axes as SVG. `marks` are the positions of vertical lines, `top` is the upper end of the value
+/// axis, by default 5% above the highest value.
 fn plot(lines: &[Line], marks: &[f64], top: Option<f64>) -> Result<String> {
     let plot_error = |error: &dyn std::fmt::Display| anyhow!("plot: {error}");
     let points = || lines.iter().flat_map(|(_, _, points)| points);
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,12 +1,12 @@
-//! Reads scenarios: TOML whose unknown and wrong keys are refused by name and line.
+//! Reads scenarios from TOML. Errors name the unknown or invalid key and its line.
 
 use anyhow::{Context, Result, anyhow, bail};
 use pumicebay_model::spec::Scenario;
 use std::path::Path;
 use toml::Value;
 
-/// Reads the file, with these keys set to other values first. A file may name another as its `base`, relative
-/// to itself, whose keys hold where it has none.
+/// Reads a scenario file and replaces the values of the keys in `set`. A file may name another one, relative to itself, as
+/// its `base`, which supplies the keys that it does not have. Returns an error for unreadable files and invalid scenarios.
 pub fn read(path: &Path, set: &[(String, String)]) -> Result<Scenario> {
     let scenario = ScenarioSource::read(path)?.scenario(set);
     let mut scenario = scenario.with_context(|| format!("scenario {}", path.display()))?;
@@ -16,20 +16,23 @@
     Ok(scenario)
 }
 
-/// A scenario as it is written, and what it is based on.
+/// The text of a scenario, and of its base.
 pub struct ScenarioSource {
     text: String,
     base: Option<Box<ScenarioSource>>,
 }
 
-/// How many files may stand on each other.
+/// The maximum number of base files in a chain.
 const MAX_BASE_DEPTH: usize = 8;
 
 impl ScenarioSource {
+    /// A scenario without a base from this text.
     pub fn new(text: &str) -> ScenarioSource {
         ScenarioSource { text: text.into(), base: None }
     }
 
+    /// Reads a scenario file and its bases. Returns an error if a file cannot be read, is no TOML, or has too long a chain of
+    /// bases.
     pub fn read(path: &Path) -> Result<ScenarioSource> {
         ScenarioSource::read_nested(path, MAX_BASE_DEPTH)
     }
@@ -52,7 +55,7 @@
         Ok(ScenarioSource { text, base })
     }
 
-    /// All keys, those of the base where this has none. Each file is checked by itself first, so that messages
+    /// The keys of the scenario and, where it has none, those of its base. Each file is parsed by itself first, so that errors
     /// show the line.
     pub fn tree(&self) -> Result<Value> {
         let own: Result<Scenario, _> = toml::from_str(&self.text);
@@ -64,7 +67,7 @@
         Ok(tree)
     }
 
-    /// The scenario with these keys set to other values.
+    /// The scenario with the values of these keys replaced.
     pub fn scenario(&self, set: &[(String, String)]) -> Result<Scenario> {
         let mut tree = self.tree()?;
         for (key, value) in set {
@@ -73,7 +76,7 @@
         self.check(tree)
     }
 
-    /// Checks a tree of keys, naming lines where they stand in these files.
+    /// Validates a tree of keys. Errors name the line of each invalid key that is in this file.
     pub fn check(&self, tree: Value) -> Result<Scenario> {
         let scenario: Scenario =
             tree.try_into().map_err(|error: toml::de::Error| anyhow!("{}", error.to_string().trim_end()))?;
@@ -82,18 +85,19 @@
             return Ok(scenario);
         }
         let lines = problems.iter().map(|problem| match line_of_key(&self.text, &problem.key) {
-            Some(line_of_key) => format!("line {line_of_key}: {}: {}", problem.key, problem.message),
+            Some(line) => format!("line {line}: {}: {}", problem.key, problem.message),
             None => format!("{}: {}", problem.key, problem.message),
         });
         bail!("{}", lines.collect::<Vec<_>>().join("\n"))
     }
 }
 
+/// A scenario from its text, with the values of these keys replaced.
 pub fn parse(text: &str, set: &[(String, String)]) -> Result<Scenario> {
     ScenarioSource::new(text).scenario(set)
 }
 
-/// Puts the keys of one tree over those of another; lists are taken whole.
+/// Merges the keys of `overriding` into `base_value`; arrays are replaced, not merged.
 fn merge(base_value: &mut Value, overriding: Value) {
     match (base_value, overriding) {
         (Value::Table(base_value), Value::Table(overriding)) => {
@@ -110,7 +114,8 @@
     }
 }
 
-/// Sets the value at a path such as `clients.rate` or `route.0.share`; a value that is no TOML is a text.
+/// Sets the value at a path such as `clients.rate` or `route.0.share`. A value that is no valid TOML is taken as a string.
+/// Returns an error if the path leads through a value that is neither a table nor an array, or past the end of an array.
 pub fn set_value(tree: &mut Value, key: &str, value: &str) -> Result<()> {
     let parsed: Option<Value> =
         toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut table| table.remove("v"));
@@ -131,7 +136,7 @@
     }
     match at {
         Value::Table(table) => {
-            // A whole number may stand for any other, a text may not.
+            // An integer is accepted where a float is expected, a string is not.
             let value = match (table.get(last), value) {
                 (Some(Value::Float(_)), Value::Integer(number)) => Value::Float(number as f64),
                 (_, value) => value,
@@ -143,7 +148,7 @@
     Ok(())
 }
 
-/// The line where the key at this path stands, from 1.
+/// The line of the key at this path, from 1; `None` if the text has no such key.
 fn line_of_key(text: &str, key: &str) -> Option<usize> {
     let parsed = toml::de::DeTable::parse(text).ok()?;
     let mut span = None;
@@ -163,6 +168,7 @@
     line_at(text, span?.start)
 }
 
-fn line_at(text: &str, index: usize) -> Option<usize> {
-    Some(text.get(..index)?.matches('\n').count() + 1)
+/// The line of the byte at this offset, from 1.
+fn line_at(text: &str, offset: usize) -> Option<usize> {
+    Some(text.get(..offset)?.matches('\n').count() + 1)
 }
