--- a/crates/lab/src/advertised_timeout.rs
+++ b/crates/lab/src/advertised_timeout.rs
@@ -1,14 +1,16 @@
-//! Compares the timeouts that attempts advertise to their servers with the time that their clients had left by their own
-//! clocks.
+//! Compares the timeouts that attempts advertise to their servers with the time that their clients had left
+//! by their own clocks.
 
 use pumicebay_model::{Nanos, SECOND};
 use serde::Serialize;
 
 const MILLISECOND: Nanos = SECOND / 1000;
-/// How much longer than the client's remaining time an advertised timeout may be, to allow for measurement errors.
+/// How much longer than the client's remaining time an advertised timeout may be, to allow for measurement
+/// errors.
 const MEASUREMENT_TOLERANCE: Nanos = 50 * MILLISECOND;
 
-/// Counts of attempts, and of those whose advertised timeout was longer than the time that the client had left.
+/// Counts of attempts, and of those whose advertised timeout was longer than the time that the client had
+/// left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TimeoutCounts {
     /// The first attempts of their requests.
@@ -29,8 +31,8 @@
 }
 
 impl TimeoutCounts {
-    /// Counts an attempt whose advertised timeout exceeded the time left by `excess` nanoseconds. Returns whether that is more
-    /// than the measurement tolerance and more than `tolerance`.
+    /// Counts an attempt whose advertised timeout exceeded the time left by `excess` nanoseconds. Returns
+    /// whether that is more than the measurement tolerance and more than `tolerance`.
     pub fn add(&mut self, is_retry: bool, excess: Nanos, tolerance: Nanos) -> bool {
         let excessive = excess > MEASUREMENT_TOLERANCE.max(tolerance);
         let (counted, counted_excessive) = match is_retry {
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -1,14 +1,14 @@
-//! Audits a run against the rules that every policy must keep. The auditor shares no code with the balancing decisions,
-//! so an error there cannot hide itself here.
+//! Audits a run against the rules that every policy must keep. The auditor shares no code with the balancing
+//! decisions, so an error there cannot hide itself here.
 //!
-//! - Rule 1: each accepted request gets exactly one final answer before its overall timeout, and no attempt after that;
-//!   no attempt advertises a longer timeout to its server than the client has left.
+//! - Rule 1: each accepted request gets exactly one final answer before its overall timeout, and no attempt
+//!   after that; no attempt advertises a longer timeout to its server than the client has left.
 //! - Rule 2: no effect happens twice.
 //! - Rule 3: no new work goes to a node that drains or is gone once the drain grace is over.
 //! - Rule 4: the proxies together neither overload a cold node nor stop the origin.
 //!
-//! The simulation or the stand-ins report what was accepted, sent, executed, answered and announced, in any order within
-//! about a second. Each request is audited once, `AUDIT_DELAY` after its overall timeout.
+//! The simulation or the stand-ins report what was accepted, sent, executed, answered and announced, in any
+//! order within about a second. Each request is audited once, `AUDIT_DELAY` after its overall timeout.
 
 use crate::advertised_timeout::TimeoutCounts;
 use hashbrown::HashMap;
@@ -18,12 +18,13 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// How long after its deadline a request is audited; events of the request that come later are not audited with it.
+/// How long after its deadline a request is audited; events of the request that come later are not audited
+/// with it.
 const AUDIT_DELAY: Nanos = 3 * SECOND;
 /// The number of violations recorded with a description; further ones are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 100;
-/// An overload of a cold node violates rule 4 if more than this share of the work that the node received came from proxies
-/// that knew its start time.
+/// An overload of a cold node violates rule 4 if more than this share of the work that the node received came
+/// from proxies that knew its start time.
 const CHARGED_SHARE: f64 = 2.0 / 3.0;
 
 /// The final answer to a request, as its client receives it.
@@ -81,16 +82,16 @@
 #[derive(Clone, Debug)]
 struct ColdProcess {
     started_at: Nanos,
-    /// For each request: when it arrived, its work in units of the mean work of a request, and whether its proxy knew the
-    /// process's start time.
+    /// For each request: when it arrived, its work in units of the mean work of a request, and whether its
+    /// proxy knew the process's start time.
     received: VecDeque<(Nanos, f64, bool)>,
     /// Whether an overload of this process was recorded; each process has at most one.
     overloaded: bool,
 }
 
 impl ColdProcess {
-    /// The work that arrived in the window, in units of the mean work of a request, and the share of it from proxies that
-    /// knew the start time.
+    /// The work that arrived in the window, in units of the mean work of a request, and the share of it from
+    /// proxies that knew the start time.
     fn window_load(&self) -> (f64, f64) {
         let all: f64 = self.received.iter().map(|(_, work, _)| work).sum();
         let informed: f64 =
@@ -112,7 +113,8 @@
     announced_starts: HashMap<(usize, usize), Vec<(Nanos, Nanos)>>,
     /// The highest load of a cold node within its window, as a ratio to its overload threshold.
     pub worst_cold_load: f64,
-    /// Overloads that are no violation, because most of the load came from proxies that did not know the start time.
+    /// Overloads that are no violation, because most of the load came from proxies that did not know the
+    /// start time.
     pub uncharged_overloads: u64,
     /// By route: its retry safety, and the scope and the window of its deduplication.
     retry_rules: Vec<(RetrySafety, DedupScope, Nanos)>,
@@ -316,8 +318,8 @@
         self.announced_starts.entry((proxy, node)).or_default().push((at, started));
     }
 
-    /// A request arrived at a node. A cold node whose load exceeds the threshold counts as overloaded, even if it did not
-    /// crash.
+    /// A request arrived at a node. A cold node whose load exceeds the threshold counts as overloaded, even
+    /// if it did not crash.
     pub fn node_received(&mut self, at: Nanos, request: u64, node: usize) {
         let (Some(process), Some(record)) = (self.cold_processes.get_mut(&node), self.records.get(&request))
         else {
@@ -332,8 +334,8 @@
         let sent = record.sent.iter().rev().find(|sent| sent.node == node).map_or(at, |sent| sent.at);
         let announced_starts =
             self.announced_starts.get(&(record.proxy, node)).map_or(&[][..], Vec::as_slice);
-        // A proxy that knows only an earlier start time, of a previous process or a wrong one, does not know that the node
-        // is cold.
+        // A proxy that knows only an earlier start time, of a previous process or a wrong one, does not know
+        // that the node is cold.
         let informed = announced_starts
             .iter()
             .any(|&(told, started)| told + self.tolerance <= sent && started >= process.started_at);
@@ -356,8 +358,8 @@
         self.record_overload(at, node);
     }
 
-    /// Records an overload once for each process. It is a violation if most of the load came from proxies that knew the
-    /// start time, or if no load of the process is known at all.
+    /// Records an overload once for each process. It is a violation if most of the load came from proxies
+    /// that knew the start time, or if no load of the process is known at all.
     fn record_overload(&mut self, at: Nanos, node: usize) {
         let process = self
             .cold_processes
@@ -378,9 +380,9 @@
         self.record_violation(4, 0, Some(node), at, description);
     }
 
-    /// The origin, without a fault of its own, was stopped by the load of requests. This counts whether or not any process is
-    /// warming up: caches that were emptied still miss long after their warm-up, and a condition on warm-up let 79 stops of
-    /// one run pass.
+    /// The origin, without a fault of its own, was stopped by the load of requests. This counts whether or
+    /// not any process is warming up: caches that were emptied still miss long after their warm-up, and a
+    /// condition on warm-up let 79 stops of one run pass.
     pub fn origin_stopped(&mut self, at: Nanos) {
         self.record_violation(4, 0, None, at, "the origin was stopped by the load of requests".into());
     }
@@ -521,9 +523,9 @@
     (node != usize::MAX).then_some(node)
 }
 
-/// The load within the overload window, in units of the mean work of a request, above which a cold node of this age counts
-/// as overloaded: what the settings allow, and a margin for random variation. `None` if the node is warm or the scenario
-/// has no overload limit.
+/// The load within the overload window, in units of the mean work of a request, above which a cold node of
+/// this age counts as overloaded: what the settings allow, and a margin for random variation. `None` if the
+/// node is warm or the scenario has no overload limit.
 fn overload_threshold(nodes: &NodeSpec, mean_service_seconds: f64, age: Nanos) -> Option<f64> {
     let warmth = age as f64 / 1e9 / nodes.warm_up_seconds;
     if warmth.is_nan() || warmth >= 1.0 || nodes.overload_multiple <= 0.0 {
--- a/crates/lab/src/baselines.rs
+++ b/crates/lab/src/baselines.rs
@@ -1,5 +1,6 @@
-//! Baseline policies for comparisons. All but `careless` retry only where that is safe and send nothing to draining nodes.
-//! They have no concurrency limits, no budgets for cold nodes and no queue in front of the origin.
+//! Baseline policies for comparisons. All but `careless` retry only where that is safe and send nothing to
+//! draining nodes. They have no concurrency limits, no budgets for cold nodes and no queue in front of the
+//! origin.
 
 use crate::policy::Policy;
 use hashbrown::HashMap;
@@ -28,7 +29,8 @@
     Rendezvous,
     /// The node with the highest rendezvous hash among those below the load bound; among all if none is.
     BoundedRendezvous,
-    /// A random node among all that were ever listed, draining and gone ones too; retries every failure, safe or not.
+    /// A random node among all that were ever listed, draining and gone ones too; retries every failure, safe
+    /// or not.
     Careless,
 }
 
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Sends the next attempt of a request, or rejects it if none is possible. Writes go to the origin, and so do
-    /// reads whose latest attempt was not executed by its cache node, for example after a miss.
+    /// Sends the next attempt of a request, or rejects it if none is possible. Writes go to the origin, and
+    /// so do reads whose latest attempt was not executed by its cache node, for example after a miss.
     fn dispatch(&mut self, now: Nanos, request: RequestId) {
         let state = &self.requests[&request];
         let rejected_by_cache =
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Whether an attempt at this node is allowed: there is time and an attempt left, and the request cannot take effect twice.
-    /// The careless baseline skips the last check.
+    /// Whether an attempt at this node is allowed: there is time and an attempt left, and the request cannot
+    /// take effect twice. The careless baseline skips the last check.
     fn may_send(&self, now: Nanos, request: RequestId, node: Node) -> bool {
         let state = &self.requests[&request];
         if state.attempts.len() >= self.max_attempts || now >= state.deadline {
@@ -169,7 +171,8 @@
         self.host.send(request, node, state.deadline - now);
     }
 
-    /// Ends a request without a value: sheds it if the client may safely send it again, else answers with an error.
+    /// Ends a request without a value: sheds it if the client may safely send it again, else answers with an
+    /// error.
     fn reject(&mut self, request: RequestId) {
         let state = self.requests.get_mut(&request).expect("a rejected request is known");
         state.finished = true;
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -77,8 +77,8 @@
     check: bool,
 }
 
-/// Runs the command that the process's arguments name. Returns an error for wrong arguments, unreadable files and
-/// failed runs.
+/// Runs the command that the process's arguments name. Returns an error for wrong arguments, unreadable files
+/// and failed runs.
 pub fn main() -> Result<ExitCode> {
     let options = parse(lexopt::Parser::from_env())?;
     if let Some(threads) = options.threads {
@@ -339,8 +339,8 @@
     Ok(if failures > 0 { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
 
-/// Writes the tables of the resources needed at the size in two years, or runs the measurements that some of their
-/// slopes come from. `--check` compares the page with the tables and changes nothing.
+/// Writes the tables of the resources needed at the size in two years, or runs the measurements that some of
+/// their slopes come from. `--check` compares the page with the tables and changes nothing.
 fn capacity(options: &Options) -> Result<ExitCode> {
     let subcommand = options.path.as_deref().and_then(Path::to_str);
     let tables = options.check || options.page.is_some();
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -10,8 +10,8 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// Runs the scenario with each policy and seed, in parallel on all cores. Returns the results by policy, then by seed, or an
-/// error for an unknown policy.
+/// Runs the scenario with each policy and seed, in parallel on all cores. Returns the results by policy, then
+/// by seed, or an error for an unknown policy.
 pub fn policies(scenario: &Scenario, policies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let pairs: Vec<(usize, u64)> = (0..policies.len())
         .flat_map(|policy| (0..seeds).map(move |seed| (policy, scenario.seed + seed)))
@@ -29,9 +29,9 @@
     Ok(policies.iter().map(|_| played.by_ref().take(seeds as usize).collect()).collect())
 }
 
-/// Runs the scenario on sockets with each build and seed, one run at a time. `self` is the lab's own build. A path with the
-/// suffix `+fleet` runs its proxies as a fleet, one with `+replication` as a fleet that also replicates. Returns an error for
-/// a fleet of fewer than three proxies, or if a run fails.
+/// Runs the scenario on sockets with each build and seed, one run at a time. `self` is the lab's own build. A
+/// path with the suffix `+fleet` runs its proxies as a fleet, one with `+replication` as a fleet that also
+/// replicates. Returns an error for a fleet of fewer than three proxies, or if a run fails.
 pub fn builds(scenario: &Scenario, proxies: &[String], seeds: u64) -> Result<Vec<Vec<Results>>> {
     let progress = Progress::new(&scenario.name, proxies.len() * seeds as usize);
     let mut runs: Vec<Vec<Results>> = proxies.iter().map(|_| Vec::new()).collect();
@@ -57,8 +57,8 @@
     Ok(runs)
 }
 
-/// A Markdown table with a row for each policy or build: its figures, and the mean gain of the first one over it, paired by
-/// seed.
+/// A Markdown table with a row for each policy or build: its figures, and the mean gain of the first one over
+/// it, paired by seed.
 pub fn table(policies: &[String], runs: &[Vec<Results>]) -> String {
     let mut text = String::new();
     let first = &policies[0];
@@ -84,7 +84,8 @@
         } else {
             format!("{:+.4} ±{:.4}", gain.mean, gain.half_width)
         };
-        // The mean of a figure, and the median over the seeds of its ratio to the same figure of the first policy.
+        // The mean of a figure, and the median over the seeds of its ratio to the same figure of the first
+        // policy.
         let with_ratio = |figure: fn(&Results) -> f64| {
             let mut ratios: Vec<f64> =
                 played.iter().zip(&runs[0]).map(|(run, first)| figure(run) / figure(first)).collect();
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,5 +1,6 @@
-//! Searches for the run on which a policy loses most: draws random values from the scenario's ranges and random faults of all
-//! kinds, keeps the worst run, and removes the changes that do not contribute to its loss.
+//! Searches for the run on which a policy loses most: draws random values from the scenario's ranges and
+//! random faults of all kinds, keeps the worst run, and removes the changes that do not contribute to its
+//! loss.
 
 use crate::progress::Progress;
 use crate::results::Results;
@@ -62,7 +63,8 @@
     Set(String, f64),
 }
 
-/// The loss of a run: the payoff share of the same run without faults, less its own; 1 more if it breaks a rule.
+/// The loss of a run: the payoff share of the same run without faults, less its own; 1 more if it breaks a
+/// rule.
 fn loss(scenario: &Scenario, policy: &str) -> Result<(f64, Results)> {
     let results = virt::play(scenario, policy, scenario.seed, &|_| {})?;
     let faultless = Scenario { fault: Vec::new(), ..scenario.clone() };
@@ -71,8 +73,8 @@
     Ok((faultless.share - results.share + penalty, results))
 }
 
-/// Plays `runs` random variants and reduces the worst. `seed` replaces the seed of the scenario. Returns an error for no runs,
-/// an unknown policy, or a range whose key does not exist.
+/// Plays `runs` random variants and reduces the worst. `seed` replaces the seed of the scenario. Returns an
+/// error for no runs, an unknown policy, or a range whose key does not exist.
 pub fn hunt(text: &ScenarioSource, policy: &str, runs: u64, seed: Option<u64>) -> Result<WorstCase> {
     let tree = text.tree()?;
     let scenario = text.check(tree.clone())?;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! The lab runs scenarios against the balancing decisions in virtual time, or against real proxies on loopback
-//! sockets, audits the rules that the proxy must keep, and compares policies and builds. Start reading at [`cli`].
+//! The lab runs scenarios against the balancing decisions in virtual time, or against real proxies on
+//! loopback sockets, audits the rules that the proxy must keep, and compares policies and builds. Start
+//! reading at [`cli`].
 
 pub mod advertised_timeout;
 pub mod audit;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,8 +5,8 @@
 fn main() -> ExitCode {
     #[cfg(feature = "planted")]
     plant();
-    // This binary is also the proxy under test unless `--proxy` names another one. `as-proxy` selects a proxy command
-    // whose name the lab uses too.
+    // This binary is also the proxy under test unless `--proxy` names another one. `as-proxy` selects a proxy
+    // command whose name the lab uses too.
     let mut args = std::env::args_os().peekable();
     let program = args.next().unwrap_or_default();
     let as_proxy = args.next_if(|word| word == "as-proxy").is_some();
@@ -40,8 +40,8 @@
     }
 }
 
-/// Injects the fault whose number is in `$PUMICEBAY_PLANT` into this process. Processes that the rig starts inherit
-/// the variable and inject the same fault.
+/// Injects the fault whose number is in `$PUMICEBAY_PLANT` into this process. Processes that the rig starts
+/// inherit the variable and inject the same fault.
 #[cfg(feature = "planted")]
 fn plant() {
     let number = std::env::var("PUMICEBAY_PLANT").ok().and_then(|number| number.parse::<u8>().ok());
--- a/crates/lab/src/metrics.rs
+++ b/crates/lab/src/metrics.rs
@@ -9,8 +9,8 @@
 
 /// The length of the window whose worst share is reported, in seconds.
 const WORST_WINDOW_SECONDS: usize = 10;
-/// Service has recovered when the payoff share over [`RECOVERY_WINDOW_SECONDS`] is at most this much below its mean over the
-/// [`BASELINE_SECONDS`] before the fault.
+/// Service has recovered when the payoff share over [`RECOVERY_WINDOW_SECONDS`] is at most this much below
+/// its mean over the [`BASELINE_SECONDS`] before the fault.
 const RECOVERY_TOLERANCE: f64 = 0.02;
 const RECOVERY_WINDOW_SECONDS: usize = 3;
 const BASELINE_SECONDS: usize = 5;
--- a/crates/lab/src/operator_command.rs
+++ b/crates/lab/src/operator_command.rs
@@ -9,8 +9,8 @@
 /// The wait between two attempts of the command.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs `pumicebay fleet WORDS --config FILE` with the lab's or another program until it succeeds. Returns an error if it does
-/// not succeed within the time limit.
+/// Runs `pumicebay fleet WORDS --config FILE` with the lab's or another program until it succeeds. Returns an
+/// error if it does not succeed within the time limit.
 pub async fn fleet(program: &Path, words: &[&str], config: &Path, time_limit: Duration) -> Result<()> {
     let deadline = Instant::now() + time_limit;
     loop {
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,5 +1,5 @@
-//! Converts a scenario into the `settings` of a proxy's configuration. A proxy on sockets reads them from a file; in virtual
-//! time the decisions receive them through the same parser.
+//! Converts a scenario into the `settings` of a proxy's configuration. A proxy on sockets reads them from a
+//! file; in virtual time the decisions receive them through the same parser.
 
 use pumicebay_model::spec::{DedupScope, DiscoveryMode, RetrySafety, Scenario};
 use serde_json::{Value as Json, json};
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -4,11 +4,13 @@
 use pumicebay_core::table::ReplicaTable;
 use pumicebay_core::{Balancer, Host, ListedNode, Nanos, Node, Outcome, RequestId, RequestParams, Settings};
 
-/// Receives the events of a proxy and acts through its host. Times are in nanoseconds from the start of the run.
+/// Receives the events of a proxy and acts through its host. Times are in nanoseconds from the start of the
+/// run.
 pub trait Policy<H: Host>: Send {
     /// A client's request arrived.
     fn request_arrived(&mut self, now: Nanos, request: RequestId, params: RequestParams);
-    /// An attempt ended with this outcome. `request_finished` tells that the request needs no further attempt.
+    /// An attempt ended with this outcome. `request_finished` tells that the request needs no further
+    /// attempt.
     fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -35,7 +37,8 @@
     fn take_replicas(&mut self) -> Option<ReplicaTable> {
         None
     }
-    /// Restores a replica table that was taken out of an earlier process. Ignored by policies that learn none.
+    /// Restores a replica table that was taken out of an earlier process. Ignored by policies that learn
+    /// none.
     fn set_replicas(&mut self, _replicas: ReplicaTable) {}
 }
 
@@ -82,15 +85,16 @@
     }
 }
 
-/// The project's own policy with a replica table that survives a restart of its proxy: the upper bound of what replicating
-/// the table between proxies can gain.
+/// The project's own policy with a replica table that survives a restart of its proxy: the upper bound of
+/// what replicating the table between proxies can gain.
 pub const KEEPS_REPLICAS: &str = "pumicebay+sets";
 /// The names of all policies: the project's own and the baselines.
 pub const NAMES: &[&str] =
     &["pumicebay", "random", "two", "rendezvous", "bounded", "careless", KEEPS_REPLICAS];
 
-/// Splits a policy's name from the salt of its random seed: `two#1` is `two` with other random choices on the same traffic,
-/// which shows how large the noise is. Returns an error for an unknown name or a salt that is no number.
+/// Splits a policy's name from the salt of its random seed: `two#1` is `two` with other random choices on the
+/// same traffic, which shows how large the noise is. Returns an error for an unknown name or a salt that is
+/// no number.
 pub fn parse(text: &str) -> Result<(&str, u64)> {
     let (name, salt) = text.split_once('#').unwrap_or((text, "0"));
     ensure!(NAMES.contains(&name), "unknown policy {name:?}, expected one of {}", NAMES.join(", "));
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -211,8 +211,8 @@
     }
 }
 
-/// Draws lines over the same axes as SVG. `marks` are the positions of vertical lines, `top` is the upper end of the value
-/// axis, by default 5% above the highest value.
+/// Draws lines over the same axes as SVG. `marks` are the positions of vertical lines, `top` is the upper end
+/// of the value axis, by default 5% above the highest value.
 fn plot(lines: &[Line], marks: &[f64], top: Option<f64>) -> Result<String> {
     let plot_error = |error: &dyn std::fmt::Display| anyhow!("plot: {error}");
     let points = || lines.iter().flat_map(|(_, _, points)| points);
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -8,8 +8,8 @@
 /// The version of the JSON schema; grows with every incompatible change.
 pub const SCHEMA: u32 = 1;
 
-/// The results of one run. All shares are between 0 and 1. An operation (`wish` in the JSON) counts once, together with its
-/// retries.
+/// The results of one run. All shares are between 0 and 1. An operation (`wish` in the JSON) counts once,
+/// together with its retries.
 #[derive(Clone, Debug, Serialize)]
 pub struct Results {
     pub schema: u32,
@@ -53,7 +53,8 @@
     /// The timeouts that attempts advertised to their servers, compared with the time that clients had left.
     #[serde(rename = "time_told")]
     pub advertised_timeouts: TimeoutCounts,
-    /// The number of values that were made for another request, then the number of violations of rules 1 to 4.
+    /// The number of values that were made for another request, then the number of violations of rules 1 to
+    /// 4.
     #[serde(rename = "rules_broken")]
     pub violations_by_rule: [u64; 5],
     /// The first violations with their descriptions.
@@ -72,7 +73,8 @@
     pub operations: u64,
 }
 
-/// Latencies of the served operations of a route, from the intended start of the operation to the last byte of the answer.
+/// Latencies of the served operations of a route, from the intended start of the operation to the last byte
+/// of the answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct Latency {
     pub route: String,
@@ -103,8 +105,8 @@
     pub at: f64,
     /// The lowest share of any second in the 30 s from its start.
     pub lowest: f64,
-    /// Seconds until the share was within 0.02 of its value before the fault; `None` if it did not recover, or if nothing was
-    /// measured before.
+    /// Seconds until the share was within 0.02 of its value before the fault; `None` if it did not recover,
+    /// or if nothing was measured before.
     pub seconds: Option<f64>,
 }
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -5,8 +5,9 @@
 use std::path::Path;
 use toml::Value;
 
-/// Reads a scenario file and replaces the values of the keys in `set`. A file may name another one, relative to itself, as
-/// its `base`, which supplies the keys that it does not have. Returns an error for unreadable files and invalid scenarios.
+/// Reads a scenario file and replaces the values of the keys in `set`. A file may name another one, relative
+/// to itself, as its `base`, which supplies the keys that it does not have. Returns an error for unreadable
+/// files and invalid scenarios.
 pub fn read(path: &Path, set: &[(String, String)]) -> Result<Scenario> {
     let scenario = ScenarioSource::read(path)?.scenario(set);
     let mut scenario = scenario.with_context(|| format!("scenario {}", path.display()))?;
@@ -31,8 +32,8 @@
         ScenarioSource { text: text.into(), base: None }
     }
 
-    /// Reads a scenario file and its bases. Returns an error if a file cannot be read, is no TOML, or has too long a chain of
-    /// bases.
+    /// Reads a scenario file and its bases. Returns an error if a file cannot be read, is no TOML, or has too
+    /// long a chain of bases.
     pub fn read(path: &Path) -> Result<ScenarioSource> {
         ScenarioSource::read_nested(path, MAX_BASE_DEPTH)
     }
@@ -55,8 +56,8 @@
         Ok(ScenarioSource { text, base })
     }
 
-    /// The keys of the scenario and, where it has none, those of its base. Each file is parsed by itself first, so that errors
-    /// show the line.
+    /// The keys of the scenario and, where it has none, those of its base. Each file is parsed by itself
+    /// first, so that errors show the line.
     pub fn tree(&self) -> Result<Value> {
         let own: Result<Scenario, _> = toml::from_str(&self.text);
         own.map_err(|error| anyhow!("{}", error.to_string().trim_end()))?;
@@ -114,8 +115,9 @@
     }
 }
 
-/// Sets the value at a path such as `clients.rate` or `route.0.share`. A value that is no valid TOML is taken as a string.
-/// Returns an error if the path leads through a value that is neither a table nor an array, or past the end of an array.
+/// Sets the value at a path such as `clients.rate` or `route.0.share`. A value that is no valid TOML is taken
+/// as a string. Returns an error if the path leads through a value that is neither a table nor an array, or
+/// past the end of an array.
 pub fn set_value(tree: &mut Value, key: &str, value: &str) -> Result<()> {
     let parsed: Option<Value> =
         toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut table| table.remove("v"));
--- a/crates/lab/src/simulated_proxy.rs
+++ b/crates/lab/src/simulated_proxy.rs
@@ -1,5 +1,5 @@
-//! One proxy in virtual time: a policy, and a host that turns the policy's actions into messages to the world. Simulated
-//! proxies share no state, so many can run in parallel.
+//! One proxy in virtual time: a policy, and a host that turns the policy's actions into messages to the
+//! world. Simulated proxies share no state, so many can run in parallel.
 
 use crate::policy::{self, BoxedPolicy};
 use hashbrown::HashMap;
@@ -21,7 +21,8 @@
 pub enum ProxyInput {
     /// A client's request arrived.
     RequestArrived { request: RequestId, params: RequestParams },
-    /// An attempt ended. `epoch` is the connection epoch of the node, and `value` the request that the value was made for.
+    /// An attempt ended. `epoch` is the connection epoch of the node, and `value` the request that the value
+    /// was made for.
     AttemptEnded { request: RequestId, attempt: usize, outcome: Outcome, epoch: u64, value: RequestId },
     /// The node's process died and its connections broke.
     NodeReset { node: Node },
@@ -72,8 +73,8 @@
     Log(String),
 }
 
-/// A message with its arrival time. Messages that arrive at the same time are handled by ascending `order`. Comparisons are
-/// reversed, so that a max-heap yields the earliest message.
+/// A message with its arrival time. Messages that arrive at the same time are handled by ascending `order`.
+/// Comparisons are reversed, so that a max-heap yields the earliest message.
 pub struct Scheduled<T> {
     pub at: Nanos,
     pub order: u64,
@@ -158,7 +159,8 @@
         self.timer_targets.insert(self.order, timer);
     }
 
-    /// Takes an idle connection to the node and closes those that exceeded the idle limit. `None` if none is left.
+    /// Takes an idle connection to the node and closes those that exceeded the idle limit. `None` if none is
+    /// left.
     fn connection(&mut self, node: Node) -> Option<u64> {
         while let Some((last_used, epoch)) = self.idle[node].pop_front() {
             if self.now < last_used + self.idle_limit {
@@ -402,7 +404,8 @@
         }
     }
 
-    /// Passes an outcome to the policy if its attempt is still in flight. A connection that is still usable becomes idle.
+    /// Passes an outcome to the policy if its attempt is still in flight. A connection that is still usable
+    /// becomes idle.
     fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -482,7 +485,8 @@
     pumicebay_names::stable_hash(&key_text(key))
 }
 
-/// Converts an entry of the registry into the list entry that a policy receives. `origin` is the node number of the origin.
+/// Converts an entry of the registry into the list entry that a policy receives. `origin` is the node number
+/// of the origin.
 pub fn listed_node(entry: &NodeEntry, origin: Node, zones: usize) -> ListedNode {
     let is_origin = entry.node == origin;
     ListedNode {
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -2,7 +2,8 @@
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// A mean and half the width of its 95% confidence interval (Student's t), which is infinite for fewer than two figures.
+/// A mean and half the width of its 95% confidence interval (Student's t), which is infinite for fewer than
+/// two figures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
     pub mean: f64,
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -42,8 +42,8 @@
     })
 }
 
-/// Runs the scenario at every point of the grid with `seeds` seeds, from `seed` or else from the seed of the scenario. Returns
-/// an error if the grid has too many points or a point is no valid scenario.
+/// Runs the scenario at every point of the grid with `seeds` seeds, from `seed` or else from the seed of the
+/// scenario. Returns an error if the grid has too many points or a point is no valid scenario.
 pub fn play(
     text: &ScenarioSource,
     set: &[(String, Vec<String>)],
--- a/crates/lab/src/virt.rs
+++ b/crates/lab/src/virt.rs
@@ -1,6 +1,6 @@
-//! Runs a scenario in virtual time. The world and the proxies take turns in windows no longer than the minimum network delay.
-//! Messages sent within a window arrive after it, so the proxies run in parallel on all threads, and the results do not
-//! depend on the number of threads.
+//! Runs a scenario in virtual time. The world and the proxies take turns in windows no longer than the
+//! minimum network delay. Messages sent within a window arrive after it, so the proxies run in parallel on
+//! all threads, and the results do not depend on the number of threads.
 
 use crate::audit::Auditor;
 use crate::metrics::RunMetrics;
@@ -21,8 +21,8 @@
 /// How long a run may continue after the scenario's end until all operations are finished.
 const MAX_OVERRUN: Nanos = 120 * SECOND;
 
-/// Runs the scenario and returns its results. `progress` receives the elapsed fraction, from 0 to 1. Returns an error for an
-/// unknown policy.
+/// Runs the scenario and returns its results. `progress` receives the elapsed fraction, from 0 to 1. Returns
+/// an error for an unknown policy.
 pub fn play(
     scenario: &Scenario,
     policy: &str,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,5 +1,5 @@
-//! The world in virtual time: it takes what the proxies do, lets the model's parts work on it, and tells the
-//! proxies what comes of it.
+//! Everything around the proxies in virtual time: clients, nodes, origin, network and discovery. The world
+//! handles the actions of the proxies with the model's components and sends the proxies the results.
 
 use crate::audit::{Auditor, FinalAnswer};
 use crate::metrics::{OperationOutcome, RunMetrics};
@@ -21,66 +21,85 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Tries that an exchange has at most, as part of a job's number.
-const MAX_ATTEMPTS: u64 = 16;
-/// A silent list is given up after this.
+/// The number of job ids reserved for the attempts of one request; later attempts share the last id.
+const JOB_IDS_PER_REQUEST: u64 = 16;
+/// How long a proxy waits for a node list that does not answer.
 const LIST_TIMEOUT: Nanos = 3 * SECOND / 2;
+/// The interval at which the requests that are due are audited.
 const AUDIT_INTERVAL: Nanos = SECOND;
 
-/// A try's number at its node.
+/// The id of an attempt's job at its node.
 fn job_id(request: RequestId, attempt: usize) -> JobId {
-    request * MAX_ATTEMPTS + (attempt as u64).min(MAX_ATTEMPTS - 1)
+    request * JOB_IDS_PER_REQUEST + (attempt as u64).min(JOB_IDS_PER_REQUEST - 1)
 }
 
 enum Event {
+    /// An action of this proxy arrives.
     Action(usize, ProxyAction),
+    /// A node, or the origin, finishes a job.
     JobFinished(Node, JobId),
+    /// A change from the scenario's fault timeline.
     Change(WorldChange),
-    /// Discovery gets to know what a node says of itself.
+    /// Discovery learns what a node reports about itself.
     RegistryUpdate(Node),
-    /// A node that fell over comes back.
+    /// A node that crashed from overload restarts.
     NodeRestart(Node),
+    /// The client of this operation sends its next request, to this proxy.
     Retry(u64, usize),
+    /// The client stops waiting for this request.
     ClientTimeout(RequestId),
+    /// The client's connection breaks because its proxy died at this time.
     ConnectionLost(RequestId, Nanos),
+    /// Audits the requests that are due.
     Audit,
 }
 
-/// A try that a node has.
+/// The proxy and the node of an attempt.
 #[derive(Clone, Copy)]
-struct JobOrigin {
+struct JobEndpoints {
     proxy: usize,
     node: Node,
 }
 
+/// A request whose client waits for its answer.
 struct OpenRequest {
     operation_id: u64,
     proxy: usize,
     sent: Nanos,
+    /// Cache nodes that reported a miss; they store the value once the origin has served it.
     missed_nodes: Vec<Node>,
 }
 
+/// An operation of a client that has not ended.
 struct PendingOperation {
     operation: Operation,
+    /// Requests sent so far, without those whose connection was refused.
     requests: u32,
-    /// Proxies that refused in a row.
+    /// Connections that were refused so far.
     refusals: usize,
+    /// The outcome of the latest request.
     last: OperationOutcome,
 }
 
-/// What every part needs while another is at work.
+/// The state that nodes and the origin use while they are borrowed themselves.
 struct Core {
     now: Nanos,
+    /// The number of events scheduled so far, which orders events of the same time.
     order: u64,
     events: BinaryHeap<Scheduled<Event>>,
+    /// Messages to proxies that were not taken yet: proxy, arrival time, message.
     inputs: Vec<(usize, Nanos, ProxyInput)>,
     network: Network,
     rng: Rng,
     zones: usize,
-    jobs: HashMap<JobId, JobOrigin>,
+    /// The jobs whose proxy still waits for the outcome.
+    jobs: HashMap<JobId, JobEndpoints>,
+    /// By node, the origin last: the connection epoch. It grows whenever a node starts or its connections
+    /// break; a connection of an earlier epoch is broken.
     epochs: Vec<u64>,
     auditor: Auditor,
     metrics: RunMetrics,
+    /// Nodes that crashed from overload during the current event.
     overloaded_nodes: Vec<Node>,
 }
 
@@ -90,44 +109,45 @@
         self.events.push(Scheduled { at, order: self.order, message });
     }
 
+    /// The zone of a node; the origin is in the first zone.
     fn zone(&self, node: Node) -> usize {
         if node + 1 >= self.epochs.len() { 0 } else { node % self.zones }
     }
 
-    /// Back from a node to a proxy.
+    /// A random one-way delay from a node to a proxy.
     fn delay(&mut self, node: Node, proxy: usize) -> Nanos {
         let (from, to) = (self.zone(node), proxy % self.zones);
         self.network.delay(&mut self.rng, from, to)
     }
 
-    fn send_input(&mut self, proxy: usize, at: Nanos, what: ProxyInput) {
-        self.inputs.push((proxy, at, what));
+    fn send_input(&mut self, proxy: usize, at: Nanos, input: ProxyInput) {
+        self.inputs.push((proxy, at, input));
     }
 
-    /// The outcome of a try goes back to its proxy, after so long at least.
-    fn send_outcome(&mut self, at: JobOrigin, job: JobId, outcome: Outcome, after: Nanos) {
-        let (request, attempt) = (job / MAX_ATTEMPTS, (job % MAX_ATTEMPTS) as usize);
-        let due = self.now + after + self.delay(at.node, at.proxy);
-        self.auditor.attempt_ended(due, request, self.cache(at.node));
-        let epoch = self.epochs[at.node];
+    /// Sends the outcome of an attempt to its proxy, which receives it after `after` and the network delay.
+    fn send_outcome(&mut self, endpoints: JobEndpoints, job: JobId, outcome: Outcome, after: Nanos) {
+        let (request, attempt) = (job / JOB_IDS_PER_REQUEST, (job % JOB_IDS_PER_REQUEST) as usize);
+        let due = self.now + after + self.delay(endpoints.node, endpoints.proxy);
+        self.auditor.attempt_ended(due, request, self.cache(endpoints.node));
+        let epoch = self.epochs[endpoints.node];
         self.send_input(
-            at.proxy,
+            endpoints.proxy,
             due,
             ProxyInput::AttemptEnded { request, attempt, outcome, epoch, value: request },
         );
     }
 
-    /// The node's number where it is a cache.
+    /// The index of a cache node; `None` for the origin.
     fn cache(&self, node: Node) -> Option<usize> {
         (node + 1 < self.epochs.len()).then_some(node)
     }
 }
 
-/// A node at work.
+/// The environment of a node, or of the origin, while it handles a job.
 struct NodeEnvironment<'a> {
     core: &'a mut Core,
     node: Node,
-    /// What was done at last, for whoever had the node do it.
+    /// The latest job that ended, for the caller.
     done: Option<(JobId, JobOutcome)>,
 }
 
@@ -138,19 +158,19 @@
 
     fn execution_started(&mut self, job: JobId) {
         let (now, node) = (self.core.now, self.core.cache(self.node));
-        self.core.auditor.executed(now, job / MAX_ATTEMPTS, node);
+        self.core.auditor.executed(now, job / JOB_IDS_PER_REQUEST, node);
     }
 
     fn respond(&mut self, job: JobId, verdict: JobOutcome) {
         self.done = Some((job, verdict));
-        let Some(at) = self.core.jobs.remove(&job) else { return };
+        let Some(endpoints) = self.core.jobs.remove(&job) else { return };
         let outcome = match verdict {
             JobOutcome::Completed => Outcome::Completed,
             JobOutcome::Missed => Outcome::Missed,
             JobOutcome::Rejected => Outcome::Saturated,
             JobOutcome::Failed | JobOutcome::Corrupted => Outcome::Errored,
         };
-        self.core.send_outcome(at, job, outcome, 0);
+        self.core.send_outcome(endpoints, job, outcome, 0);
     }
 
     fn crashed(&mut self, _now: Nanos) {
@@ -158,19 +178,25 @@
     }
 }
 
+/// The simulated world. See the module's documentation.
 pub struct World {
     scenario: Scenario,
     core: Core,
     nodes: Vec<CacheNode>,
     origin: Origin,
     registry: Registry,
+    /// Extra delay of announcements, from a fault.
     discovery_delay: Nanos,
+    /// By node: whether it wrongly reports that it has left.
     announces_gone: Vec<bool>,
+    /// By node: the offset of a wrong clock, in nanoseconds; `None` for a correct one.
     clock_offsets: Vec<Option<i64>>,
+    /// By node: whether it has left the fleet or has not joined it yet.
     departed: Vec<bool>,
     proxies: Vec<ProxyView>,
     traffic: Traffic,
     next_operation: Option<Operation>,
+    /// The operations in progress, by id.
     operations: HashMap<u64, PendingOperation>,
     requests: HashMap<RequestId, OpenRequest>,
     last_operation_id: u64,
@@ -179,16 +205,20 @@
     retry_rng: Rng,
 }
 
-/// What discovery has told a proxy.
+/// What discovery has announced to a proxy.
 #[derive(Clone, Default)]
 struct ProxyView {
+    /// Whether the proxy receives changes of the node list.
     watches_list: bool,
+    /// The version of the node list that was announced last, and when it arrives.
     version: u64,
     announced_at: Nanos,
+    /// The number of processes that the proxy has had.
     incarnation: u64,
 }
 
 impl World {
+    /// Creates the world at time 0 and schedules the faults. `seed` determines all random choices.
     pub fn new(scenario: &Scenario, seed: u64) -> World {
         let nodes = scenario.nodes.count;
         let core = Core {
@@ -245,7 +275,7 @@
             self.registry.update(self.self_reported_entry(node));
         }
         self.registry.update(NodeEntry { node: self.nodes.len(), state: NodeState::Ready, started_at: 0 });
-        // Proxies do not start in step.
+        // Proxies start at different times, so that their timers do not fire in step.
         let mut starts = rng(seed, "starts", 0);
         for proxy in 0..self.proxies.len() {
             let at = starts.random_range(0..millis(100.0));
@@ -260,39 +290,40 @@
         self.core.schedule(AUDIT_INTERVAL, Event::Audit);
     }
 
-    /// What a node is, as it says itself.
+    /// What a node reports about itself to discovery.
     fn self_reported_entry(&self, node: Node) -> NodeEntry {
         let gone = self.departed[node] || self.announces_gone[node];
         self.nodes[node].registry_entry(node, self.core.now, gone, self.clock_offsets[node])
     }
 
+    /// The time of the next event or operation; `Nanos::MAX` if there is none.
     pub fn next_event_at(&self) -> Nanos {
         let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
         event.min(self.next_operation.map_or(Nanos::MAX, |operation| operation.start))
     }
 
-    /// Whether all that was asked for has come to its end.
+    /// Whether all operations have ended and no more will start.
     pub fn done(&self) -> bool {
         self.next_operation.is_none() && self.operations.is_empty()
     }
 
-    /// Takes what a proxy did.
-    pub fn apply(&mut self, proxy: usize, at: Nanos, what: ProxyAction) {
-        self.core.schedule(at, Event::Action(proxy, what));
+    /// Schedules an action of a proxy for its arrival time.
+    pub fn apply(&mut self, proxy: usize, at: Nanos, action: ProxyAction) {
+        self.core.schedule(at, Event::Action(proxy, action));
     }
 
-    /// Mail to the proxies since last asked, in its order.
+    /// Takes the messages to the proxies since the last call, in the order in which they were sent.
     pub fn drain_inputs(&mut self) -> std::vec::Drain<'_, (usize, Nanos, ProxyInput)> {
         self.core.inputs.drain(..)
     }
 
-    /// The rules and the counts, once the day is over.
+    /// Audits the remaining requests and returns the auditor and the metrics of the run.
     pub fn finish(mut self) -> (Auditor, RunMetrics) {
         self.core.auditor.finish();
         (self.core.auditor, self.core.metrics)
     }
 
-    /// Plays all that happens before that time.
+    /// Handles all events before `until`.
     pub fn run_until(&mut self, until: Nanos) {
         while self.next_event_at() < until {
             let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
@@ -312,7 +343,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Action(proxy, what) => self.handle_action(proxy, what),
+            Event::Action(proxy, action) => self.handle_action(proxy, action),
             Event::JobFinished(node, job) => self.job_finished(node, job),
             Event::Change(change) => self.apply_change(change),
             Event::RegistryUpdate(node) => {
@@ -379,7 +410,8 @@
             .insert(request, OpenRequest { operation_id, proxy, sent: now, missed_nodes: Vec::new() });
     }
 
-    /// An exchange ended for its client; it may ask again.
+    /// A request ended for its client, which sends another one if the retry policy allows it. A client that
+    /// got no answer turns to the next proxy.
     fn request_ended(&mut self, request: RequestId, outcome: OperationOutcome, pause: Nanos) {
         let Some(open) = self.requests.remove(&request) else { return };
         let Some(pending) = self.operations.get_mut(&open.operation_id) else { return };
@@ -405,7 +437,8 @@
         }
     }
 
-    /// The connection was refused: another proxy is asked at once, until all were.
+    /// The connection was refused. The client turns to the next proxy at once, until the limit of refusals is
+    /// reached.
     fn connection_refused(&mut self, request: RequestId) {
         let now = self.core.now;
         self.core.auditor.request_abandoned(now, request);
@@ -413,7 +446,7 @@
         let Some(open) = self.requests.remove(&request) else { return };
         let Some(pending) = self.operations.get_mut(&open.operation_id) else { return };
         pending.refusals += 1;
-        // Nothing was taken: it does not count as a try.
+        // No proxy accepted the request, so it does not count as one.
         pending.requests -= 1;
         if pending.refusals < self.scenario.proxies.count.min(traffic::MAX_CONNECTION_REFUSALS) {
             self.send_request(open.operation_id, (open.proxy + 1) % self.scenario.proxies.count);
@@ -440,12 +473,12 @@
         self.request_ended(request, outcome, pause);
     }
 
-    // ---- What proxies do --------------------------------------------------------------------------
+    // ---- Actions of proxies -----------------------------------------------------------------------
 
-    fn handle_action(&mut self, proxy: usize, what: ProxyAction) {
-        match what {
+    fn handle_action(&mut self, proxy: usize, action: ProxyAction) {
+        match action {
             ProxyAction::Attempt { request, attempt, node, sent, epoch, advertised_timeout } => {
-                self.attempt_arrived(JobOrigin { proxy, node }, job_id(request, attempt), sent, epoch);
+                self.attempt_arrived(JobEndpoints { proxy, node }, job_id(request, attempt), sent, epoch);
                 let cache = self.core.cache(node);
                 self.core.auditor.timeout_advertised(sent, request, cache, Some(advertised_timeout));
             }
@@ -488,14 +521,19 @@
         }
     }
 
-    fn attempt_arrived(&mut self, at: JobOrigin, job: JobId, sent: Nanos, epoch: Option<u64>) {
-        let (now, request) = (self.core.now, job / MAX_ATTEMPTS);
-        let cache = self.core.cache(at.node);
+    fn attempt_arrived(&mut self, endpoints: JobEndpoints, job: JobId, sent: Nanos, epoch: Option<u64>) {
+        let (now, request) = (self.core.now, job / JOB_IDS_PER_REQUEST);
+        let cache = self.core.cache(endpoints.node);
         self.core.metrics.attempts += 1;
         self.core.auditor.attempt_sent(sent, request, cache);
-        if !self.core.network.can_reach(at.proxy, at.node) {
+        if !self.core.network.can_reach(endpoints.proxy, endpoints.node) {
             if epoch.is_none() {
-                self.core.send_outcome(at, job, Outcome::Unreachable, millis(crate::platform::CONNECT_MS));
+                self.core.send_outcome(
+                    endpoints,
+                    job,
+                    Outcome::Unreachable,
+                    millis(crate::platform::CONNECT_MS),
+                );
             }
             return;
         }
@@ -508,11 +546,11 @@
         };
         if !up {
             let lost = if epoch.is_some() { Outcome::Severed } else { Outcome::Unreachable };
-            return self.core.send_outcome(at, job, lost, 0);
+            return self.core.send_outcome(endpoints, job, lost, 0);
         }
         let Some(open) = self.requests.get(&request) else {
-            // Its client is gone, and so is what it asked for: the node turns it away.
-            return self.core.send_outcome(at, job, Outcome::Saturated, 0);
+            // The request is closed and its parameters are gone, so the node rejects the attempt.
+            return self.core.send_outcome(endpoints, job, Outcome::Saturated, 0);
         };
         let operation = self.operations[&open.operation_id].operation;
         let route = &self.scenario.route[operation.route];
@@ -523,10 +561,10 @@
             service_time: millis(route.service_ms),
             write: route.write,
         };
-        self.core.jobs.insert(job.id, at);
+        self.core.jobs.insert(job.id, endpoints);
         cache.into_iter().for_each(|node| self.core.auditor.node_received(now, request, node));
-        let mut environment = NodeEnvironment { core: &mut self.core, node: at.node, done: None };
-        match self.nodes.get_mut(at.node) {
+        let mut environment = NodeEnvironment { core: &mut self.core, node: endpoints.node, done: None };
+        match self.nodes.get_mut(endpoints.node) {
             Some(node) => node.job_arrived(now, job, &mut environment),
             None => self.origin.job_arrived(now, job, &mut environment),
         }
@@ -534,15 +572,15 @@
 
     fn job_finished(&mut self, node: Node, job: JobId) {
         let now = self.core.now;
-        let asked = self.core.jobs.contains_key(&job);
+        let awaited = self.core.jobs.contains_key(&job);
         let mut environment = NodeEnvironment { core: &mut self.core, node, done: None };
         match self.nodes.get_mut(node) {
             Some(node) => node.job_finished(now, job, &mut environment),
             None => self.origin.job_finished(now, job, &mut environment),
         }
-        // Others may have begun and ended at once, but this one's verdict was the first.
+        // Other jobs may have started and ended during this call; their outcome is not this job's.
         let Some((_, verdict)) = environment.done.filter(|(done, _)| *done == job) else { return };
-        let request = job / MAX_ATTEMPTS;
+        let request = job / JOB_IDS_PER_REQUEST;
         match (node < self.nodes.len(), verdict) {
             (true, JobOutcome::Missed) => {
                 self.core.metrics.misses += 1;
@@ -554,19 +592,20 @@
                 self.core.metrics.hits += 1;
                 self.core.metrics.served(now, Some(node));
             }
-            (false, JobOutcome::Completed) => self.origin_answered(request, asked),
+            (false, JobOutcome::Completed) => self.origin_answered(request, awaited),
             _ => {}
         }
     }
 
-    /// The origin has answered: where it was missed a copy is kept, and what was written drops all copies.
-    fn origin_answered(&mut self, request: RequestId, asked: bool) {
+    /// The origin answered. A read value is stored at the nodes that missed it, if a proxy still waits for it
+    /// (`awaited`); a write removes all cached copies.
+    fn origin_answered(&mut self, request: RequestId, awaited: bool) {
         self.core.metrics.served(self.core.now, None);
         let Some(open) = self.requests.get(&request) else { return };
         let operation = self.operations[&open.operation_id].operation;
         if self.scenario.route[operation.route].write {
             self.nodes.iter_mut().for_each(|node| node.store.remove(operation.key));
-        } else if asked {
+        } else if awaited {
             for &node in &open.missed_nodes {
                 if self.nodes[node].up {
                     self.nodes[node].store.insert(operation.key, operation.value_bytes);
@@ -577,12 +616,12 @@
 
     fn probe(&mut self, proxy: usize, node: Node) {
         let now = self.core.now;
-        let live_nodes = self.core.network.can_reach(proxy, node);
+        let reachable = self.core.network.can_reach(proxy, node);
         let (up, silent) = match self.nodes.get(node) {
             Some(node) => (node.up && !node.refuses_connections, node.unresponsive),
             None => (self.origin.is_up(now), false),
         };
-        let (outcome, after) = match (live_nodes, up, silent) {
+        let (outcome, after) = match (reachable, up, silent) {
             (false, ..) => (Outcome::Unreachable, millis(crate::platform::CONNECT_MS)),
             (true, false, _) => (Outcome::Unreachable, 0),
             (true, true, true) => (Outcome::Overdue, SECOND),
@@ -594,7 +633,7 @@
 
     // ---- Discovery --------------------------------------------------------------------------------
 
-    /// A proxy's process begins at that time, with the list as it is now.
+    /// Starts a proxy's process at time `at` with the current node list.
     fn start_proxy(&mut self, proxy: usize, at: Nanos) {
         let entries = self.registry.snapshot();
         self.core.auditor.proxy_restarted(proxy);
@@ -615,7 +654,7 @@
         (0..self.proxies.len()).for_each(|proxy| self.announce_changes(proxy));
     }
 
-    /// Tells a proxy what changed since it was last told.
+    /// Announces to a proxy the changes of the node list since the last announcement.
     fn announce_changes(&mut self, proxy: usize) {
         let view = &mut self.proxies[proxy];
         if self.registry.unresponsive || !view.watches_list || view.version == self.registry.version() {
@@ -623,10 +662,10 @@
         }
         let entries = self.registry.changes_since(view.version);
         view.version = self.registry.version();
-        let usual = millis(self.scenario.discovery.propagation_ms);
+        let min_delay = millis(self.scenario.discovery.propagation_ms);
         let delay = self.core.network.min_delay()
             + self.discovery_delay
-            + self.core.rng.random_range(usual..=2 * usual);
+            + self.core.rng.random_range(min_delay..=2 * min_delay);
         view.announced_at = (self.core.now + delay).max(view.announced_at + 1);
         let at = view.announced_at;
         for entry in entries.iter().filter(|entry| entry.node < self.nodes.len()) {
@@ -640,6 +679,7 @@
         );
     }
 
+    /// A proxy requests the node list.
     fn watch_node_list(&mut self, proxy: usize) {
         if self.registry.unresponsive {
             let at = self.core.now + LIST_TIMEOUT;
@@ -650,6 +690,7 @@
         }
     }
 
+    /// Discovery stops responding, or responds again.
     fn set_discovery(&mut self, responds: bool) {
         self.registry.unresponsive = !responds;
         if responds {
@@ -665,12 +706,13 @@
         }
     }
 
+    /// Discovery notices a change of the node after the detection delay.
     fn schedule_detection(&mut self, node: Node) {
         let after = millis(self.scenario.discovery.detection_ms);
         self.core.schedule(self.core.now + after, Event::RegistryUpdate(node));
     }
 
-    // ---- What goes wrong --------------------------------------------------------------------------
+    // ---- Faults -----------------------------------------------------------------------------------
 
     fn apply_change(&mut self, change: WorldChange) {
         let now = self.core.now;
@@ -724,7 +766,7 @@
         }
     }
 
-    /// Discovery is told on purpose.
+    /// The node reports a change to discovery itself, without the detection delay.
     fn announce_now(&mut self, node: Node) {
         self.core.schedule(self.core.now, Event::RegistryUpdate(node));
     }
@@ -745,16 +787,17 @@
         }
     }
 
-    /// All connections to a node, or the origin, break, and its jobs are lost.
+    /// Breaks all connections to a node, or to the origin. The outcomes of its jobs are lost.
     fn break_connections(&mut self, node: Node) {
         self.core.epochs[node] += 1;
-        self.core.jobs.retain(|_, at| at.node != node);
+        self.core.jobs.retain(|_, endpoints| endpoints.node != node);
         for proxy in 0..self.proxies.len() {
             let due = self.core.now + self.core.delay(node, proxy);
             self.core.send_input(proxy, due, ProxyInput::NodeReset { node });
         }
     }
 
+    /// A cache node, or the origin, crashed from overload.
     fn node_overloaded(&mut self, node: Node) {
         let now = self.core.now;
         if let Some(cache) = self.core.cache(node) {
@@ -772,25 +815,27 @@
         }
     }
 
+    /// Kills a proxy's process, breaks the connections of its clients and restarts it after the configured
+    /// time.
     fn kill_proxy(&mut self, proxy: usize) {
         let now = self.core.now;
         self.proxies[proxy].watches_list = false;
         let open = self.requests.iter().filter(|(_, open)| open.proxy == proxy).map(|(&request, _)| request);
         let mut open: Vec<RequestId> = open.collect();
         open.sort_unstable();
-        // After all that it has still answered.
+        // Later than all answers that the proxy sent before it was killed.
         let reset = now + 2 * self.core.network.min_delay() + millis(5.0);
         for request in open {
             self.core.auditor.request_abandoned(now, request);
             self.core.schedule(reset, Event::ConnectionLost(request, now));
         }
-        let least = self.core.network.min_delay();
-        self.start_proxy(proxy, now + seconds(self.scenario.proxies.restart_seconds).max(least));
+        let min_delay = self.core.network.min_delay();
+        self.start_proxy(proxy, now + seconds(self.scenario.proxies.restart_seconds).max(min_delay));
     }
 }
 
-/// What each node holds at the start: the keys whose two highest rendezvous hashes it is among, the most
-/// popular kept last, so that they stay.
+/// The keys that each node holds at the start: those for which it has one of the two highest rendezvous
+/// hashes. The most popular keys come last, so that they remain where a store is full.
 pub fn warm_keys(scenario: &Scenario, nodes: &[CacheNode]) -> Vec<(Node, Vec<u64>)> {
     let live_nodes: Vec<(Node, u64)> = (0..nodes.len())
         .filter(|&node| nodes[node].up)
@@ -800,10 +845,10 @@
     let count = (scenario.clients.keys as f64 * scenario.clients.warm_keys) as u64;
     for rank in (1..=count).rev() {
         let key = traffic::key_at_rank(rank % scenario.clients.keys);
-        let hash = key_hash(key);
+        let key_hash = key_hash(key);
         let mut best: [(u64, Node); 2] = [(0, usize::MAX); 2];
         for &(node, identity) in &live_nodes {
-            let hash = rendezvous(hash, identity);
+            let hash = rendezvous(key_hash, identity);
             if hash > best[0].0 {
                 best = [(hash, node), best[0]];
             } else if hash > best[1].0 {
