--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -202,13 +202,13 @@
         };
         let (proxy, node_index) = (record.proxy, node.unwrap_or(usize::MAX));
         record.sent.push(SentAttempt { at, node: node_index });
-        let before = |told: &&(Nanos, NodeState)| told.0 <= at;
-        let Some(told) = self.announced_states.get(&(proxy, node_index)) else { return };
-        let Some(&(since, state)) = told.iter().rev().find(before) else { return };
+        let announced_before = |announcement: &&(Nanos, NodeState)| announcement.0 <= at;
+        let Some(announcements) = self.announced_states.get(&(proxy, node_index)) else { return };
+        let Some(&(since, state)) = announcements.iter().rev().find(announced_before) else { return };
         if state != NodeState::Ready && at > since + self.drain_grace + self.tolerance {
             let late = (at - since) as f64 / 1e9;
             let description =
-                format!("p{} sent it new work {late:.3} s after learning that it is {state:?}", proxy + 1);
+                format!("p{} sent new work {late:.3} s after learning that it is {state:?}", proxy + 1);
             self.record_violation(3, request, node, at, description);
         }
     }
@@ -261,8 +261,8 @@
         }
     }
 
-    /// The proxy answered; `sound` is false for a value that was made for another request.
-    pub fn answered(&mut self, at: Nanos, request: u64, answer: FinalAnswer, sound: bool) {
+    /// The proxy answered; `value_matches` is false for a value that was made for another request.
+    pub fn answered(&mut self, at: Nanos, request: u64, answer: FinalAnswer, value_matches: bool) {
         let Some(record) = self.records.get_mut(&request) else {
             return self.record_violation(
                 1,
@@ -273,7 +273,7 @@
             );
         };
         record.answers.push((at, answer));
-        if !sound {
+        if !value_matches {
             self.record_violation(
                 0,
                 request,
@@ -293,18 +293,18 @@
 
     /// The state of a node was announced to a proxy.
     pub fn state_announced(&mut self, at: Nanos, proxy: usize, node: usize, state: NodeState) {
-        let told = self.announced_states.entry((proxy, node)).or_default();
+        let announcements = self.announced_states.entry((proxy, node)).or_default();
         // A repeated announcement does not restart the drain grace.
-        if told.last().is_none_or(|&(_, last)| last != state) {
-            told.push((at, state));
-            told.sort_by_key(|(at, _)| *at);
+        if announcements.last().is_none_or(|&(_, last)| last != state) {
+            announcements.push((at, state));
+            announcements.sort_by_key(|(at, _)| *at);
         }
     }
 
     /// A proxy restarted and lost all earlier announcements.
     pub fn proxy_restarted(&mut self, proxy: usize) {
-        self.announced_states.retain(|(told, _), _| *told != proxy);
-        self.announced_starts.retain(|(told, _), _| *told != proxy);
+        self.announced_states.retain(|(informed_proxy, _), _| *informed_proxy != proxy);
+        self.announced_starts.retain(|(informed_proxy, _), _| *informed_proxy != proxy);
     }
 
     /// A node's process started, cold.
@@ -336,9 +336,9 @@
             self.announced_starts.get(&(record.proxy, node)).map_or(&[][..], Vec::as_slice);
         // A proxy that knows only an earlier start time, of a previous process or a wrong one, does not know
         // that the node is cold.
-        let informed = announced_starts
-            .iter()
-            .any(|&(told, started)| told + self.tolerance <= sent && started >= process.started_at);
+        let informed = announced_starts.iter().any(|&(announced_at, started)| {
+            announced_at + self.tolerance <= sent && started >= process.started_at
+        });
         let window = seconds(self.nodes.overload_window_seconds);
         while process.received.front().is_some_and(|(came, ..)| came + window <= at) {
             process.received.pop_front();
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -19,7 +19,7 @@
 
 usage: pumicebay-lab COMMAND ...
 
-  list [FOLDER]        the scenarios that ship, one line each (FOLDER: scenarios)
+  list [FOLDER]        the scenarios that ship, one line each (default: scenarios)
   run SCENARIO [--clock virtual|real] [--seed N] [--policy NAME] [--proxy PATH]
       [--json FILE] [--report FILE.html] [--set KEY=VALUE]
                        runs a scenario once, in virtual time or with real proxies on loopback
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -85,7 +85,7 @@
             format!("{:+.4} ±{:.4}", gain.mean, gain.half_width)
         };
         // The mean of a figure, and the median over the seeds of its ratio to the same figure of the first
-        // policy.
+        // policy. Used for the latency of the first route only.
         let with_ratio = |figure: fn(&Results) -> f64| {
             let mut ratios: Vec<f64> =
                 played.iter().zip(&runs[0]).map(|(run, first)| figure(run) / figure(first)).collect();
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -9,7 +9,7 @@
 pub trait Policy<H: Host>: Send {
     /// A client's request arrived.
     fn request_arrived(&mut self, now: Nanos, request: RequestId, params: RequestParams);
-    /// An attempt ended with this outcome. `request_finished` tells that the request needs no further
+    /// An attempt ended with this outcome. If `request_finished`, the request needs no further
     /// attempt.
     fn attempt_ended(
         &mut self,
@@ -37,8 +37,8 @@
     fn take_replicas(&mut self) -> Option<ReplicaTable> {
         None
     }
-    /// Restores a replica table that was taken out of an earlier process. Ignored by policies that learn
-    /// none.
+    /// Restores a replica table that was taken out of an earlier process. Policies that learn none
+    /// ignore it.
     fn set_replicas(&mut self, _replicas: ReplicaTable) {}
 }
 
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -26,7 +26,7 @@
     pub operations: u64,
     /// The payoff earned within the objective, as a share of the payoff of all operations.
     pub share: f64,
-    /// The lowest mean of `share` over any ten seconds.
+    /// The lowest mean of `share` over any ten seconds after the warm-up.
     pub worst_ten_seconds: f64,
     /// The share of the jobs at cache nodes that found their key.
     pub hit_rate: f64,
@@ -53,8 +53,7 @@
     /// The timeouts that attempts advertised to their servers, compared with the time that clients had left.
     #[serde(rename = "time_told")]
     pub advertised_timeouts: TimeoutCounts,
-    /// The number of values that were made for another request, then the number of violations of rules 1 to
-    /// 4.
+    /// The number of values that were made for another request, then the violations of rules 1 to 4.
     #[serde(rename = "rules_broken")]
     pub violations_by_rule: [u64; 5],
     /// The first violations with their descriptions.
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -45,7 +45,7 @@
         let base = match tree.get("base") {
             None => None,
             Some(Value::String(_)) if depth == 0 => {
-                bail!("base: more than {MAX_BASE_DEPTH} levels of base files")
+                bail!("base: more than {MAX_BASE_DEPTH} files in a chain")
             }
             Some(Value::String(name)) => {
                 let path = path.parent().unwrap_or(Path::new("")).join(name);
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -25,9 +25,9 @@
         Mean { mean, half_width }
     }
 
-    /// The mean of the differences between figures of the same seeds.
-    pub fn paired(these: &[f64], those: &[f64]) -> Mean {
-        Mean::of(&these.iter().zip(those).map(|(this, that)| this - that).collect::<Vec<_>>())
+    /// The mean of the differences `left - right` between figures of the same seeds.
+    pub fn paired(left: &[f64], right: &[f64]) -> Mean {
+        Mean::of(&left.iter().zip(right).map(|(left, right)| left - right).collect::<Vec<_>>())
     }
 
     /// Whether the interval contains zero, so that the sign of the mean is not significant.
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -455,8 +455,15 @@
         }
     }
 
-    fn answered(&mut self, request: RequestId, sent: Nanos, answer: FinalAnswer, sound: bool, pause: Nanos) {
-        self.core.auditor.answered(sent, request, answer, sound);
+    fn answered(
+        &mut self,
+        request: RequestId,
+        sent: Nanos,
+        answer: FinalAnswer,
+        value_matches: bool,
+        pause: Nanos,
+    ) {
+        self.core.auditor.answered(sent, request, answer, value_matches);
         let Some(open) = self.requests.get(&request) else { return };
         debug_assert!(open.sent <= sent);
         let since = self.operations.get(&open.operation_id).map_or(sent, |pending| pending.operation.start);
@@ -597,8 +604,8 @@
         }
     }
 
-    /// The origin answered. A read value is stored at the nodes that missed it, if a proxy still waits for it
-    /// (`awaited`); a write removes all cached copies.
+    /// The origin answered. A read value is stored at the nodes that missed it, if its proxy still waits for
+    /// it (`awaited`); a write removes all cached copies.
     fn origin_answered(&mut self, request: RequestId, awaited: bool) {
         self.core.metrics.served(self.core.now, None);
         let Some(open) = self.requests.get(&request) else { return };
