--- a/crates/lab/src/progress.rs
+++ b/crates/lab/src/progress.rs
@@ -1,36 +1,38 @@
-//! Shows how far a long run is, on a terminal only.
+//! A progress bar for long runs, shown on a terminal only.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 
-const STEPS: f64 = 1000.0;
+/// Steps of the bar for one run.
+const STEPS_PER_RUN: f64 = 1000.0;
 
+/// A progress bar on standard error; nothing if that is no terminal.
 pub struct Progress(Option<ProgressBar>);
 
 impl Progress {
-    /// Over so many days.
-    pub fn new(what: &str, days: usize) -> Progress {
+    /// Creates a bar for this number of runs.
+    pub fn new(label: &str, runs: usize) -> Progress {
         if !std::io::stderr().is_terminal() {
             return Progress(None);
         }
-        let bar = ProgressBar::new((days as f64 * STEPS) as u64);
+        let bar = ProgressBar::new((runs as f64 * STEPS_PER_RUN) as u64);
         let style = ProgressStyle::with_template("{msg} {wide_bar} {percent}% {eta}");
         bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-        bar.set_message(what.to_string());
+        bar.set_message(label.to_string());
         Progress(Some(bar))
     }
 
-    /// Part of one day is over.
-    pub fn at(&self, part: f64) {
+    /// Sets the elapsed fraction of a single run, from 0 to 1.
+    pub fn set(&self, fraction: f64) {
         if let Some(bar) = &self.0 {
-            bar.set_position((part * STEPS) as u64);
+            bar.set_position((fraction * STEPS_PER_RUN) as u64);
         }
     }
 
-    /// One of many days is over.
-    pub fn step(&self) {
+    /// Counts one of several runs as finished.
+    pub fn finish_run(&self) {
         if let Some(bar) = &self.0 {
-            bar.inc(STEPS as u64);
+            bar.inc(STEPS_PER_RUN as u64);
         }
     }
 }
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/processes.rs
@@ -6,7 +6,7 @@
 use super::recorder::Recorder;
 use super::relay::{LinkMode, Relay};
 use super::{Programs, affects_disk, sleep_at_most};
-use crate::operator;
+use crate::operator_command;
 use anyhow::{Context, Result};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -242,7 +242,7 @@
     /// is up.
     async fn run_operator_command(&self, arguments: &[&str]) -> Result<()> {
         let config = &self.processes[self.plan.processes - 1].config;
-        operator::fleet(&self.programs.proxy, arguments, config, READY_TIMEOUT).await
+        operator_command::fleet(&self.programs.proxy, arguments, config, READY_TIMEOUT).await
     }
 
     /// Until the given instant, starts commands that have ended again and notes proxies that ended
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -6,7 +6,7 @@
 //! force, independent of what the carrier reports.
 
 use super::plan::Plan;
-use crate::operator;
+use crate::operator_command;
 use crate::rig::processes::LoopbackAddresses;
 use crate::rig::relay::{LinkMode, Relay};
 use anyhow::{Context, Result, ensure};
@@ -438,7 +438,7 @@
             fleet.observations().processes.insert(name.clone(), process);
             fleet.spawn(name)?;
         }
-        operator::fleet(&fleet.program, &["found"], &fleet.operator_config, START_TIMEOUT).await?;
+        operator_command::fleet(&fleet.program, &["found"], &fleet.operator_config, START_TIMEOUT).await?;
         // Waits until all links are up, so that faults start on a complete fleet.
         fleet.wait_until_formed().await?;
         Ok(fleet)
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,9 +1,9 @@
-//! The world in virtual time: it takes what the proxies do, lets the model's parts work on it, and tells the
-//! proxies what comes of it.
+//! Everything around the proxies in virtual time: clients, nodes, origin, network and discovery. The world
+//! handles the actions of the proxies with the model's components and sends the proxies the results.
 
-use crate::audit::{Auditor, Final};
-use crate::seat::{Due, ToSeat, ToWorld, key_mark, uid};
-use crate::tally::{End, Tally};
+use crate::audit::{Auditor, FinalAnswer};
+use crate::metrics::{OperationOutcome, RunMetrics};
+use crate::simulated_proxy::{ProxyAction, ProxyInput, Scheduled, key_hash, node_uid};
 use hashbrown::HashMap;
 use pumicebay_core::table::rendezvous;
 use pumicebay_core::{Nanos, Node, Outcome, RequestId, RequestParams};
@@ -21,315 +21,354 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Tries that an exchange has at most, as part of a job's number.
-const TRIES: u64 = 16;
-/// A silent list is given up after this.
-const LIST_SILENT: Nanos = 3 * SECOND / 2;
-const SWEEP: Nanos = SECOND;
+/// The number of job ids reserved for the attempts of one request; later attempts share the last id.
+const JOB_IDS_PER_REQUEST: u64 = 16;
+/// How long a proxy waits for a node list that does not answer.
+const LIST_TIMEOUT: Nanos = 3 * SECOND / 2;
+/// The interval at which the requests that are due are audited.
+const AUDIT_INTERVAL: Nanos = SECOND;
 
-/// A try's number at its node.
-fn job_of(xchg: RequestId, try_no: usize) -> JobId {
-    xchg * TRIES + (try_no as u64).min(TRIES - 1)
+/// The id of an attempt's job at its node.
+fn job_id(request: RequestId, attempt: usize) -> JobId {
+    request * JOB_IDS_PER_REQUEST + (attempt as u64).min(JOB_IDS_PER_REQUEST - 1)
 }
 
 enum Event {
-    Seat(usize, ToWorld),
-    Finished(Node, JobId),
-    Changes(WorldChange),
-    /// Discovery gets to know what a node says of itself.
-    Notice(Node),
-    /// A node that fell over comes back.
-    Back(Node),
-    Again(u64, usize),
-    TimedOut(RequestId),
-    Cut(RequestId, Nanos),
-    Sweep,
+    /// An action of this proxy arrives.
+    Action(usize, ProxyAction),
+    /// A node, or the origin, finishes a job.
+    JobFinished(Node, JobId),
+    /// A change from the scenario's fault timeline.
+    Change(WorldChange),
+    /// Discovery learns what a node reports about itself.
+    RegistryUpdate(Node),
+    /// A node that crashed from overload restarts.
+    NodeRestart(Node),
+    /// The client of this operation sends its next request, to this proxy.
+    Retry(u64, usize),
+    /// The client stops waiting for this request.
+    ClientTimeout(RequestId),
+    /// The client's connection breaks because its proxy died at this time.
+    ConnectionLost(RequestId, Nanos),
+    /// Audits the requests that are due.
+    Audit,
 }
 
-/// A try that a node has.
+/// The proxy and the node of an attempt.
 #[derive(Clone, Copy)]
-struct At {
+struct JobEndpoints {
     proxy: usize,
     node: Node,
 }
 
-struct Cx {
-    wish: u64,
+/// A request whose client waits for its answer.
+struct OpenRequest {
+    operation_id: u64,
     proxy: usize,
     sent: Nanos,
-    missed: Vec<Node>,
+    /// Cache nodes that reported a miss; they store the value once the origin has served it.
+    missed_nodes: Vec<Node>,
 }
 
-struct Wanted {
-    wish: Operation,
-    tries: u32,
-    /// Proxies that refused in a row.
-    refused: usize,
-    last: End,
+/// An operation of a client that has not ended.
+struct PendingOperation {
+    operation: Operation,
+    /// Requests sent so far, without those whose connection was refused.
+    requests: u32,
+    /// Connections that were refused so far.
+    refusals: usize,
+    /// The outcome of the latest request.
+    last: OperationOutcome,
 }
 
-/// What every part needs while another is at work.
+/// The state that nodes and the origin use while they are borrowed themselves.
 struct Core {
     now: Nanos,
+    /// The number of events scheduled so far, which orders events of the same time.
     order: u64,
-    events: BinaryHeap<Due<Event>>,
-    mail: Vec<(usize, Nanos, ToSeat)>,
+    events: BinaryHeap<Scheduled<Event>>,
+    /// Messages to proxies that were not taken yet: proxy, arrival time, message.
+    inputs: Vec<(usize, Nanos, ProxyInput)>,
     network: Network,
     rng: Rng,
     zones: usize,
-    jobs: HashMap<JobId, At>,
+    /// The jobs whose proxy still waits for the outcome.
+    jobs: HashMap<JobId, JobEndpoints>,
+    /// By node, the origin last: the connection epoch. It grows whenever a node starts or its connections
+    /// break; a connection of an earlier epoch is broken.
     epochs: Vec<u64>,
     auditor: Auditor,
-    tally: Tally,
-    fallen: Vec<Node>,
+    metrics: RunMetrics,
+    /// Nodes that crashed from overload during the current event.
+    overloaded_nodes: Vec<Node>,
 }
 
 impl Core {
-    fn at(&mut self, at: Nanos, what: Event) {
+    fn schedule(&mut self, at: Nanos, message: Event) {
         self.order += 1;
-        self.events.push(Due { at, order: self.order, what });
+        self.events.push(Scheduled { at, order: self.order, message });
     }
 
+    /// The zone of a node; the origin is in the first zone.
     fn zone(&self, node: Node) -> usize {
         if node + 1 >= self.epochs.len() { 0 } else { node % self.zones }
     }
 
-    /// Back from a node to a proxy.
+    /// A random one-way delay from a node to a proxy.
     fn delay(&mut self, node: Node, proxy: usize) -> Nanos {
         let (from, to) = (self.zone(node), proxy % self.zones);
         self.network.delay(&mut self.rng, from, to)
     }
 
-    fn tell(&mut self, proxy: usize, at: Nanos, what: ToSeat) {
-        self.mail.push((proxy, at, what));
+    fn send_input(&mut self, proxy: usize, at: Nanos, input: ProxyInput) {
+        self.inputs.push((proxy, at, input));
     }
 
-    /// The outcome of a try goes back to its proxy, after so long at least.
-    fn back(&mut self, at: At, job: JobId, outcome: Outcome, after: Nanos) {
-        let (xchg, try_no) = (job / TRIES, (job % TRIES) as usize);
-        let due = self.now + after + self.delay(at.node, at.proxy);
-        self.auditor.over(due, xchg, self.cache(at.node));
-        let epoch = self.epochs[at.node];
-        self.tell(at.proxy, due, ToSeat::Back { xchg, try_no, outcome, epoch, value: xchg });
+    /// Sends the outcome of an attempt to its proxy, which receives it after `after` and the network delay.
+    fn send_outcome(&mut self, endpoints: JobEndpoints, job: JobId, outcome: Outcome, after: Nanos) {
+        let (request, attempt) = (job / JOB_IDS_PER_REQUEST, (job % JOB_IDS_PER_REQUEST) as usize);
+        let due = self.now + after + self.delay(endpoints.node, endpoints.proxy);
+        self.auditor.attempt_ended(due, request, self.cache(endpoints.node));
+        let epoch = self.epochs[endpoints.node];
+        self.send_input(
+            endpoints.proxy,
+            due,
+            ProxyInput::AttemptEnded { request, attempt, outcome, epoch, value: request },
+        );
     }
 
-    /// The node's number where it is a cache.
+    /// The index of a cache node; `None` for the origin.
     fn cache(&self, node: Node) -> Option<usize> {
         (node + 1 < self.epochs.len()).then_some(node)
     }
 }
 
-/// A node at work.
-struct Work<'a> {
+/// The environment of a node, or of the origin, while it handles a job.
+struct NodeEnvironment<'a> {
     core: &'a mut Core,
     node: Node,
-    /// What was done at last, for whoever had the node do it.
+    /// The latest job that ended, for the caller.
     done: Option<(JobId, JobOutcome)>,
 }
 
-impl Environment for Work<'_> {
+impl Environment for NodeEnvironment<'_> {
     fn schedule_completion(&mut self, at: Nanos, job: JobId) {
-        self.core.at(at, Event::Finished(self.node, job));
+        self.core.schedule(at, Event::JobFinished(self.node, job));
     }
 
     fn execution_started(&mut self, job: JobId) {
         let (now, node) = (self.core.now, self.core.cache(self.node));
-        self.core.auditor.ran(now, job / TRIES, node);
+        self.core.auditor.executed(now, job / JOB_IDS_PER_REQUEST, node);
     }
 
     fn respond(&mut self, job: JobId, verdict: JobOutcome) {
         self.done = Some((job, verdict));
-        let Some(at) = self.core.jobs.remove(&job) else { return };
+        let Some(endpoints) = self.core.jobs.remove(&job) else { return };
         let outcome = match verdict {
             JobOutcome::Completed => Outcome::Completed,
             JobOutcome::Missed => Outcome::Missed,
             JobOutcome::Rejected => Outcome::Saturated,
             JobOutcome::Failed | JobOutcome::Corrupted => Outcome::Errored,
         };
-        self.core.back(at, job, outcome, 0);
+        self.core.send_outcome(endpoints, job, outcome, 0);
     }
 
     fn crashed(&mut self, _now: Nanos) {
-        self.core.fallen.push(self.node);
+        self.core.overloaded_nodes.push(self.node);
     }
 }
 
+/// The simulated world. See the module's documentation.
 pub struct World {
-    day: Scenario,
+    scenario: Scenario,
     core: Core,
     nodes: Vec<CacheNode>,
     origin: Origin,
     registry: Registry,
-    late: Nanos,
-    lies: Vec<bool>,
-    clock: Vec<Option<i64>>,
-    left: Vec<bool>,
-    proxies: Vec<Known>,
+    /// Extra delay of announcements, from a fault.
+    discovery_delay: Nanos,
+    /// By node: whether it wrongly reports that it has left.
+    announces_gone: Vec<bool>,
+    /// By node: the offset of a wrong clock, in nanoseconds; `None` for a correct one.
+    clock_offsets: Vec<Option<i64>>,
+    /// By node: whether it has left the fleet or has not joined it yet.
+    departed: Vec<bool>,
+    proxies: Vec<ProxyView>,
     traffic: Traffic,
-    next_wish: Option<Operation>,
-    wishes: HashMap<u64, Wanted>,
-    xchgs: HashMap<RequestId, Cx>,
-    last_wish: u64,
-    last_xchg: RequestId,
+    next_operation: Option<Operation>,
+    /// The operations in progress, by id.
+    operations: HashMap<u64, PendingOperation>,
+    requests: HashMap<RequestId, OpenRequest>,
+    last_operation_id: u64,
+    last_request_id: RequestId,
     client_rng: Rng,
     retry_rng: Rng,
 }
 
-/// What discovery has told a proxy.
+/// What discovery has announced to a proxy.
 #[derive(Clone, Default)]
-struct Known {
-    follows: bool,
+struct ProxyView {
+    /// Whether the proxy receives changes of the node list.
+    watches_list: bool,
+    /// The version of the node list that was announced last, and when it arrives.
     version: u64,
-    told: Nanos,
-    life: u64,
+    announced_at: Nanos,
+    /// The number of processes that the proxy has had.
+    incarnation: u64,
 }
 
 impl World {
-    pub fn new(day: &Scenario, seed: u64) -> World {
-        let nodes = day.nodes.count;
+    /// Creates the world at time 0 and schedules the faults. `seed` determines all random choices.
+    pub fn new(scenario: &Scenario, seed: u64) -> World {
+        let nodes = scenario.nodes.count;
         let core = Core {
             now: 0,
             order: 0,
             events: BinaryHeap::new(),
-            mail: Vec::new(),
-            network: Network::new(&day.network),
+            inputs: Vec::new(),
+            network: Network::new(&scenario.network),
             rng: rng(seed, "network", 0),
-            zones: day.nodes.zones,
+            zones: scenario.nodes.zones,
             jobs: HashMap::new(),
             epochs: vec![1; nodes + 1],
-            auditor: Auditor::new(day, millis(1.0)),
-            tally: Tally::new(day),
-            fallen: Vec::new(),
+            auditor: Auditor::new(scenario, millis(1.0)),
+            metrics: RunMetrics::new(scenario),
+            overloaded_nodes: Vec::new(),
         };
-        let mut traffic = Traffic::new(day, seed);
-        let next_wish = traffic.next();
+        let mut traffic = Traffic::new(scenario, seed);
+        let next_operation = traffic.next();
         let mut world = World {
             core,
-            nodes: (0..nodes).map(|node| CacheNode::new(&day.nodes, seed, node)).collect(),
-            origin: Origin::new(&day.origin, seed),
+            nodes: (0..nodes).map(|node| CacheNode::new(&scenario.nodes, seed, node)).collect(),
+            origin: Origin::new(&scenario.origin, seed),
             registry: Registry::default(),
-            late: 0,
-            lies: vec![false; nodes],
-            clock: vec![None; nodes],
-            left: vec![false; nodes],
-            proxies: vec![Known::default(); day.proxies.count],
+            discovery_delay: 0,
+            announces_gone: vec![false; nodes],
+            clock_offsets: vec![None; nodes],
+            departed: vec![false; nodes],
+            proxies: vec![ProxyView::default(); scenario.proxies.count],
             traffic,
-            next_wish,
-            wishes: HashMap::new(),
-            xchgs: HashMap::new(),
-            last_wish: 0,
-            last_xchg: 0,
+            next_operation,
+            operations: HashMap::new(),
+            requests: HashMap::new(),
+            last_operation_id: 0,
+            last_request_id: 0,
             client_rng: rng(seed, "clients", 0),
             retry_rng: rng(seed, "retries", 0),
-            day: day.clone(),
+            scenario: scenario.clone(),
         };
-        world.begin(seed);
+        world.initialize(seed);
         world
     }
 
-    fn begin(&mut self, seed: u64) {
-        for node in initially_absent_nodes(&self.day) {
+    fn initialize(&mut self, seed: u64) {
+        for node in initially_absent_nodes(&self.scenario) {
             self.nodes[node].up = false;
-            self.left[node] = true;
+            self.departed[node] = true;
         }
-        for (node, keys) in warm(&self.day, &self.nodes) {
+        for (node, keys) in warm_keys(&self.scenario, &self.nodes) {
             for key in keys {
-                self.nodes[node].store.insert(key, traffic::value_bytes(&self.day, key));
+                self.nodes[node].store.insert(key, traffic::value_bytes(&self.scenario, key));
             }
         }
         for node in 0..self.nodes.len() {
-            self.registry.update(self.actual(node));
+            self.registry.update(self.self_reported_entry(node));
         }
         self.registry.update(NodeEntry { node: self.nodes.len(), state: NodeState::Ready, started_at: 0 });
-        // Proxies do not start in step.
+        // Proxies start at different times, so that their timers do not fire in step.
         let mut starts = rng(seed, "starts", 0);
         for proxy in 0..self.proxies.len() {
             let at = starts.random_range(0..millis(100.0));
-            self.start(proxy, at);
+            self.start_proxy(proxy, at);
         }
-        for (at, change) in timeline(&self.day) {
+        for (at, change) in timeline(&self.scenario) {
             if let WorldChange::Kill(proxy) = change {
-                self.core.tell(proxy, at, ToSeat::Kill);
+                self.core.send_input(proxy, at, ProxyInput::Kill);
             }
-            self.core.at(at, Event::Changes(change));
+            self.core.schedule(at, Event::Change(change));
         }
-        self.core.at(SWEEP, Event::Sweep);
+        self.core.schedule(AUDIT_INTERVAL, Event::Audit);
     }
 
-    /// What a node is, as it says itself.
-    fn actual(&self, node: Node) -> NodeEntry {
-        let gone = self.left[node] || self.lies[node];
-        self.nodes[node].registry_entry(node, self.core.now, gone, self.clock[node])
+    /// What a node reports about itself to discovery.
+    fn self_reported_entry(&self, node: Node) -> NodeEntry {
+        let gone = self.departed[node] || self.announces_gone[node];
+        self.nodes[node].registry_entry(node, self.core.now, gone, self.clock_offsets[node])
     }
 
-    pub fn next_at(&self) -> Nanos {
+    /// The time of the next event or operation; `Nanos::MAX` if there is none.
+    pub fn next_event_at(&self) -> Nanos {
         let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
-        event.min(self.next_wish.map_or(Nanos::MAX, |wish| wish.start))
+        event.min(self.next_operation.map_or(Nanos::MAX, |operation| operation.start))
     }
 
-    /// Whether all that was asked for has come to its end.
+    /// Whether all operations have ended and no more will start.
     pub fn done(&self) -> bool {
-        self.next_wish.is_none() && self.wishes.is_empty()
+        self.next_operation.is_none() && self.operations.is_empty()
     }
 
-    /// Takes what a proxy did.
-    pub fn take(&mut self, proxy: usize, at: Nanos, what: ToWorld) {
-        self.core.at(at, Event::Seat(proxy, what));
+    /// Schedules an action of a proxy for its arrival time.
+    pub fn apply(&mut self, proxy: usize, at: Nanos, action: ProxyAction) {
+        self.core.schedule(at, Event::Action(proxy, action));
     }
 
-    /// Mail to the proxies since last asked, in its order.
-    pub fn mail(&mut self) -> std::vec::Drain<'_, (usize, Nanos, ToSeat)> {
-        self.core.mail.drain(..)
+    /// Takes the messages to the proxies since the last call, in the order in which they were sent.
+    pub fn drain_inputs(&mut self) -> std::vec::Drain<'_, (usize, Nanos, ProxyInput)> {
+        self.core.inputs.drain(..)
     }
 
-    /// The rules and the counts, once the day is over.
-    pub fn end(mut self) -> (Auditor, Tally) {
+    /// Audits the remaining requests and returns the auditor and the metrics of the run.
+    pub fn finish(mut self) -> (Auditor, RunMetrics) {
         self.core.auditor.finish();
-        (self.core.auditor, self.core.tally)
+        (self.core.auditor, self.core.metrics)
     }
 
-    /// Plays all that happens before that time.
-    pub fn play(&mut self, until: Nanos) {
-        while self.next_at() < until {
+    /// Handles all events before `until`.
+    pub fn run_until(&mut self, until: Nanos) {
+        while self.next_event_at() < until {
             let event = self.core.events.peek().map_or(Nanos::MAX, |due| due.at);
-            if let Some(wish) = self.next_wish.filter(|wish| wish.start <= event) {
-                self.core.now = wish.start;
-                self.next_wish = self.traffic.next();
-                self.wish(wish);
+            if let Some(operation) = self.next_operation.filter(|operation| operation.start <= event) {
+                self.core.now = operation.start;
+                self.next_operation = self.traffic.next();
+                self.operation_started(operation);
             } else if let Some(due) = self.core.events.pop() {
                 self.core.now = due.at;
-                self.happens(due.what);
+                self.handle(due.message);
             }
-            while let Some(node) = self.core.fallen.pop() {
-                self.fell(node);
+            while let Some(node) = self.core.overloaded_nodes.pop() {
+                self.node_overloaded(node);
             }
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Seat(proxy, what) => self.did(proxy, what),
-            Event::Finished(node, job) => self.finished(node, job),
-            Event::Changes(change) => self.changes(change),
-            Event::Notice(node) => {
-                if self.registry.update(self.actual(node)) {
-                    self.tell_all();
+            Event::Action(proxy, action) => self.handle_action(proxy, action),
+            Event::JobFinished(node, job) => self.job_finished(node, job),
+            Event::Change(change) => self.apply_change(change),
+            Event::RegistryUpdate(node) => {
+                if self.registry.update(self.self_reported_entry(node)) {
+                    self.announce_to_all();
                 }
             }
-            Event::Back(node) => self.node_starts(node),
-            Event::Again(wish, proxy) => self.ask(wish, proxy),
-            Event::TimedOut(xchg) => self.ended(xchg, End::Lost, 0),
-            Event::Cut(xchg, died) => {
-                if self.xchgs.contains_key(&xchg) {
-                    self.core.auditor.lost(died, xchg);
-                    self.ended(xchg, End::Lost, millis(self.day.clients.failover_ms));
+            Event::NodeRestart(node) => self.start_node(node),
+            Event::Retry(operation_id, proxy) => self.send_request(operation_id, proxy),
+            Event::ClientTimeout(request) => self.request_ended(request, OperationOutcome::Lost, 0),
+            Event::ConnectionLost(request, died) => {
+                if self.requests.contains_key(&request) {
+                    self.core.auditor.request_abandoned(died, request);
+                    self.request_ended(
+                        request,
+                        OperationOutcome::Lost,
+                        millis(self.scenario.clients.failover_ms),
+                    );
                 }
             }
-            Event::Sweep => {
+            Event::Audit => {
                 let now = self.core.now;
-                self.core.auditor.sweep(now);
+                self.core.auditor.audit_due(now);
                 if !self.done() {
-                    self.core.at(now + SWEEP, Event::Sweep);
+                    self.core.schedule(now + AUDIT_INTERVAL, Event::Audit);
                 }
             }
         }
@@ -337,111 +376,122 @@
 
     // ---- Clients --------------------------------------------------------------------------------
 
-    fn wish(&mut self, wish: Operation) {
-        self.last_wish += 1;
-        let wanted = Wanted { wish, tries: 0, refused: 0, last: End::Lost };
-        self.wishes.insert(self.last_wish, wanted);
-        self.ask(self.last_wish, wish.proxy);
+    fn operation_started(&mut self, operation: Operation) {
+        self.last_operation_id += 1;
+        let pending = PendingOperation { operation, requests: 0, refusals: 0, last: OperationOutcome::Lost };
+        self.operations.insert(self.last_operation_id, pending);
+        self.send_request(self.last_operation_id, operation.proxy);
     }
 
-    fn ask(&mut self, number: u64, proxy: usize) {
+    fn send_request(&mut self, operation_id: u64, proxy: usize) {
         let now = self.core.now;
-        let Some(wanted) = self.wishes.get_mut(&number) else { return };
-        wanted.tries += 1;
-        let (wish, route) = (wanted.wish, &self.day.route[wanted.wish.route]);
-        self.last_xchg += 1;
-        let xchg = self.last_xchg;
+        let Some(pending) = self.operations.get_mut(&operation_id) else { return };
+        pending.requests += 1;
+        let (operation, route) = (pending.operation, &self.scenario.route[pending.operation.route]);
+        self.last_request_id += 1;
+        let request = self.last_request_id;
         let timeout = millis(route.timeout_ms);
-        let ask = RequestParams {
-            route: wish.route,
-            tenant: (!self.day.tenant.is_empty()).then_some(wish.tenant),
-            key: Some(key_mark(wish.key)),
+        let params = RequestParams {
+            route: operation.route,
+            tenant: (!self.scenario.tenant.is_empty()).then_some(operation.tenant),
+            key: Some(key_hash(operation.key)),
             write: route.write,
             work_hint: None,
             client_timeout: timeout,
-            is_retry: wanted.tries > 1,
+            is_retry: pending.requests > 1,
         };
         let at = now + self.core.network.delay(&mut self.client_rng, 0, 0);
-        self.core.tally.exchanges += 1;
-        self.core.auditor.taken(at, xchg, proxy, wish.route, at + timeout);
-        self.core.auditor.client_waits_until(xchg, now + timeout);
-        self.core.tell(proxy, at, ToSeat::Arrived { xchg, ask });
-        self.core.at(now + timeout + traffic::CLIENT_TIMEOUT_MARGIN, Event::TimedOut(xchg));
-        self.xchgs.insert(xchg, Cx { wish: number, proxy, sent: now, missed: Vec::new() });
-    }
-
-    /// An exchange ended for its client; it may ask again.
-    fn ended(&mut self, xchg: RequestId, end: End, pause: Nanos) {
-        let Some(cx) = self.xchgs.remove(&xchg) else { return };
-        let Some(wanted) = self.wishes.get_mut(&cx.wish) else { return };
-        let served = matches!(end, End::Served(_));
-        wanted.last = end;
-        let repeatable = !self.day.route[wanted.wish.route].write || end == End::Shed;
-        let again = match served || !repeatable {
+        self.core.metrics.requests += 1;
+        self.core.auditor.request_accepted(at, request, proxy, operation.route, at + timeout);
+        self.core.auditor.set_client_deadline(request, now + timeout);
+        self.core.send_input(proxy, at, ProxyInput::RequestArrived { request, params });
+        self.core.schedule(now + timeout + traffic::CLIENT_TIMEOUT_MARGIN, Event::ClientTimeout(request));
+        self.requests
+            .insert(request, OpenRequest { operation_id, proxy, sent: now, missed_nodes: Vec::new() });
+    }
+
+    /// A request ended for its client, which sends another one if the retry policy allows it. A client that
+    /// got no answer turns to the next proxy.
+    fn request_ended(&mut self, request: RequestId, outcome: OperationOutcome, pause: Nanos) {
+        let Some(open) = self.requests.remove(&request) else { return };
+        let Some(pending) = self.operations.get_mut(&open.operation_id) else { return };
+        let served = matches!(outcome, OperationOutcome::Served(_));
+        pending.last = outcome;
+        let repeatable =
+            !self.scenario.route[pending.operation.route].write || outcome == OperationOutcome::Shed;
+        let retry_delay = match served || !repeatable {
             true => None,
-            false => traffic::retry_delay(&self.day, &mut self.retry_rng, wanted.tries, pause),
+            false => traffic::retry_delay(&self.scenario, &mut self.retry_rng, pending.requests, pause),
         };
-        match again {
+        match retry_delay {
             Some(wait) => {
-                let moves = usize::from(end == End::Lost);
-                let proxy = (cx.proxy + moves) % self.day.proxies.count;
-                self.core.at(self.core.now + wait, Event::Again(cx.wish, proxy));
+                let proxy_step = usize::from(outcome == OperationOutcome::Lost);
+                let proxy = (open.proxy + proxy_step) % self.scenario.proxies.count;
+                self.core.schedule(self.core.now + wait, Event::Retry(open.operation_id, proxy));
             }
             None => {
-                if let Some(wanted) = self.wishes.remove(&cx.wish) {
-                    self.core.tally.wish(&wanted.wish, wanted.last);
+                if let Some(pending) = self.operations.remove(&open.operation_id) {
+                    self.core.metrics.operation_finished(&pending.operation, pending.last);
                 }
             }
         }
     }
 
-    /// The connection was refused: another proxy is asked at once, until all were.
-    fn refused(&mut self, xchg: RequestId) {
+    /// The connection was refused. The client turns to the next proxy at once, until the limit of refusals is
+    /// reached.
+    fn connection_refused(&mut self, request: RequestId) {
         let now = self.core.now;
-        self.core.auditor.lost(now, xchg);
-        self.core.tally.refused += 1;
-        let Some(cx) = self.xchgs.remove(&xchg) else { return };
-        let Some(wanted) = self.wishes.get_mut(&cx.wish) else { return };
-        wanted.refused += 1;
-        // Nothing was taken: it does not count as a try.
-        wanted.tries -= 1;
-        if wanted.refused < self.day.proxies.count.min(traffic::MAX_CONNECTION_REFUSALS) {
-            self.ask(cx.wish, (cx.proxy + 1) % self.day.proxies.count);
-        } else if let Some(wanted) = self.wishes.remove(&cx.wish) {
-            self.core.tally.wish(&wanted.wish, End::Lost);
+        self.core.auditor.request_abandoned(now, request);
+        self.core.metrics.refused += 1;
+        let Some(open) = self.requests.remove(&request) else { return };
+        let Some(pending) = self.operations.get_mut(&open.operation_id) else { return };
+        pending.refusals += 1;
+        // No proxy accepted the request, so it does not count as one.
+        pending.requests -= 1;
+        if pending.refusals < self.scenario.proxies.count.min(traffic::MAX_CONNECTION_REFUSALS) {
+            self.send_request(open.operation_id, (open.proxy + 1) % self.scenario.proxies.count);
+        } else if let Some(pending) = self.operations.remove(&open.operation_id) {
+            self.core.metrics.operation_finished(&pending.operation, OperationOutcome::Lost);
         }
     }
 
-    fn answered(&mut self, xchg: RequestId, sent: Nanos, answer: Final, sound: bool, pause: Nanos) {
-        self.core.auditor.answered(sent, xchg, answer, sound);
-        let Some(cx) = self.xchgs.get(&xchg) else { return };
-        debug_assert!(cx.sent <= sent);
-        let since = self.wishes.get(&cx.wish).map_or(sent, |wanted| wanted.wish.start);
-        let end = match answer {
-            Final::Served => End::Served(self.core.now - since),
-            Final::Shed => End::Shed,
-            Final::Errored => End::Errored,
+    fn answered(
+        &mut self,
+        request: RequestId,
+        sent: Nanos,
+        answer: FinalAnswer,
+        value_matches: bool,
+        pause: Nanos,
+    ) {
+        self.core.auditor.answered(sent, request, answer, value_matches);
+        let Some(open) = self.requests.get(&request) else { return };
+        debug_assert!(open.sent <= sent);
+        let since = self.operations.get(&open.operation_id).map_or(sent, |pending| pending.operation.start);
+        let outcome = match answer {
+            FinalAnswer::Served => OperationOutcome::Served(self.core.now - since),
+            FinalAnswer::Shed => OperationOutcome::Shed,
+            FinalAnswer::Errored => OperationOutcome::Errored,
         };
         match answer {
-            Final::Shed => self.core.tally.shed += 1,
-            Final::Errored => self.core.tally.errored += 1,
-            Final::Served => {}
+            FinalAnswer::Shed => self.core.metrics.shed += 1,
+            FinalAnswer::Errored => self.core.metrics.errored += 1,
+            FinalAnswer::Served => {}
         }
-        self.ended(xchg, end, pause);
+        self.request_ended(request, outcome, pause);
     }
 
-    // ---- What proxies do --------------------------------------------------------------------------
+    // ---- Actions of proxies -----------------------------------------------------------------------
 
-    fn did(&mut self, proxy: usize, what: ToWorld) {
-        match what {
-            ToWorld::Try { xchg, try_no, node, sent, epoch, told } => {
-                self.tried(At { proxy, node }, job_of(xchg, try_no), sent, epoch);
+    fn handle_action(&mut self, proxy: usize, action: ProxyAction) {
+        match action {
+            ProxyAction::Attempt { request, attempt, node, sent, epoch, advertised_timeout } => {
+                self.attempt_arrived(JobEndpoints { proxy, node }, job_id(request, attempt), sent, epoch);
                 let cache = self.core.cache(node);
-                self.core.auditor.told_time(sent, xchg, cache, Some(told));
+                self.core.auditor.timeout_advertised(sent, request, cache, Some(advertised_timeout));
             }
-            ToWorld::Cancel { xchg, try_no, node, sent } => {
-                let job = job_of(xchg, try_no);
-                self.core.auditor.over(sent, xchg, self.core.cache(node));
+            ProxyAction::Cancel { request, attempt, node, sent } => {
+                let job = job_id(request, attempt);
+                self.core.auditor.attempt_ended(sent, request, self.core.cache(node));
                 self.core.jobs.remove(&job);
                 match self.nodes.get_mut(node) {
                     Some(node) => {
@@ -451,37 +501,46 @@
                     None => self.origin.cancel(job),
                 }
             }
-            ToWorld::Severed { xchg, try_no, node, sent } => {
-                self.core.auditor.over(sent, xchg, self.core.cache(node));
-                self.core.jobs.remove(&job_of(xchg, try_no));
+            ProxyAction::Severed { request, attempt, node, sent } => {
+                self.core.auditor.attempt_ended(sent, request, self.core.cache(node));
+                self.core.jobs.remove(&job_id(request, attempt));
             }
-            ToWorld::Close { node, epoch } => {
+            ProxyAction::Close { node, epoch } => {
                 if self.core.epochs[node] == epoch
                     && let Some(node) = self.nodes.get_mut(node)
                 {
                     node.disconnect();
                 }
             }
-            ToWorld::Served { xchg, sent, value } => {
-                self.answered(xchg, sent, Final::Served, value == xchg, 0);
+            ProxyAction::Served { request, sent, value } => {
+                self.answered(request, sent, FinalAnswer::Served, value == request, 0);
             }
-            ToWorld::Shed { xchg, sent, pause } => self.answered(xchg, sent, Final::Shed, true, pause),
-            ToWorld::Errored { xchg, sent } => self.answered(xchg, sent, Final::Errored, true, 0),
-            ToWorld::Refused { xchg } => self.refused(xchg),
-            ToWorld::Probe { node } => self.probed(proxy, node),
-            ToWorld::Follow => self.follows(proxy),
-            ToWorld::Log(_) => self.core.tally.log_lines += 1,
+            ProxyAction::Shed { request, sent, pause } => {
+                self.answered(request, sent, FinalAnswer::Shed, true, pause)
+            }
+            ProxyAction::Errored { request, sent } => {
+                self.answered(request, sent, FinalAnswer::Errored, true, 0)
+            }
+            ProxyAction::Refused { request } => self.connection_refused(request),
+            ProxyAction::Probe { node } => self.probe(proxy, node),
+            ProxyAction::WatchNodeList => self.watch_node_list(proxy),
+            ProxyAction::Log(_) => self.core.metrics.log_lines += 1,
         }
     }
 
-    fn tried(&mut self, at: At, job: JobId, sent: Nanos, epoch: Option<u64>) {
-        let (now, xchg) = (self.core.now, job / TRIES);
-        let cache = self.core.cache(at.node);
-        self.core.tally.tries += 1;
-        self.core.auditor.sent(sent, xchg, cache);
-        if !self.core.network.can_reach(at.proxy, at.node) {
+    fn attempt_arrived(&mut self, endpoints: JobEndpoints, job: JobId, sent: Nanos, epoch: Option<u64>) {
+        let (now, request) = (self.core.now, job / JOB_IDS_PER_REQUEST);
+        let cache = self.core.cache(endpoints.node);
+        self.core.metrics.attempts += 1;
+        self.core.auditor.attempt_sent(sent, request, cache);
+        if !self.core.network.can_reach(endpoints.proxy, endpoints.node) {
             if epoch.is_none() {
-                self.core.back(at, job, Outcome::Unreachable, millis(crate::platform::CONNECT_MS));
+                self.core.send_outcome(
+                    endpoints,
+                    job,
+                    Outcome::Unreachable,
+                    millis(crate::platform::CONNECT_MS),
+                );
             }
             return;
         }
@@ -494,169 +553,179 @@
         };
         if !up {
             let lost = if epoch.is_some() { Outcome::Severed } else { Outcome::Unreachable };
-            return self.core.back(at, job, lost, 0);
+            return self.core.send_outcome(endpoints, job, lost, 0);
         }
-        let Some(cx) = self.xchgs.get(&xchg) else {
-            // Its client is gone, and so is what it asked for: the node turns it away.
-            return self.core.back(at, job, Outcome::Saturated, 0);
+        let Some(open) = self.requests.get(&request) else {
+            // The request is closed and its parameters are gone, so the node rejects the attempt.
+            return self.core.send_outcome(endpoints, job, Outcome::Saturated, 0);
         };
-        let wish = self.wishes[&cx.wish].wish;
-        let route = &self.day.route[wish.route];
+        let operation = self.operations[&open.operation_id].operation;
+        let route = &self.scenario.route[operation.route];
         let job = Job {
             id: job,
-            key: wish.key,
-            value_bytes: wish.value_bytes,
+            key: operation.key,
+            value_bytes: operation.value_bytes,
             service_time: millis(route.service_ms),
             write: route.write,
         };
-        self.core.jobs.insert(job.id, at);
-        cache.into_iter().for_each(|node| self.core.auditor.got(now, xchg, node));
-        let mut work = Work { core: &mut self.core, node: at.node, done: None };
-        match self.nodes.get_mut(at.node) {
-            Some(node) => node.job_arrived(now, job, &mut work),
-            None => self.origin.job_arrived(now, job, &mut work),
+        self.core.jobs.insert(job.id, endpoints);
+        cache.into_iter().for_each(|node| self.core.auditor.node_received(now, request, node));
+        let mut environment = NodeEnvironment { core: &mut self.core, node: endpoints.node, done: None };
+        match self.nodes.get_mut(endpoints.node) {
+            Some(node) => node.job_arrived(now, job, &mut environment),
+            None => self.origin.job_arrived(now, job, &mut environment),
         }
     }
 
-    fn finished(&mut self, node: Node, job: JobId) {
+    fn job_finished(&mut self, node: Node, job: JobId) {
         let now = self.core.now;
-        let asked = self.core.jobs.contains_key(&job);
-        let mut work = Work { core: &mut self.core, node, done: None };
+        let awaited = self.core.jobs.contains_key(&job);
+        let mut environment = NodeEnvironment { core: &mut self.core, node, done: None };
         match self.nodes.get_mut(node) {
-            Some(node) => node.job_finished(now, job, &mut work),
-            None => self.origin.job_finished(now, job, &mut work),
+            Some(node) => node.job_finished(now, job, &mut environment),
+            None => self.origin.job_finished(now, job, &mut environment),
         }
-        // Others may have begun and ended at once, but this one's verdict was the first.
-        let Some((_, verdict)) = work.done.filter(|(done, _)| *done == job) else { return };
-        let xchg = job / TRIES;
+        // Other jobs may have started and ended during this call; their outcome is not this job's.
+        let Some((_, verdict)) = environment.done.filter(|(done, _)| *done == job) else { return };
+        let request = job / JOB_IDS_PER_REQUEST;
         match (node < self.nodes.len(), verdict) {
             (true, JobOutcome::Missed) => {
-                self.core.tally.misses += 1;
-                if let Some(cx) = self.xchgs.get_mut(&xchg) {
-                    cx.missed.push(node);
+                self.core.metrics.misses += 1;
+                if let Some(open) = self.requests.get_mut(&request) {
+                    open.missed_nodes.push(node);
                 }
             }
             (true, JobOutcome::Completed) => {
-                self.core.tally.hits += 1;
-                self.core.tally.served(now, Some(node));
+                self.core.metrics.hits += 1;
+                self.core.metrics.served(now, Some(node));
             }
-            (false, JobOutcome::Completed) => self.fetched(xchg, asked),
+            (false, JobOutcome::Completed) => self.origin_answered(request, awaited),
             _ => {}
         }
     }
 
-    /// The origin has answered: where it was missed a copy is kept, and what was written drops all copies.
-    fn fetched(&mut self, xchg: RequestId, asked: bool) {
-        self.core.tally.served(self.core.now, None);
-        let Some(cx) = self.xchgs.get(&xchg) else { return };
-        let wish = self.wishes[&cx.wish].wish;
-        if self.day.route[wish.route].write {
-            self.nodes.iter_mut().for_each(|node| node.store.remove(wish.key));
-        } else if asked {
-            for &node in &cx.missed {
+    /// The origin answered. A read value is stored at the nodes that missed it, if its proxy still waits for
+    /// it (`awaited`); a write removes all cached copies.
+    fn origin_answered(&mut self, request: RequestId, awaited: bool) {
+        self.core.metrics.served(self.core.now, None);
+        let Some(open) = self.requests.get(&request) else { return };
+        let operation = self.operations[&open.operation_id].operation;
+        if self.scenario.route[operation.route].write {
+            self.nodes.iter_mut().for_each(|node| node.store.remove(operation.key));
+        } else if awaited {
+            for &node in &open.missed_nodes {
                 if self.nodes[node].up {
-                    self.nodes[node].store.insert(wish.key, wish.value_bytes);
+                    self.nodes[node].store.insert(operation.key, operation.value_bytes);
                 }
             }
         }
     }
 
-    fn probed(&mut self, proxy: usize, node: Node) {
+    fn probe(&mut self, proxy: usize, node: Node) {
         let now = self.core.now;
-        let there = self.core.network.can_reach(proxy, node);
+        let reachable = self.core.network.can_reach(proxy, node);
         let (up, silent) = match self.nodes.get(node) {
             Some(node) => (node.up && !node.refuses_connections, node.unresponsive),
             None => (self.origin.is_up(now), false),
         };
-        let (outcome, after) = match (there, up, silent) {
+        let (outcome, after) = match (reachable, up, silent) {
             (false, ..) => (Outcome::Unreachable, millis(crate::platform::CONNECT_MS)),
             (true, false, _) => (Outcome::Unreachable, 0),
             (true, true, true) => (Outcome::Overdue, SECOND),
             (true, true, false) => (Outcome::Completed, 0),
         };
         let due = now + after + self.core.delay(node, proxy);
-        self.core.tell(proxy, due, ToSeat::Probed { node, outcome });
+        self.core.send_input(proxy, due, ProxyInput::ProbeFinished { node, outcome });
     }
 
     // ---- Discovery --------------------------------------------------------------------------------
 
-    /// A proxy's process begins at that time, with the list as it is now.
-    fn start(&mut self, proxy: usize, at: Nanos) {
+    /// Starts a proxy's process at time `at` with the current node list.
+    fn start_proxy(&mut self, proxy: usize, at: Nanos) {
         let entries = self.registry.snapshot();
-        self.core.auditor.restarted(proxy);
+        self.core.auditor.proxy_restarted(proxy);
         for entry in entries.iter().filter(|entry| entry.node < self.nodes.len()) {
-            self.core.auditor.told(at, proxy, entry.node, entry.state);
-            self.core.auditor.told_start(at, proxy, entry.node, entry.started_at);
+            self.core.auditor.state_announced(at, proxy, entry.node, entry.state);
+            self.core.auditor.start_announced(at, proxy, entry.node, entry.started_at);
         }
-        let known = &mut self.proxies[proxy];
-        known.life += 1;
-        known.version = self.registry.version();
-        known.told = at;
-        known.follows = self.day.discovery.mode == DiscoveryMode::Push;
-        let life = known.life;
-        self.core.tell(proxy, at, ToSeat::Start { entries: Arc::new(entries), life });
+        let view = &mut self.proxies[proxy];
+        view.incarnation += 1;
+        view.version = self.registry.version();
+        view.announced_at = at;
+        view.watches_list = self.scenario.discovery.mode == DiscoveryMode::Push;
+        let incarnation = view.incarnation;
+        self.core.send_input(proxy, at, ProxyInput::Start { entries: Arc::new(entries), incarnation });
     }
 
-    fn tell_all(&mut self) {
-        (0..self.proxies.len()).for_each(|proxy| self.tell_list(proxy));
+    fn announce_to_all(&mut self) {
+        (0..self.proxies.len()).for_each(|proxy| self.announce_changes(proxy));
     }
 
-    /// Tells a proxy what changed since it was last told.
-    fn tell_list(&mut self, proxy: usize) {
-        let known = &mut self.proxies[proxy];
-        if self.registry.unresponsive || !known.follows || known.version == self.registry.version() {
+    /// Announces to a proxy the changes of the node list since the last announcement.
+    fn announce_changes(&mut self, proxy: usize) {
+        let view = &mut self.proxies[proxy];
+        if self.registry.unresponsive || !view.watches_list || view.version == self.registry.version() {
             return;
         }
-        let entries = self.registry.changes_since(known.version);
-        known.version = self.registry.version();
-        let usual = millis(self.day.discovery.propagation_ms);
-        let delay = self.core.network.min_delay() + self.late + self.core.rng.random_range(usual..=2 * usual);
-        known.told = (self.core.now + delay).max(known.told + 1);
-        let at = known.told;
+        let entries = self.registry.changes_since(view.version);
+        view.version = self.registry.version();
+        let min_delay = millis(self.scenario.discovery.propagation_ms);
+        let delay = self.core.network.min_delay()
+            + self.discovery_delay
+            + self.core.rng.random_range(min_delay..=2 * min_delay);
+        view.announced_at = (self.core.now + delay).max(view.announced_at + 1);
+        let at = view.announced_at;
         for entry in entries.iter().filter(|entry| entry.node < self.nodes.len()) {
-            self.core.auditor.told(at, proxy, entry.node, entry.state);
-            self.core.auditor.told_start(at, proxy, entry.node, entry.started_at);
+            self.core.auditor.state_announced(at, proxy, entry.node, entry.state);
+            self.core.auditor.start_announced(at, proxy, entry.node, entry.started_at);
         }
-        self.core.tell(proxy, at, ToSeat::Listed { whole: false, entries: Arc::new(entries) });
+        self.core.send_input(
+            proxy,
+            at,
+            ProxyInput::NodesListed { complete: false, entries: Arc::new(entries) },
+        );
     }
 
-    fn follows(&mut self, proxy: usize) {
+    /// A proxy requests the node list.
+    fn watch_node_list(&mut self, proxy: usize) {
         if self.registry.unresponsive {
-            let at = self.core.now + LIST_SILENT;
-            self.core.tell(proxy, at, ToSeat::ListFailed);
+            let at = self.core.now + LIST_TIMEOUT;
+            self.core.send_input(proxy, at, ProxyInput::ListFailed);
         } else {
-            self.proxies[proxy].follows = true;
-            self.tell_list(proxy);
+            self.proxies[proxy].watches_list = true;
+            self.announce_changes(proxy);
         }
     }
 
-    fn discovery(&mut self, speaks: bool) {
-        self.registry.unresponsive = !speaks;
-        if speaks {
-            return self.tell_all();
+    /// Discovery stops responding, or responds again.
+    fn set_discovery(&mut self, responds: bool) {
+        self.registry.unresponsive = !responds;
+        if responds {
+            return self.announce_to_all();
         }
-        if self.day.discovery.mode == DiscoveryMode::Poll {
-            let at = self.core.now + LIST_SILENT;
+        if self.scenario.discovery.mode == DiscoveryMode::Poll {
+            let at = self.core.now + LIST_TIMEOUT;
             for proxy in 0..self.proxies.len() {
-                if std::mem::take(&mut self.proxies[proxy].follows) {
-                    self.core.tell(proxy, at, ToSeat::ListFailed);
+                if std::mem::take(&mut self.proxies[proxy].watches_list) {
+                    self.core.send_input(proxy, at, ProxyInput::ListFailed);
                 }
             }
         }
     }
 
-    fn notice(&mut self, node: Node) {
-        let after = millis(self.day.discovery.detection_ms);
-        self.core.at(self.core.now + after, Event::Notice(node));
+    /// Discovery notices a change of the node after the detection delay.
+    fn schedule_detection(&mut self, node: Node) {
+        let after = millis(self.scenario.discovery.detection_ms);
+        self.core.schedule(self.core.now + after, Event::RegistryUpdate(node));
     }
 
-    // ---- What goes wrong --------------------------------------------------------------------------
+    // ---- Faults -----------------------------------------------------------------------------------
 
-    fn changes(&mut self, change: WorldChange) {
+    fn apply_change(&mut self, change: WorldChange) {
         let now = self.core.now;
         match change {
-            WorldChange::Stop(node) => self.node_stops(node),
-            WorldChange::Start(node) => self.node_starts(node),
+            WorldChange::Stop(node) => self.stop_node(node),
+            WorldChange::Start(node) => self.start_node(node),
             WorldChange::NodeSpeed(node, factor) => self.nodes[node].slowdown = factor,
             WorldChange::Pause(node, until) => self.nodes[node].pause(until),
             WorldChange::Errors(node, share) => self.nodes[node].error_share = share,
@@ -665,132 +734,137 @@
             WorldChange::Silent(node, silent) => self.nodes[node].unresponsive = silent,
             WorldChange::Drain(node) => {
                 self.nodes[node].draining_since = Some(now);
-                self.at_once(node);
+                self.announce_now(node);
             }
             WorldChange::Undrain(node) => {
                 self.nodes[node].draining_since = None;
-                self.at_once(node);
+                self.announce_now(node);
             }
             WorldChange::Leave(node) => {
-                self.left[node] = true;
-                self.node_stops(node);
-                self.at_once(node);
+                self.departed[node] = true;
+                self.stop_node(node);
+                self.announce_now(node);
             }
             WorldChange::OriginSpeed(factor) => self.origin.slowdown = factor,
             WorldChange::OriginDown(down) => {
                 self.origin.down = down;
                 if down {
                     self.origin.stop();
-                    self.breaks(self.nodes.len());
+                    self.break_connections(self.nodes.len());
                 }
             }
             WorldChange::Void => self.nodes.iter_mut().for_each(|node| node.store.clear()),
-            WorldChange::Kill(proxy) => self.killed(proxy),
-            WorldChange::Discovery(speaks) => self.discovery(speaks),
-            WorldChange::DiscoveryLate(late) => self.late = late,
+            WorldChange::Kill(proxy) => self.kill_proxy(proxy),
+            WorldChange::Discovery(responds) => self.set_discovery(responds),
+            WorldChange::DiscoveryLate(discovery_delay) => self.discovery_delay = discovery_delay,
             WorldChange::Freeze(node, frozen) => {
                 self.registry.set_frozen(node, frozen);
-                self.at_once(node);
+                self.announce_now(node);
             }
-            WorldChange::Lie(node, lies) => {
-                self.lies[node] = lies;
-                self.at_once(node);
+            WorldChange::Lie(node, announces_gone) => {
+                self.announces_gone[node] = announces_gone;
+                self.announce_now(node);
             }
             WorldChange::Clock(node, off) => {
-                self.clock[node] = (off != 0).then_some(off);
-                self.at_once(node);
+                self.clock_offsets[node] = (off != 0).then_some(off);
+                self.announce_now(node);
             }
             WorldChange::Cut(proxy, node, cut) => self.core.network.set_partitioned(proxy, node, cut),
         }
     }
 
-    /// Discovery is told on purpose.
-    fn at_once(&mut self, node: Node) {
-        self.core.at(self.core.now, Event::Notice(node));
+    /// The node reports a change to discovery itself, without the detection delay.
+    fn announce_now(&mut self, node: Node) {
+        self.core.schedule(self.core.now, Event::RegistryUpdate(node));
     }
 
-    fn node_stops(&mut self, node: Node) {
+    fn stop_node(&mut self, node: Node) {
         self.nodes[node].stop();
-        self.breaks(node);
-        self.notice(node);
+        self.break_connections(node);
+        self.schedule_detection(node);
     }
 
-    fn node_starts(&mut self, node: Node) {
-        if !self.nodes[node].up || self.left[node] {
+    fn start_node(&mut self, node: Node) {
+        if !self.nodes[node].up || self.departed[node] {
             self.nodes[node].start(self.core.now.max(1));
-            self.core.auditor.started(self.core.now.max(1), node);
-            self.left[node] = false;
+            self.core.auditor.node_started(self.core.now.max(1), node);
+            self.departed[node] = false;
             self.core.epochs[node] += 1;
-            self.notice(node);
+            self.schedule_detection(node);
         }
     }
 
-    /// All connections to a node, or the origin, break, and its jobs are lost.
-    fn breaks(&mut self, node: Node) {
+    /// Breaks all connections to a node, or to the origin. The outcomes of its jobs are lost.
+    fn break_connections(&mut self, node: Node) {
         self.core.epochs[node] += 1;
-        self.core.jobs.retain(|_, at| at.node != node);
+        self.core.jobs.retain(|_, endpoints| endpoints.node != node);
         for proxy in 0..self.proxies.len() {
             let due = self.core.now + self.core.delay(node, proxy);
-            self.core.tell(proxy, due, ToSeat::Reset { node });
+            self.core.send_input(proxy, due, ProxyInput::NodeReset { node });
         }
     }
 
-    fn fell(&mut self, node: Node) {
+    /// A cache node, or the origin, crashed from overload.
+    fn node_overloaded(&mut self, node: Node) {
         let now = self.core.now;
         if let Some(cache) = self.core.cache(node) {
-            self.core.tally.buried += 1;
-            self.core.auditor.buried(now, cache);
-            self.breaks(node);
-            self.notice(node);
-            self.core.at(now + seconds(self.day.nodes.down_seconds), Event::Back(node));
+            self.core.metrics.cold_node_overloads += 1;
+            self.core.auditor.cold_node_overloaded(now, cache);
+            self.break_connections(node);
+            self.schedule_detection(node);
+            self.core.schedule(now + seconds(self.scenario.nodes.down_seconds), Event::NodeRestart(node));
         } else {
-            self.core.tally.origin_stops += 1;
+            self.core.metrics.origin_stops += 1;
             if self.origin.slowdown <= 1.0 {
                 self.core.auditor.origin_stopped(now);
             }
-            self.breaks(node);
+            self.break_connections(node);
         }
     }
 
-    fn killed(&mut self, proxy: usize) {
+    /// Kills a proxy's process, breaks the connections of its clients and restarts it after the configured
+    /// time.
+    fn kill_proxy(&mut self, proxy: usize) {
         let now = self.core.now;
-        self.proxies[proxy].follows = false;
-        let open = self.xchgs.iter().filter(|(_, cx)| cx.proxy == proxy).map(|(&xchg, _)| xchg);
+        self.proxies[proxy].watches_list = false;
+        let open = self.requests.iter().filter(|(_, open)| open.proxy == proxy).map(|(&request, _)| request);
         let mut open: Vec<RequestId> = open.collect();
         open.sort_unstable();
-        // After all that it has still answered.
+        // Later than all answers that the proxy sent before it was killed.
         let reset = now + 2 * self.core.network.min_delay() + millis(5.0);
-        for xchg in open {
-            self.core.auditor.lost(now, xchg);
-            self.core.at(reset, Event::Cut(xchg, now));
+        for request in open {
+            self.core.auditor.request_abandoned(now, request);
+            self.core.schedule(reset, Event::ConnectionLost(request, now));
         }
-        let least = self.core.network.min_delay();
-        self.start(proxy, now + seconds(self.day.proxies.restart_seconds).max(least));
+        let min_delay = self.core.network.min_delay();
+        self.start_proxy(proxy, now + seconds(self.scenario.proxies.restart_seconds).max(min_delay));
     }
 }
 
-/// What each node holds at the start: the keys whose two highest rendezvous hashes it is among, the most
-/// popular kept last, so that they stay.
-pub fn warm(day: &Scenario, nodes: &[CacheNode]) -> Vec<(Node, Vec<u64>)> {
-    let there: Vec<(Node, u64)> = (0..nodes.len())
+/// The keys that each node holds at the start: those for which it has one of the two highest rendezvous
+/// hashes. The most popular keys come last, so that they remain where a store is full.
+pub fn warm_keys(scenario: &Scenario, nodes: &[CacheNode]) -> Vec<(Node, Vec<u64>)> {
+    let live_nodes: Vec<(Node, u64)> = (0..nodes.len())
         .filter(|&node| nodes[node].up)
-        .map(|node| (node, pumicebay_names::stable_hash(&uid(node))))
+        .map(|node| (node, pumicebay_names::stable_hash(&node_uid(node))))
         .collect();
-    let mut held: Vec<(Node, Vec<u64>)> = (0..nodes.len()).map(|node| (node, Vec::new())).collect();
-    let most = (day.clients.keys as f64 * day.clients.warm_keys) as u64;
-    for rank in (1..=most).rev() {
-        let key = traffic::key_at_rank(rank % day.clients.keys);
-        let mark = key_mark(key);
+    let mut held_keys: Vec<(Node, Vec<u64>)> = (0..nodes.len()).map(|node| (node, Vec::new())).collect();
+    let count = (scenario.clients.keys as f64 * scenario.clients.warm_keys) as u64;
+    for rank in (1..=count).rev() {
+        let key = traffic::key_at_rank(rank % scenario.clients.keys);
+        let key_hash = key_hash(key);
         let mut best: [(u64, Node); 2] = [(0, usize::MAX); 2];
-        for &(node, identity) in &there {
-            let hash = rendezvous(mark, identity);
+        for &(node, identity) in &live_nodes {
+            let hash = rendezvous(key_hash, identity);
             if hash > best[0].0 {
                 best = [(hash, node), best[0]];
             } else if hash > best[1].0 {
                 best[1] = (hash, node);
             }
         }
-        best.iter().filter(|(_, node)| *node != usize::MAX).for_each(|(_, node)| held[*node].1.push(key));
+        best.iter()
+            .filter(|(_, node)| *node != usize::MAX)
+            .for_each(|(_, node)| held_keys[*node].1.push(key));
     }
-    held
+    held_keys
 }
