--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -1,7 +1,7 @@
 //! What an idle proxy costs, measured: a real process beside a stand-in for discovery that lists nodes which are not
 //! there, by the number of nodes and by how often the list changes; and what a table of keys takes.
 
-use crate::real::http::{Answer, Server};
+use crate::real::http::{Response, ServerCodec};
 use crate::rig::plan::Plan;
 use crate::rig::{self, Programs};
 use anyhow::{Context, Result, bail, ensure};
@@ -364,7 +364,7 @@
 }
 
 async fn answer(registry: &Registry, stream: TcpStream) {
-    let mut framed = Framed::new(stream, Server);
+    let mut framed = Framed::new(stream, ServerCodec);
     while let Some(Ok(asked)) = framed.next().await {
         let since = asked.query("index").filter(|_| asked.path.starts_with(WHOLE));
         if let Some(since) = since {
@@ -381,7 +381,7 @@
         if since.is_none() {
             registry.whole.store(body.len() as u64, Ordering::Relaxed);
         }
-        if framed.send(Answer { status: 200, header: None, body: body.into() }).await.is_err() {
+        if framed.send(Response { status: 200, header: None, body: body.into() }).await.is_err() {
             return;
         }
     }
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -30,163 +30,164 @@
 
 /// How a stand-in's process is: changes break its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
-    pub listens: bool,
+pub struct ProcessState {
+    pub listening: bool,
     pub epoch: u64,
 }
 
 /// An exchange that the load generator has out.
-struct Out {
-    wish: Operation,
+struct OpenRequest {
+    operation: Operation,
     proxy: usize,
     missed: Vec<usize>,
 }
 
 /// What jobs need while a node is at work.
-struct Desk {
+struct Accounting {
     now: Nanos,
     waiting: HashMap<JobId, oneshot::Sender<JobOutcome>>,
-    xchgs: HashMap<JobId, u64>,
+    request_ids: HashMap<JobId, u64>,
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
     tally: Tally,
-    fallen: Vec<usize>,
-    last: JobId,
+    crashed_nodes: Vec<usize>,
+    last_job: JobId,
 }
 
 struct Inner {
-    desk: Desk,
+    accounting: Accounting,
     nodes: Vec<CacheNode>,
     origin: Origin,
     registry: Registry,
     network: Network,
     rng: Rng,
-    late: Nanos,
-    lies: Vec<bool>,
-    clock: Vec<Option<i64>>,
+    discovery_lag: Nanos,
+    falsely_left: Vec<bool>,
+    clock_offsets: Vec<Option<i64>>,
     left: Vec<bool>,
-    out: HashMap<u64, Out>,
+    open_requests: HashMap<u64, OpenRequest>,
 }
 
 pub struct Fleet {
-    day: Scenario,
+    scenario: Scenario,
     inner: Mutex<Inner>,
     start: OnceLock<Instant>,
-    unix: OnceLock<u64>,
-    lives: Vec<watch::Sender<Life>>,
+    start_unix_ms: OnceLock<u64>,
+    process_states: Vec<watch::Sender<ProcessState>>,
     /// The version of the list, for those who watch it.
     version: watch::Sender<u64>,
     addresses: OnceLock<Vec<SocketAddr>>,
-    discoveries: OnceLock<Vec<SocketAddr>>,
+    discovery_addresses: OnceLock<Vec<SocketAddr>>,
 }
 
-struct Work<'a> {
-    desk: &'a mut Desk,
+struct JobEnvironment<'a> {
+    accounting: &'a mut Accounting,
     node: usize,
     cache: Option<usize>,
 }
 
-impl Environment for Work<'_> {
+impl Environment for JobEnvironment<'_> {
     fn schedule_completion(&mut self, at: Nanos, job: JobId) {
         // The clock of jobs ends with the fleet.
-        let _ = self.desk.timers.send((at, self.node, job));
+        let _ = self.accounting.timers.send((at, self.node, job));
     }
 
     fn execution_started(&mut self, job: JobId) {
-        if let Some(&xchg) = self.desk.xchgs.get(&job) {
-            self.desk.auditor.ran(self.desk.now, xchg, self.cache);
+        if let Some(&request_id) = self.accounting.request_ids.get(&job) {
+            self.accounting.auditor.ran(self.accounting.now, request_id, self.cache);
         }
     }
 
-    fn respond(&mut self, job: JobId, verdict: JobOutcome) {
-        if let Some(waiting) = self.desk.waiting.remove(&job) {
-            let _ = waiting.send(verdict);
+    fn respond(&mut self, job: JobId, outcome: JobOutcome) {
+        if let Some(waiting) = self.accounting.waiting.remove(&job) {
+            let _ = waiting.send(outcome);
         }
     }
 
     fn crashed(&mut self, _now: Nanos) {
-        self.desk.fallen.push(self.node);
+        self.accounting.crashed_nodes.push(self.node);
     }
 }
 
 impl Fleet {
     /// Starts all stand-ins on free ports of the loopback.
-    pub async fn start(day: &Scenario, seed: u64) -> Result<Arc<Fleet>> {
-        let count = day.nodes.count;
+    pub async fn start(scenario: &Scenario, seed: u64) -> Result<Arc<Fleet>> {
+        let count = scenario.nodes.count;
         let (timers, due) = mpsc::unbounded_channel();
-        let desk = Desk {
+        let accounting = Accounting {
             now: 0,
             waiting: HashMap::new(),
-            xchgs: HashMap::new(),
+            request_ids: HashMap::new(),
             timers,
-            auditor: Auditor::new(day, super::slack()),
-            tally: Tally::new(day),
-            fallen: Vec::new(),
-            last: 0,
+            auditor: Auditor::new(scenario, super::slack()),
+            tally: Tally::new(scenario),
+            crashed_nodes: Vec::new(),
+            last_job: 0,
         };
         let mut inner = Inner {
-            desk,
-            nodes: (0..count).map(|node| CacheNode::new(&day.nodes, seed, node)).collect(),
-            origin: Origin::new(&day.origin, seed),
+            accounting,
+            nodes: (0..count).map(|node| CacheNode::new(&scenario.nodes, seed, node)).collect(),
+            origin: Origin::new(&scenario.origin, seed),
             registry: Registry::default(),
-            network: Network::new(&day.network),
+            network: Network::new(&scenario.network),
             rng: rng(seed, "network", 0),
-            late: 0,
-            lies: vec![false; count],
-            clock: vec![None; count],
+            discovery_lag: 0,
+            falsely_left: vec![false; count],
+            clock_offsets: vec![None; count],
             left: vec![false; count],
-            out: HashMap::new(),
+            open_requests: HashMap::new(),
         };
-        for node in initially_absent_nodes(day) {
+        for node in initially_absent_nodes(scenario) {
             inner.nodes[node].up = false;
             inner.left[node] = true;
         }
-        for (node, keys) in warm(day, &inner.nodes) {
+        for (node, keys) in warm(scenario, &inner.nodes) {
             keys.into_iter()
-                .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(day, key)));
+                .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(scenario, key)));
         }
         for node in 0..count {
-            let entry = inner.actual(node);
+            let entry = inner.registry_entry(node);
             inner.registry.update(entry);
         }
         inner.registry.update(NodeEntry { node: count, state: NodeState::Ready, started_at: 0 });
-        let life = |node: usize| Life { listens: node == count || inner.nodes[node].up, epoch: 1 };
-        let lives = (0..=count).map(|node| watch::channel(life(node)).0).collect();
+        let process_state =
+            |node: usize| ProcessState { listening: node == count || inner.nodes[node].up, epoch: 1 };
+        let process_states = (0..=count).map(|node| watch::channel(process_state(node)).0).collect();
         let version = watch::channel(inner.registry.version()).0;
         let fleet = Arc::new(Fleet {
-            day: day.clone(),
+            scenario: scenario.clone(),
             inner: Mutex::new(inner),
             start: OnceLock::new(),
-            unix: OnceLock::new(),
-            lives,
+            start_unix_ms: OnceLock::new(),
+            process_states,
             version,
             addresses: OnceLock::new(),
-            discoveries: OnceLock::new(),
+            discovery_addresses: OnceLock::new(),
         });
         let mut addresses = Vec::new();
         for node in 0..=count {
             addresses.push(stand_ins::node(fleet.clone(), node).await?);
         }
-        let mut discoveries = Vec::new();
-        for proxy in 0..day.proxies.count {
-            discoveries.push(stand_ins::discovery(fleet.clone(), proxy).await?);
+        let mut discovery_addresses = Vec::new();
+        for proxy in 0..scenario.proxies.count {
+            discovery_addresses.push(stand_ins::discovery(fleet.clone(), proxy).await?);
         }
         let _ = fleet.addresses.set(addresses);
-        let _ = fleet.discoveries.set(discoveries);
-        tokio::spawn(clock(Arc::downgrade(&fleet), due));
+        let _ = fleet.discovery_addresses.set(discovery_addresses);
+        tokio::spawn(run_timers(Arc::downgrade(&fleet), due));
         Ok(fleet)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         let mut inner = self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        inner.desk.now = self.now();
+        inner.accounting.now = self.now();
         inner
     }
 
     /// The day begins now.
     pub fn begin(&self) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let _ = self.unix.set(unix.as_millis() as u64);
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let _ = self.start_unix_ms.set(since_unix_epoch.as_millis() as u64);
         let _ = self.start.set(Instant::now());
     }
 
@@ -201,15 +202,15 @@
     }
 
     pub fn origin(&self) -> usize {
-        self.day.nodes.count
+        self.scenario.nodes.count
     }
 
-    pub fn day(&self) -> &Scenario {
-        &self.day
+    pub fn scenario(&self) -> &Scenario {
+        &self.scenario
     }
 
-    pub fn life(&self, node: usize) -> watch::Receiver<Life> {
-        self.lives[node].subscribe()
+    pub fn process_state(&self, node: usize) -> watch::Receiver<ProcessState> {
+        self.process_states[node].subscribe()
     }
 
     /// Where a node, or the origin, listens while it does.
@@ -218,61 +219,74 @@
     }
 
     pub fn discovery(&self, proxy: usize) -> Option<SocketAddr> {
-        self.discoveries.get()?.get(proxy).copied()
+        self.discovery_addresses.get()?.get(proxy).copied()
     }
 
     // ---- Tries ------------------------------------------------------------------------------------
 
     /// A try has come to a stand-in and told it how long it will be waited for: what is known of its exchange, one-way
-    /// delay, and whether it gets here.
-    pub fn came(&self, xchg: u64, node: usize, told: Option<Nanos>) -> Option<(Operation, Nanos, bool)> {
+    /// delay, and whether it gets current.
+    pub fn attempt_received(
+        &self,
+        request_id: u64,
+        node: usize,
+        time_told: Option<Nanos>,
+    ) -> Option<(Operation, Nanos, bool)> {
         let mut inner = self.lock();
         let cache = (node < self.origin()).then_some(node);
-        let now = inner.desk.now;
-        inner.desk.tally.tries += 1;
-        inner.desk.auditor.sent(now, xchg, cache);
-        inner.desk.auditor.told_time(now, xchg, cache, told);
-        let (wish, proxy) = inner.out.get(&xchg).map(|out| (out.wish, out.proxy))?;
-        let zones = self.day.nodes.zones;
+        let now = inner.accounting.now;
+        inner.accounting.tally.tries += 1;
+        inner.accounting.auditor.sent(now, request_id, cache);
+        inner.accounting.auditor.told_time(now, request_id, cache, time_told);
+        let (operation, proxy) =
+            inner.open_requests.get(&request_id).map(|request| (request.operation, request.proxy))?;
+        let zones = self.scenario.nodes.zones;
         let Inner { network, rng, .. } = &mut *inner;
         let delay = network.delay(rng, proxy % zones, cache.map_or(0, |node| node % zones));
-        Some((wish, delay, network.can_reach(proxy, node)))
+        Some((operation, delay, network.can_reach(proxy, node)))
     }
 
     /// Puts the job to the node; its verdict comes by the channel, if it ever does.
-    pub fn arrive(&self, xchg: u64, node: usize, wish: &Operation) -> (JobId, oneshot::Receiver<JobOutcome>) {
+    pub fn submit_job(
+        &self,
+        request_id: u64,
+        node: usize,
+        operation: &Operation,
+    ) -> (JobId, oneshot::Receiver<JobOutcome>) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        desk.last += 1;
-        let route = &self.day.route[wish.route];
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        accounting.last_job += 1;
+        let route = &self.scenario.route[operation.route];
         let job = Job {
-            id: desk.last,
-            key: wish.key,
-            value_bytes: wish.value_bytes,
+            id: accounting.last_job,
+            key: operation.key,
+            value_bytes: operation.value_bytes,
             service_time: millis(route.service_ms),
             write: route.write,
         };
-        let (tell, told) = oneshot::channel();
-        desk.waiting.insert(job.id, tell);
-        desk.xchgs.insert(job.id, xchg);
-        let now = desk.now;
-        (node < nodes.len()).then(|| desk.auditor.got(now, xchg, node));
+        let (sender, receiver) = oneshot::channel();
+        accounting.waiting.insert(job.id, sender);
+        accounting.request_ids.insert(job.id, request_id);
+        let now = accounting.now;
+        (node < nodes.len()).then(|| accounting.auditor.got(now, request_id, node));
         match nodes.get_mut(node) {
-            Some(cache) => cache.job_arrived(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.job_arrived(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => {
+                cache.job_arrived(now, job, &mut JobEnvironment { accounting, node, cache: Some(node) })
+            }
+            None => origin.job_arrived(now, job, &mut JobEnvironment { accounting, node, cache: None }),
         }
-        self.falls(&mut inner);
-        (job.id, told)
+        self.handle_crashes(&mut inner);
+        (job.id, receiver)
     }
 
     /// The proxy has given up the try.
-    pub fn cancelled(&self, job: Option<JobId>, xchg: u64, node: usize) {
+    pub fn attempt_cancelled(&self, job: Option<JobId>, request_id: u64, node: usize) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        desk.auditor.over(desk.now, xchg, (node < nodes.len()).then_some(node));
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        accounting.auditor.over(accounting.now, request_id, (node < nodes.len()).then_some(node));
         if let Some(job) = job {
-            desk.waiting.remove(&job);
-            desk.xchgs.remove(&job);
+            accounting.waiting.remove(&job);
+            accounting.request_ids.remove(&job);
             match nodes.get_mut(node) {
                 Some(node) => node.cancel(job),
                 None => origin.cancel(job),
@@ -281,64 +295,66 @@
     }
 
     /// The verdict is on its way to the proxy.
-    pub fn answered(&self, job: JobId, xchg: u64, node: usize, verdict: JobOutcome) {
+    pub fn attempt_answered(&self, job: JobId, request_id: u64, node: usize, outcome: JobOutcome) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         let cache = (node < self.origin()).then_some(node);
-        inner.desk.auditor.over(now, xchg, cache);
-        inner.desk.xchgs.remove(&job);
-        match (cache, verdict) {
-            (Some(_), JobOutcome::Missed) => inner.desk.tally.misses += 1,
-            (Some(_), JobOutcome::Completed) => inner.desk.tally.hits += 1,
+        inner.accounting.auditor.over(now, request_id, cache);
+        inner.accounting.request_ids.remove(&job);
+        match (cache, outcome) {
+            (Some(_), JobOutcome::Missed) => inner.accounting.tally.misses += 1,
+            (Some(_), JobOutcome::Completed) => inner.accounting.tally.hits += 1,
             _ => {}
         }
-        if verdict == JobOutcome::Completed {
-            inner.desk.tally.served(now, cache);
+        if outcome == JobOutcome::Completed {
+            inner.accounting.tally.served(now, cache);
         }
-        if let (Some(node), JobOutcome::Missed) = (cache, verdict)
-            && let Some(out) = inner.out.get_mut(&xchg)
+        if let (Some(node), JobOutcome::Missed) = (cache, outcome)
+            && let Some(request) = inner.open_requests.get_mut(&request_id)
         {
-            out.missed.push(node);
+            request.missed.push(node);
         }
     }
 
     /// The origin is done: where it was missed a copy is kept, and what was written drops all copies.
-    pub fn fetched(&self, xchg: u64) {
+    pub fn origin_completed(&self, request_id: u64) {
         let mut inner = self.lock();
-        let Inner { nodes, out, .. } = &mut *inner;
-        let Some(Out { wish, missed, .. }) = out.get(&xchg) else { return };
-        if self.day.route[wish.route].write {
-            nodes.iter_mut().for_each(|node| node.store.remove(wish.key));
+        let Inner { nodes, open_requests, .. } = &mut *inner;
+        let Some(OpenRequest { operation, missed, .. }) = open_requests.get(&request_id) else { return };
+        if self.scenario.route[operation.route].write {
+            nodes.iter_mut().for_each(|node| node.store.remove(operation.key));
         } else {
             for &node in missed.iter().filter(|&&node| nodes[node].up).collect::<Vec<_>>() {
-                nodes[node].store.insert(wish.key, wish.value_bytes);
+                nodes[node].store.insert(operation.key, operation.value_bytes);
             }
         }
     }
 
-    fn finished(&self, node: usize, job: JobId) {
+    fn job_finished(&self, node: usize, job: JobId) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        let now = desk.now;
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        let now = accounting.now;
         match nodes.get_mut(node) {
-            Some(cache) => cache.job_finished(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.job_finished(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => {
+                cache.job_finished(now, job, &mut JobEnvironment { accounting, node, cache: Some(node) })
+            }
+            None => origin.job_finished(now, job, &mut JobEnvironment { accounting, node, cache: None }),
         }
-        self.falls(&mut inner);
+        self.handle_crashes(&mut inner);
     }
 
     /// Whether a connection to this node is taken up.
-    pub fn connects(&self, node: usize) -> bool {
+    pub fn accepts_connection(&self, node: usize) -> bool {
         let mut inner = self.lock();
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         match inner.nodes.get_mut(node) {
             Some(node) => node.connect(),
             None => inner.origin.is_up(now),
         }
     }
 
-    pub fn disconnects(&self, node: usize, epoch: u64) {
-        if self.lives[node].borrow().epoch == epoch
+    pub fn connection_closed(&self, node: usize, epoch: u64) {
+        if self.process_states[node].borrow().epoch == epoch
             && let Some(node) = self.lock().nodes.get_mut(node)
         {
             node.disconnect();
@@ -346,70 +362,72 @@
     }
 
     /// Whether a node answers a probe.
-    pub fn speaks(&self, node: usize) -> bool {
+    pub fn answers_probes(&self, node: usize) -> bool {
         self.lock().nodes.get(node).is_none_or(|node| node.up && !node.unresponsive)
     }
 
     // ---- Exchanges, as the load generator has them ------------------------------------------------
 
-    pub fn taken(&self, xchg: u64, wish: &Operation, proxy: usize, timeout: Nanos) {
+    pub fn request_accepted(&self, request_id: u64, operation: &Operation, proxy: usize, timeout: Nanos) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
-        inner.desk.tally.exchanges += 1;
-        inner.desk.auditor.taken(now, xchg, proxy, wish.route, now + timeout);
-        inner.out.insert(xchg, Out { wish: *wish, proxy, missed: Vec::new() });
+        let now = inner.accounting.now;
+        inner.accounting.tally.exchanges += 1;
+        inner.accounting.auditor.taken(now, request_id, proxy, operation.route, now + timeout);
+        inner
+            .open_requests
+            .insert(request_id, OpenRequest { operation: *operation, proxy, missed: Vec::new() });
     }
 
     /// Its client has written its last byte, and waits so long from now on.
-    pub fn asked(&self, xchg: u64, patience: Nanos) {
+    pub fn request_sent(&self, request_id: u64, wait: Nanos) {
         let mut inner = self.lock();
-        let until = inner.desk.now + patience;
-        inner.desk.auditor.client_waits_until(xchg, until);
+        let until = inner.accounting.now + wait;
+        inner.accounting.auditor.client_waits_until(request_id, until);
     }
 
-    pub fn final_answer(&self, xchg: u64, answer: Final, sound: bool) {
+    pub fn final_answer(&self, request_id: u64, answer: Final, sound: bool) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
-        inner.desk.auditor.answered(now, xchg, answer, sound);
+        let now = inner.accounting.now;
+        inner.accounting.auditor.answered(now, request_id, answer, sound);
         match answer {
-            Final::Shed => inner.desk.tally.shed += 1,
-            Final::Errored => inner.desk.tally.errored += 1,
+            Final::Shed => inner.accounting.tally.shed += 1,
+            Final::Errored => inner.accounting.tally.errored += 1,
             Final::Served => {}
         }
-        inner.desk.auditor.sweep(now);
+        inner.accounting.auditor.sweep(now);
     }
 
     /// No answer is owed: nothing was taken, or its proxy was killed.
-    pub fn excused(&self, xchg: u64, at: Nanos) {
-        self.lock().desk.auditor.lost(at, xchg);
+    pub fn excuse_request(&self, request_id: u64, at: Nanos) {
+        self.lock().accounting.auditor.lost(at, request_id);
     }
 
-    pub fn refused(&self) {
-        self.lock().desk.tally.refused += 1;
+    pub fn connection_refused(&self) {
+        self.lock().accounting.tally.refused += 1;
     }
 
     /// The exchange is over for its client.
-    pub fn over(&self, xchg: u64) {
-        self.lock().out.remove(&xchg);
+    pub fn request_closed(&self, request_id: u64) {
+        self.lock().open_requests.remove(&request_id);
     }
 
-    pub fn wish(&self, wish: &Operation, end: End) {
-        self.lock().desk.tally.wish(wish, end);
+    pub fn operation_ended(&self, operation: &Operation, end: End) {
+        self.lock().accounting.tally.wish(operation, end);
     }
 
     // ---- Discovery --------------------------------------------------------------------------------
 
-    pub fn versions(&self) -> watch::Receiver<u64> {
+    pub fn registry_versions(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
     /// How much later a proxy is told; none while discovery answers nobody.
-    pub fn tells_after(&self) -> Option<Nanos> {
+    pub fn discovery_delay(&self) -> Option<Nanos> {
         use rand::RngExt;
         let mut inner = self.lock();
-        let usual = millis(self.day.discovery.propagation_ms);
-        let delay = inner.rng.random_range(usual..=2 * usual);
-        (!inner.registry.unresponsive).then_some(delay + inner.late)
+        let minimum = millis(self.scenario.discovery.propagation_ms);
+        let delay = inner.rng.random_range(minimum..=2 * minimum);
+        (!inner.registry.unresponsive).then_some(delay + inner.discovery_lag)
     }
 
     /// The list as discovery has it for one proxy, which is told it with this: whole, or since a version.
@@ -419,10 +437,10 @@
             Some(version) => inner.registry.changes_since(version),
             None => inner.registry.snapshot(),
         };
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         for entry in entries.iter().filter(|entry| entry.node < self.origin()) {
-            inner.desk.auditor.told(now, proxy, entry.node, entry.state);
-            inner.desk.auditor.told_start(now, proxy, entry.node, entry.started_at);
+            inner.accounting.auditor.told(now, proxy, entry.node, entry.state);
+            inner.accounting.auditor.told_start(now, proxy, entry.node, entry.started_at);
         }
         let targets: Vec<Json> = entries.iter().map(|entry| self.target(entry)).collect();
         json!({"rev": inner.registry.version(), "all": since.is_none(), "targets": targets})
@@ -431,11 +449,11 @@
     fn target(&self, entry: &NodeEntry) -> Json {
         let origin = entry.node == self.origin();
         let address = self.addresses.get().and_then(|all| all.get(entry.node)).map(ToString::to_string);
-        let unix = self.unix.get().copied().unwrap_or(0);
+        let start_unix_ms = self.start_unix_ms.get().copied().unwrap_or(0);
         json!({
             "uid": if origin { "origin".into() } else { uid(entry.node) },
             "endpoint": address.unwrap_or_default(),
-            "az": platform::zone(if origin { 0 } else { entry.node % self.day.nodes.zones }),
+            "az": platform::zone(if origin { 0 } else { entry.node % self.scenario.nodes.zones }),
             "model": if origin { platform::ORIGIN } else { platform::CACHE },
             "pod_group": 0,
             "state": match entry.state {
@@ -443,45 +461,45 @@
                 NodeState::Draining => "leaving",
                 NodeState::Left => "left",
             },
-            "boot_ms": if entry.started_at == 0 { 0 } else { unix + entry.started_at / 1_000_000 },
+            "boot_ms": if entry.started_at == 0 { 0 } else { start_unix_ms + entry.started_at / 1_000_000 },
         })
     }
 
     /// A proxy starts from nothing.
-    pub fn restarted(&self, proxy: usize) {
-        self.lock().desk.auditor.restarted(proxy);
+    pub fn proxy_restarted(&self, proxy: usize) {
+        self.lock().accounting.auditor.restarted(proxy);
     }
 
-    fn says(&self, inner: &mut Inner, node: usize) {
-        let entry = inner.actual(node);
+    fn publish_entry(&self, inner: &mut Inner, node: usize) {
+        let entry = inner.registry_entry(node);
         if inner.registry.update(entry) {
             self.version.send_replace(inner.registry.version());
         }
     }
 
     /// Discovery gets to know of a node after a while.
-    fn notice(self: &Arc<Self>, node: usize, after: Nanos) {
+    fn publish_entry_later(self: &Arc<Self>, node: usize, after: Nanos) {
         let fleet = self.clone();
         tokio::spawn(async move {
             sleep(Duration::from_nanos(after)).await;
             let mut inner = fleet.lock();
-            fleet.says(&mut inner, node);
+            fleet.publish_entry(&mut inner, node);
         });
     }
 
     // ---- What goes wrong --------------------------------------------------------------------------
 
-    pub async fn changes(self: &Arc<Self>, change: WorldChange) {
+    pub async fn apply_change(self: &Arc<Self>, change: WorldChange) {
         let mut inner = self.lock();
-        let (now, noticed) = (inner.desk.now, millis(self.day.discovery.detection_ms));
+        let (now, detection) = (inner.accounting.now, millis(self.scenario.discovery.detection_ms));
         match change {
             WorldChange::Stop(node) => {
-                self.node_stops(&mut inner, node);
-                self.notice(node, noticed);
+                self.stop_node(&mut inner, node);
+                self.publish_entry_later(node, detection);
             }
             WorldChange::Start(node) => {
-                self.node_starts(&mut inner, node);
-                self.notice(node, noticed);
+                self.start_node(&mut inner, node);
+                self.publish_entry_later(node, detection);
             }
             WorldChange::NodeSpeed(node, factor) => inner.nodes[node].slowdown = factor,
             WorldChange::Pause(node, until) => inner.nodes[node].pause(until),
@@ -489,21 +507,21 @@
             WorldChange::Spoils(node, share) => inner.nodes[node].corrupt_share = share,
             WorldChange::Refuses(node, refuses) => {
                 inner.nodes[node].refuses_connections = refuses;
-                self.lives[node].send_modify(|life| life.listens = !refuses);
+                self.process_states[node].send_modify(|state| state.listening = !refuses);
             }
             WorldChange::Silent(node, silent) => inner.nodes[node].unresponsive = silent,
             WorldChange::Drain(node) => {
                 inner.nodes[node].draining_since = Some(now);
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Undrain(node) => {
                 inner.nodes[node].draining_since = None;
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Leave(node) => {
                 inner.left[node] = true;
-                self.node_stops(&mut inner, node);
-                self.says(&mut inner, node);
+                self.stop_node(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::OriginSpeed(factor) => inner.origin.slowdown = factor,
             WorldChange::OriginDown(down) => {
@@ -511,105 +529,109 @@
                 if down {
                     inner.origin.stop();
                 }
-                let listens = !down;
-                self.lives[self.origin()].send_modify(|life| *life = Life { listens, epoch: life.epoch + 1 });
+                let listening = !down;
+                self.process_states[self.origin()]
+                    .send_modify(|state| *state = ProcessState { listening, epoch: state.epoch + 1 });
             }
             WorldChange::Void => inner.nodes.iter_mut().for_each(|node| node.store.clear()),
             WorldChange::Kill(_) => {}
             WorldChange::Discovery(speaks) => inner.registry.unresponsive = !speaks,
-            WorldChange::DiscoveryLate(late) => inner.late = late,
+            WorldChange::DiscoveryLate(late) => inner.discovery_lag = late,
             WorldChange::Freeze(node, frozen) => {
                 inner.registry.set_frozen(node, frozen);
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
-            WorldChange::Lie(node, lies) => {
-                inner.lies[node] = lies;
-                self.says(&mut inner, node);
+            WorldChange::Lie(node, falsely_left) => {
+                inner.falsely_left[node] = falsely_left;
+                self.publish_entry(&mut inner, node);
             }
-            WorldChange::Clock(node, off) => {
-                inner.clock[node] = (off != 0).then_some(off);
-                self.says(&mut inner, node);
+            WorldChange::Clock(node, offset) => {
+                inner.clock_offsets[node] = (offset != 0).then_some(offset);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Cut(proxy, node, cut) => inner.network.set_partitioned(proxy, node, cut),
         }
     }
 
-    fn node_stops(&self, inner: &mut Inner, node: usize) {
+    fn stop_node(&self, inner: &mut Inner, node: usize) {
         inner.nodes[node].stop();
-        self.lives[node].send_modify(|life| *life = Life { listens: false, epoch: life.epoch + 1 });
+        self.process_states[node]
+            .send_modify(|state| *state = ProcessState { listening: false, epoch: state.epoch + 1 });
     }
 
-    fn node_starts(&self, inner: &mut Inner, node: usize) {
+    fn start_node(&self, inner: &mut Inner, node: usize) {
         if !inner.nodes[node].up || inner.left[node] {
-            let now = inner.desk.now.max(1);
+            let now = inner.accounting.now.max(1);
             inner.nodes[node].start(now);
-            inner.desk.auditor.started(now, node);
+            inner.accounting.auditor.started(now, node);
             inner.left[node] = false;
-            self.lives[node].send_modify(|life| *life = Life { listens: true, epoch: life.epoch + 1 });
+            self.process_states[node]
+                .send_modify(|state| *state = ProcessState { listening: true, epoch: state.epoch + 1 });
         }
     }
 
     /// Nodes that fell over by themselves stop, and come back.
-    fn falls(&self, inner: &mut Inner) {
-        while let Some(node) = inner.desk.fallen.pop() {
-            let now = inner.desk.now;
+    fn handle_crashes(&self, inner: &mut Inner) {
+        while let Some(node) = inner.accounting.crashed_nodes.pop() {
+            let now = inner.accounting.now;
             let down = if node < self.origin() {
-                inner.desk.tally.buried += 1;
-                inner.desk.auditor.buried(now, node);
-                seconds(self.day.nodes.down_seconds)
+                inner.accounting.tally.buried += 1;
+                inner.accounting.auditor.buried(now, node);
+                seconds(self.scenario.nodes.down_seconds)
             } else {
-                inner.desk.tally.origin_stops += 1;
+                inner.accounting.tally.origin_stops += 1;
                 if inner.origin.slowdown <= 1.0 {
-                    inner.desk.auditor.origin_stopped(now);
+                    inner.accounting.auditor.origin_stopped(now);
                 }
-                seconds(self.day.origin.down_seconds)
+                seconds(self.scenario.origin.down_seconds)
             };
-            self.lives[node].send_modify(|life| *life = Life { listens: false, epoch: life.epoch + 1 });
+            self.process_states[node]
+                .send_modify(|state| *state = ProcessState { listening: false, epoch: state.epoch + 1 });
             // The clock of jobs brings it back: a job of no number.
-            let _ = inner.desk.timers.send((now + down, node, 0));
+            let _ = inner.accounting.timers.send((now + down, node, 0));
         }
     }
 
-    fn back(self: &Arc<Self>, node: usize) {
+    fn restart_after_crash(self: &Arc<Self>, node: usize) {
         let mut inner = self.lock();
         if node < self.origin() {
-            self.node_starts(&mut inner, node);
-            self.notice(node, millis(self.day.discovery.detection_ms));
-        } else if inner.origin.is_up(inner.desk.now) {
-            self.lives[node].send_modify(|life| life.listens = true);
+            self.start_node(&mut inner, node);
+            self.publish_entry_later(node, millis(self.scenario.discovery.detection_ms));
+        } else if inner.origin.is_up(inner.accounting.now) {
+            self.process_states[node].send_modify(|state| state.listening = true);
         }
     }
 
     /// Waits until no node has a job.
-    pub async fn quiet(&self) {
-        while !self.lock().desk.waiting.is_empty() {
+    pub async fn wait_until_idle(&self) {
+        while !self.lock().accounting.waiting.is_empty() {
             sleep(Duration::from_millis(20)).await;
         }
     }
 
     /// The rules and the counts; the day is over.
-    pub fn end(&self) -> (Auditor, Tally) {
+    pub fn finish(&self) -> (Auditor, Tally) {
         let mut inner = self.lock();
-        let auditor = std::mem::replace(&mut inner.desk.auditor, Auditor::new(&self.day, 0));
-        (auditor, std::mem::replace(&mut inner.desk.tally, Tally::new(&self.day)))
+        let auditor = std::mem::replace(&mut inner.accounting.auditor, Auditor::new(&self.scenario, 0));
+        (auditor, std::mem::replace(&mut inner.accounting.tally, Tally::new(&self.scenario)))
     }
 }
 
 impl Inner {
-    fn actual(&self, node: usize) -> NodeEntry {
-        let gone = self.left[node] || self.lies[node];
-        self.nodes[node].registry_entry(node, self.desk.now, gone, self.clock[node])
+    fn registry_entry(&self, node: usize) -> NodeEntry {
+        let gone = self.left[node] || self.falsely_left[node];
+        self.nodes[node].registry_entry(node, self.accounting.now, gone, self.clock_offsets[node])
     }
 }
 
 /// Tells the nodes when their jobs are done; ends with the fleet.
-async fn clock(fleet: std::sync::Weak<Fleet>, mut due: mpsc::UnboundedReceiver<(Nanos, usize, JobId)>) {
+async fn run_timers(fleet: std::sync::Weak<Fleet>, mut due: mpsc::UnboundedReceiver<(Nanos, usize, JobId)>) {
     let mut timers: BinaryHeap<Reverse<(Nanos, usize, JobId)>> = BinaryHeap::new();
     loop {
-        let Some(here) = fleet.upgrade() else { return };
+        let Some(current) = fleet.upgrade() else { return };
         let next = timers.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at);
-        let wake = here.instant(next.min(here.now() + millis(100.0)));
-        drop(here);
+        let wake = current.instant(next.min(current.now() + millis(100.0)));
+        drop(current);
         tokio::select! {
             timer = due.recv() => match timer {
                 Some(timer) => timers.push(Reverse(timer)),
@@ -617,16 +639,16 @@
             },
             () = sleep_until(wake) => {}
         }
-        let Some(here) = fleet.upgrade() else { return };
+        let Some(current) = fleet.upgrade() else { return };
         while let Some(&Reverse((at, node, job))) = timers.peek() {
-            if at > here.now() {
+            if at > current.now() {
                 break;
             }
             timers.pop();
             if job == 0 {
-                here.back(node);
+                current.restart_after_crash(node);
             } else {
-                here.finished(node, job);
+                current.job_finished(node, job);
             }
         }
     }
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -4,11 +4,11 @@
 use std::io::{Error, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-const LONGEST_HEAD: usize = 16 * 1024;
-const LONGEST_BODY: usize = 1024 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct Request {
     pub method: String,
     /// With its query.
     pub path: String,
@@ -17,7 +17,7 @@
     pub body: Bytes,
 }
 
-impl Asked {
+impl Request {
     pub fn header(&self, name: &str) -> Option<&[u8]> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| &value[..])
     }
@@ -31,66 +31,68 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub header: Option<(&'static str, &'static str)>,
     pub body: Bytes,
 }
 
 #[derive(Debug, Default)]
-pub struct Server;
+pub struct ServerCodec;
 
-impl Decoder for Server {
-    type Item = Asked;
+impl Decoder for ServerCodec {
+    type Item = Request;
     type Error = Error;
 
-    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Asked>, Error> {
-        let bad = |why: &'static str| Error::new(ErrorKind::InvalidData, why);
+    fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Request>, Error> {
+        let error = |message: &'static str| Error::new(ErrorKind::InvalidData, message);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut parsed = httparse::Request::new(&mut headers);
-        let head = match parsed.parse(buffer).map_err(|_| bad("malformed request"))? {
+        let head = match parsed.parse(buffer).map_err(|_| error("malformed request"))? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if buffer.len() > LONGEST_HEAD => return Err(bad("head too long")),
+            httparse::Status::Partial if buffer.len() > MAX_HEAD_BYTES => {
+                return Err(error("head too long"));
+            }
             httparse::Status::Partial => return Ok(None),
         };
-        let mut asked = Asked {
+        let mut request = Request {
             method: parsed.method.unwrap_or_default().to_string(),
             path: parsed.path.unwrap_or_default().to_string(),
-            ..Asked::default()
+            ..Request::default()
         };
         for header in parsed.headers.iter() {
-            asked.headers.push((header.name.to_ascii_lowercase(), Bytes::copy_from_slice(header.value)));
+            request.headers.push((header.name.to_ascii_lowercase(), Bytes::copy_from_slice(header.value)));
         }
-        let length = match asked.header("content-length") {
+        let length = match request.header("content-length") {
             None => 0,
             Some(text) => {
                 let length = std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok());
-                length.ok_or_else(|| bad("invalid Content-Length"))?
+                length.ok_or_else(|| error("invalid Content-Length"))?
             }
         };
-        if length > LONGEST_BODY {
-            return Err(bad("body too long"));
+        if length > MAX_BODY_BYTES {
+            return Err(error("body too long"));
         }
         if buffer.len() < head + length {
             return Ok(None);
         }
         buffer.advance(head);
-        asked.body = buffer.split_to(length).freeze();
-        Ok(Some(asked))
+        request.body = buffer.split_to(length).freeze();
+        Ok(Some(request))
     }
 }
 
-impl Encoder<Answer> for Server {
+impl Encoder<Response> for ServerCodec {
     type Error = Error;
 
-    fn encode(&mut self, answer: Answer, buffer: &mut BytesMut) -> Result<(), Error> {
-        let reason = if answer.status == 200 { "OK" } else { "No" };
-        buffer.put_slice(format!("HTTP/1.1 {} {reason}\r\n", answer.status).as_bytes());
-        if let Some((name, value)) = answer.header {
+    fn encode(&mut self, response: Response, buffer: &mut BytesMut) -> Result<(), Error> {
+        let reason = if response.status == 200 { "OK" } else { "No" };
+        buffer.put_slice(format!("HTTP/1.1 {} {reason}\r\n", response.status).as_bytes());
+        if let Some((name, value)) = response.header {
             buffer.put_slice(format!("{name}: {value}\r\n").as_bytes());
         }
-        buffer.put_slice(format!("Content-Length: {}\r\n\r\n", answer.body.len()).as_bytes());
-        buffer.put_slice(&answer.body);
+        buffer.put_slice(format!("Content-Length: {}\r\n\r\n", response.body.len()).as_bytes());
+        buffer.put_slice(&response.body);
         Ok(())
     }
 }
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -3,7 +3,7 @@
 
 use crate::audit::Final;
 use crate::real::SharedFleet;
-use crate::real::stand_ins::made_for;
+use crate::real::stand_ins::request_id_of_value;
 use crate::seat::key_text;
 use crate::tally::End;
 use anyhow::Result;
@@ -25,11 +25,11 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Idle connections that are kept to each proxy.
-const KEPT: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-type Wire = Framed<TcpStream, Resp>;
+type Connection = Framed<TcpStream, Resp>;
 
 /// How late wishes were sent.
 pub struct Lateness {
@@ -37,43 +37,43 @@
 }
 
 struct Load {
-    day: Scenario,
+    scenario: Scenario,
     fleet: SharedFleet,
     proxies: Vec<SocketAddr>,
-    idle: Vec<Mutex<Vec<Wire>>>,
-    last: AtomicU64,
+    idle: Vec<Mutex<Vec<Connection>>>,
+    last_request_id: AtomicU64,
     rng: Mutex<Rng>,
 }
 
 /// Sends all that the day has, and waits for the answers.
 pub async fn start(
-    day: &Scenario,
+    scenario: &Scenario,
     seed: u64,
     fleet: SharedFleet,
     proxies: Vec<SocketAddr>,
 ) -> Result<Lateness> {
     let load = Arc::new(Load {
-        day: day.clone(),
+        scenario: scenario.clone(),
         fleet,
         idle: proxies.iter().map(|_| Mutex::default()).collect(),
         proxies,
-        last: AtomicU64::new(0),
+        last_request_id: AtomicU64::new(0),
         rng: Mutex::new(rng(seed, "retries", 0)),
     });
-    let mut late = Histogram::<u64>::new_with_bounds(1, 100_000_000, 3)?;
+    let mut lateness = Histogram::<u64>::new_with_bounds(1, 100_000_000, 3)?;
     let mut clients = JoinSet::new();
-    for wish in Traffic::new(day, seed) {
-        sleep_until(load.fleet.instant(wish.start)).await;
-        late.saturating_record(load.fleet.now().saturating_sub(wish.start) / 1000 + 1);
-        clients.spawn(load.clone().client(wish));
+    for operation in Traffic::new(scenario, seed) {
+        sleep_until(load.fleet.instant(operation.start)).await;
+        lateness.saturating_record(load.fleet.now().saturating_sub(operation.start) / 1000 + 1);
+        clients.spawn(load.clone().client(operation));
         while clients.try_join_next().is_some() {}
     }
     while clients.join_next().await.is_some() {}
-    Ok(Lateness { p99_ms: late.value_at_quantile(0.99) as f64 / 1000.0 })
+    Ok(Lateness { p99_ms: lateness.value_at_quantile(0.99) as f64 / 1000.0 })
 }
 
 /// What became of one exchange.
-enum Ended {
+enum RequestEnd {
     Answer(Frame),
     /// There was no process to take it.
     Refused,
@@ -83,16 +83,16 @@
 
 impl Load {
     /// One wish with all its retries.
-    async fn client(self: Arc<Self>, wish: Operation) {
+    async fn client(self: Arc<Self>, operation: Operation) {
         let count = self.proxies.len();
-        let (mut proxy, mut tries, mut refused) = (wish.proxy % count, 0, 0);
-        let write = self.day.route[wish.route].write;
+        let (mut proxy, mut requests, mut refused) = (operation.proxy % count, 0, 0);
+        let write = self.scenario.route[operation.route].write;
         let end = loop {
-            tries += 1;
-            let (end, pause) = match self.exchange(&wish, proxy, tries > 1).await {
-                Ended::Refused => {
-                    self.fleet.refused();
-                    tries -= 1;
+            requests += 1;
+            let (end, pause) = match self.send_request(&operation, proxy, requests > 1).await {
+                RequestEnd::Refused => {
+                    self.fleet.connection_refused();
+                    requests -= 1;
                     refused += 1;
                     proxy = (proxy + 1) % count;
                     if refused >= count.min(MAX_CONNECTION_REFUSALS) {
@@ -100,75 +100,77 @@
                     }
                     continue;
                 }
-                Ended::Lost => {
+                RequestEnd::Lost => {
                     proxy = (proxy + 1) % count;
-                    (End::Lost, millis(self.day.clients.failover_ms))
+                    (End::Lost, millis(self.scenario.clients.failover_ms))
                 }
-                Ended::Answer(Frame::Bulk(_)) => {
-                    break End::Served(self.fleet.now().saturating_sub(wish.start));
+                RequestEnd::Answer(Frame::Bulk(_)) => {
+                    break End::Served(self.fleet.now().saturating_sub(operation.start));
                 }
-                Ended::Answer(Frame::Error(text)) if text.starts_with(b"BUSY") => {
+                RequestEnd::Answer(Frame::Error(text)) if text.starts_with(b"BUSY") => {
                     let pause =
                         std::str::from_utf8(&text[4..]).ok().and_then(|text| text.trim().parse().ok());
                     (End::Shed, millis(pause.unwrap_or(0.0)))
                 }
-                Ended::Answer(_) => (End::Errored, 0),
+                RequestEnd::Answer(_) => (End::Errored, 0),
             };
-            let again = self.again(tries, pause).filter(|_| !write || end == End::Shed);
-            match again {
+            let retry_wait = self.retry_wait(requests, pause).filter(|_| !write || end == End::Shed);
+            match retry_wait {
                 Some(wait) => sleep(Duration::from_nanos(wait)).await,
                 None => break end,
             }
         };
-        self.fleet.wish(&wish, end);
+        self.fleet.operation_ended(&operation, end);
     }
 
-    fn again(&self, tries: u32, pause: Nanos) -> Option<Nanos> {
+    fn retry_wait(&self, requests: u32, pause: Nanos) -> Option<Nanos> {
         let mut rng = self.rng.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        retry_delay(&self.day, &mut rng, tries, pause)
+        retry_delay(&self.scenario, &mut rng, requests, pause)
     }
 
-    async fn exchange(&self, wish: &Operation, proxy: usize, retry: bool) -> Ended {
-        let route = &self.day.route[wish.route];
-        let patience = millis(route.timeout_ms);
-        let xchg = self.last.fetch_add(1, Ordering::Relaxed) + 1;
-        let delay = Duration::from_secs_f64(self.day.network.delay_ms / 1000.0);
+    async fn send_request(&self, operation: &Operation, proxy: usize, retry: bool) -> RequestEnd {
+        let route = &self.scenario.route[operation.route];
+        let time_limit = millis(route.timeout_ms);
+        let request_id = self.last_request_id.fetch_add(1, Ordering::Relaxed) + 1;
+        let delay = Duration::from_secs_f64(self.scenario.network.delay_ms / 1000.0);
         sleep(delay).await;
-        self.fleet.taken(xchg, wish, proxy, patience);
-        let words = self.words(wish, xchg, retry);
-        let carried = timeout(
-            Duration::from_nanos(patience + CLIENT_TIMEOUT_MARGIN),
-            self.carry(proxy, xchg, patience, &words),
+        self.fleet.request_accepted(request_id, operation, proxy, time_limit);
+        let command = self.request_command(operation, request_id, retry);
+        let result = timeout(
+            Duration::from_nanos(time_limit + CLIENT_TIMEOUT_MARGIN),
+            self.send_to_proxy(proxy, request_id, time_limit, &command),
         )
         .await;
-        let ended = carried.unwrap_or(Ended::Lost);
+        let ended = result.unwrap_or(RequestEnd::Lost);
         match &ended {
-            Ended::Answer(frame) => self.answered(xchg, frame),
+            RequestEnd::Answer(frame) => self.report_answer(request_id, frame),
             // The auditor knows of kills; any other silence is the proxy's fault.
-            Ended::Refused => self.fleet.excused(xchg, self.fleet.now()),
-            Ended::Lost if self.dead(proxy).await => self.fleet.excused(xchg, self.fleet.now()),
-            Ended::Lost => {}
+            RequestEnd::Refused => self.fleet.excuse_request(request_id, self.fleet.now()),
+            RequestEnd::Lost if self.is_down(proxy).await => {
+                self.fleet.excuse_request(request_id, self.fleet.now())
+            }
+            RequestEnd::Lost => {}
         }
-        if let Ended::Answer(_) = ended {
+        if let RequestEnd::Answer(_) = ended {
             sleep(delay).await;
         }
-        self.fleet.over(xchg);
+        self.fleet.request_closed(request_id);
         ended
     }
 
-    fn answered(&self, xchg: u64, frame: &Frame) {
+    fn report_answer(&self, request_id: u64, frame: &Frame) {
         let (answer, sound) = match frame {
-            Frame::Bulk(value) => (Final::Served, made_for(value) == Some(xchg)),
+            Frame::Bulk(value) => (Final::Served, request_id_of_value(value) == Some(request_id)),
             Frame::Error(text) if text.starts_with(b"BUSY") => (Final::Shed, true),
             _ => (Final::Errored, true),
         };
-        self.fleet.final_answer(xchg, answer, sound);
+        self.fleet.final_answer(request_id, answer, sound);
     }
 
-    fn words(&self, wish: &Operation, xchg: u64, retry: bool) -> Frame {
-        let route = &self.day.route[wish.route];
+    fn request_command(&self, operation: &Operation, request_id: u64, retry: bool) -> Frame {
+        let route = &self.scenario.route[operation.route];
         let mut labels = format!("c={}", route.name);
-        if let Some(tenant) = self.day.tenant.get(wish.tenant) {
+        if let Some(tenant) = self.scenario.tenant.get(operation.tenant) {
             labels += &format!(",t={}", tenant.name);
         }
         labels += &format!(",d={}", route.timeout_ms as u64);
@@ -176,56 +178,63 @@
             labels += ",r=1";
         }
         let text = |text: String| Frame::Bulk(text.into_bytes().into());
-        let command = if route.write { "C.SET" } else { "C.GET" };
-        let mut words = vec![text(command.into()), text(key_text(wish.key))];
-        words.extend([text(format!("{xchg:016x}")), text(labels)]);
+        let name = if route.write { "C.SET" } else { "C.GET" };
+        let mut parts = vec![text(name.into()), text(key_text(operation.key))];
+        parts.extend([text(format!("{request_id:016x}")), text(labels)]);
         if route.write {
-            words.push(Frame::Bulk(vec![b'w'; wish.value_bytes as usize].into()));
+            parts.push(Frame::Bulk(vec![b'w'; operation.value_bytes as usize].into()));
         }
-        Frame::Array(words)
+        Frame::Array(parts)
     }
 
     /// Over a connection that is kept, or a new one. One that a proxy closed between two requests is replaced
     /// once.
-    async fn carry(&self, proxy: usize, xchg: u64, patience: Nanos, words: &Frame) -> Ended {
-        let asked = || self.fleet.asked(xchg, patience);
-        let kept = self.idle[proxy].lock().unwrap_or_else(std::sync::PoisonError::into_inner).pop();
-        if let Some(mut wire) = kept
-            && let Some(frame) = ask(&mut wire, words, asked).await
+    async fn send_to_proxy(
+        &self,
+        proxy: usize,
+        request_id: u64,
+        time_limit: Nanos,
+        command: &Frame,
+    ) -> RequestEnd {
+        let on_sent = || self.fleet.request_sent(request_id, time_limit);
+        let idle_connection =
+            self.idle[proxy].lock().unwrap_or_else(std::sync::PoisonError::into_inner).pop();
+        if let Some(mut connection) = idle_connection
+            && let Some(frame) = send_command(&mut connection, command, on_sent).await
         {
-            self.keep(proxy, wire);
-            return Ended::Answer(frame);
+            self.return_connection(proxy, connection);
+            return RequestEnd::Answer(frame);
         }
-        let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(self.proxies[proxy])).await else {
-            return Ended::Refused;
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.proxies[proxy])).await else {
+            return RequestEnd::Refused;
         };
         let _ = stream.set_nodelay(true);
-        let mut wire = Framed::new(stream, Resp);
-        match ask(&mut wire, words, asked).await {
+        let mut connection = Framed::new(stream, Resp);
+        match send_command(&mut connection, command, on_sent).await {
             Some(frame) => {
-                self.keep(proxy, wire);
-                Ended::Answer(frame)
+                self.return_connection(proxy, connection);
+                RequestEnd::Answer(frame)
             }
-            None => Ended::Lost,
+            None => RequestEnd::Lost,
         }
     }
 
-    fn keep(&self, proxy: usize, wire: Wire) {
+    fn return_connection(&self, proxy: usize, connection: Connection) {
         let mut idle = self.idle[proxy].lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if idle.len() < KEPT {
-            idle.push(wire);
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
     }
 
     /// Whether nobody listens there any more.
-    async fn dead(&self, proxy: usize) -> bool {
-        !matches!(timeout(CONNECT, TcpStream::connect(self.proxies[proxy])).await, Ok(Ok(_)))
+    async fn is_down(&self, proxy: usize) -> bool {
+        !matches!(timeout(CONNECT_TIMEOUT, TcpStream::connect(self.proxies[proxy])).await, Ok(Ok(_)))
     }
 }
 
 /// One command and its answer; none where the connection ended first. `asked` hears when it is written.
-async fn ask(wire: &mut Wire, words: &Frame, asked: impl Fn()) -> Option<Frame> {
-    wire.send(words).await.ok()?;
-    asked();
-    wire.next().await?.ok()
+async fn send_command(connection: &mut Connection, command: &Frame, on_sent: impl Fn()) -> Option<Frame> {
+    connection.send(command).await.ok()?;
+    on_sent();
+    connection.next().await?.ok()
 }
--- a/crates/lab/src/real/stand_ins.rs
+++ b/crates/lab/src/real/stand_ins.rs
@@ -1,8 +1,8 @@
 //! Stand-ins on loopback sockets: cache nodes speak RESP2, the origin and discovery HTTP/1.1. What they do
 //! with what comes is the model's; here it is only carried out.
 
-use crate::real::fleet::{Fleet, Life};
-use crate::real::http::{Answer, Asked, Server};
+use crate::real::fleet::{Fleet, ProcessState};
+use crate::real::http::{Request, Response, ServerCodec};
 use anyhow::{Context, Result};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -18,19 +18,19 @@
 use tokio_util::codec::Framed;
 
 /// How long an address that was given up is asked for again, in steps of this.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// The longest that a watch of the list may last.
-const LONGEST_WATCH: u64 = 60_000;
+const MAX_WATCH_MS: u64 = 60_000;
 
 /// The value that is made for an exchange: its id, and as many bytes as it should have.
-pub fn value(xchg: u64, size: u64) -> Bytes {
-    let mut value = format!("{xchg:016x}:").into_bytes();
+pub fn response_value(request_id: u64, size: u64) -> Bytes {
+    let mut value = format!("{request_id:016x}:").into_bytes();
     value.resize((size as usize).max(value.len()), b'.');
     value.into()
 }
 
 /// The exchange that a value was made for.
-pub fn made_for(value: &[u8]) -> Option<u64> {
+pub fn request_id_of_value(value: &[u8]) -> Option<u64> {
     u64::from_str_radix(std::str::from_utf8(value.get(..16)?).ok()?, 16).ok()
 }
 
@@ -38,14 +38,14 @@
 pub async fn node(fleet: Arc<Fleet>, node: usize) -> Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await.context("a free port")?;
     let address = listener.local_addr()?;
-    let mut life = fleet.life(node);
+    let mut process_state = fleet.process_state(node);
     let mut bound = Some(listener);
     tokio::spawn(async move {
         loop {
-            let Life { listens, epoch } = *life.borrow_and_update();
-            if !listens {
+            let ProcessState { listening, epoch } = *process_state.borrow_and_update();
+            if !listening {
                 bound = None;
-                if life.changed().await.is_err() {
+                if process_state.changed().await.is_err() {
                     return;
                 }
                 continue;
@@ -53,7 +53,7 @@
             let Some(listener) = &bound else {
                 bound = TcpListener::bind(address).await.ok();
                 if bound.is_none() {
-                    sleep(AGAIN).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
                 continue;
             };
@@ -63,7 +63,7 @@
                         connection(fleet.clone(), node, epoch, stream);
                     }
                 }
-                changed = life.changed() => if changed.is_err() { return },
+                changed = process_state.changed() => if changed.is_err() { return },
             }
         }
     });
@@ -73,18 +73,18 @@
 /// Serves one connection until it ends, or the process that has it does.
 fn connection(fleet: Arc<Fleet>, node: usize, epoch: u64, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    if !fleet.connects(node) {
+    if !fleet.accepts_connection(node) {
         // Dropped at once: it has as many as it can hold.
         let _ = stream.set_zero_linger();
         return;
     }
-    let mut life = fleet.life(node);
+    let mut process_state = fleet.process_state(node);
     tokio::spawn(async move {
         let origin = node == fleet.origin();
-        let died = async {
+        let process_ended = async {
             // A node that only refuses new connections keeps those that it has.
-            while life.borrow_and_update().epoch == epoch {
-                if life.changed().await.is_err() {
+            while process_state.borrow_and_update().epoch == epoch {
+                if process_state.changed().await.is_err() {
                     return;
                 }
             }
@@ -96,39 +96,39 @@
                 serve_cache(&fleet, node, stream).await
             }
         };
-        tokio::select! { () = died => {} () = ended => {} }
-        fleet.disconnects(node, epoch);
+        tokio::select! { () = process_ended => {} () = ended => {} }
+        fleet.connection_closed(node, epoch);
     });
 }
 
 /// Ends a try however its connection does: dropped unanswered, it counts as given up.
-struct Try<'a> {
+struct Attempt<'a> {
     fleet: &'a Fleet,
-    xchg: u64,
+    request_id: u64,
     node: usize,
     job: Option<u64>,
     open: bool,
 }
 
-impl Drop for Try<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.fleet.cancelled(self.job, self.xchg, self.node);
+            self.fleet.attempt_cancelled(self.job, self.request_id, self.node);
         }
     }
 }
 
 /// Carries a try through the model; none where it is never answered. `gone` says that its proxy closed.
-async fn work(
+async fn run_attempt(
     fleet: &Fleet,
     node: usize,
-    xchg: u64,
-    told: Option<u64>,
+    request_id: u64,
+    told_time: Option<u64>,
     gone: impl Future<Output = ()>,
 ) -> Option<(JobOutcome, Bytes)> {
-    let mut this = Try { fleet, xchg, node, job: None, open: true };
-    let carried = async {
-        let Some((wish, delay, reaches)) = fleet.came(xchg, node, told) else {
+    let mut attempt = Attempt { fleet, request_id, node, job: None, open: true };
+    let outcome_sent = async {
+        let Some((operation, delay, reaches)) = fleet.attempt_received(request_id, node, told_time) else {
             // Its client is gone: the request is already over.
             return Some((JobOutcome::Rejected, Bytes::new()));
         };
@@ -136,19 +136,19 @@
             return std::future::pending().await;
         }
         sleep(Duration::from_nanos(delay)).await;
-        let (job, verdict) = fleet.arrive(xchg, node, &wish);
-        this.job = Some(job);
-        let Ok(verdict) = verdict.await else { return std::future::pending().await };
-        if node == fleet.origin() && verdict == JobOutcome::Completed {
-            fleet.fetched(xchg);
+        let (job, outcome) = fleet.submit_job(request_id, node, &operation);
+        attempt.job = Some(job);
+        let Ok(outcome) = outcome.await else { return std::future::pending().await };
+        if node == fleet.origin() && outcome == JobOutcome::Completed {
+            fleet.origin_completed(request_id);
         }
         sleep(Duration::from_nanos(delay)).await;
-        fleet.answered(job, xchg, node, verdict);
-        this.open = false;
-        Some((verdict, value(xchg, wish.value_bytes)))
+        fleet.attempt_answered(job, request_id, node, outcome);
+        attempt.open = false;
+        Some((outcome, response_value(request_id, operation.value_bytes)))
     };
     tokio::select! {
-        done = carried => done,
+        done = outcome_sent => done,
         () = gone => None,
     }
 }
@@ -164,12 +164,12 @@
                 _ => return,
             },
         };
-        let words = words(&frame);
-        let reply = match words.first().map(|word| &word[..]) {
-            Some(b"PING") if fleet.speaks(node) => Frame::simple("PONG"),
+        let command_words = command_words(&frame);
+        let reply = match command_words.first().map(|word| &word[..]) {
+            Some(b"PING") if fleet.answers_probes(node) => Frame::simple("PONG"),
             Some(b"PING") => return std::future::pending().await,
             Some(b"C.GET" | b"C.SET") => {
-                let Some(xchg) = words.get(2).and_then(|id| id_of(id)) else {
+                let Some(request_id) = command_words.get(2).and_then(|id| parse_request_id(id)) else {
                     let _ = framed.send(&Frame::error("SYNTAX")).await;
                     return;
                 };
@@ -180,8 +180,8 @@
                         std::future::pending::<()>().await;
                     }
                 };
-                let told = words.get(3).and_then(|labels| told(labels));
-                match work(fleet, node, xchg, told, gone).await {
+                let told_time = command_words.get(3).and_then(|labels| parse_told_time(labels));
+                match run_attempt(fleet, node, request_id, told_time, gone).await {
                     None => return,
                     Some((JobOutcome::Corrupted, _)) => {
                         let _ = framed.get_mut().write_all(b"*3\r\n$what?\r\n").await;
@@ -207,56 +207,56 @@
     }
 }
 
-fn words(frame: &Frame) -> Vec<Bytes> {
+fn command_words(frame: &Frame) -> Vec<Bytes> {
     let Frame::Array(parts) = frame else { return Vec::new() };
     let word = |part: &Frame| if let Frame::Bulk(word) = part { word.clone() } else { Bytes::new() };
     parts.iter().map(word).collect()
 }
 
-fn id_of(word: &[u8]) -> Option<u64> {
+fn parse_request_id(word: &[u8]) -> Option<u64> {
     u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()
 }
 
 /// How long an attempt tells that it will be waited for, in nanoseconds.
-fn told(labels: &[u8]) -> Option<Nanos> {
+fn parse_told_time(labels: &[u8]) -> Option<Nanos> {
     let mut labels = std::str::from_utf8(labels).ok()?.split(',');
-    let told = labels.find_map(|label| label.strip_prefix("d="))?;
-    Some(millis(told.parse().ok()?))
+    let told_time = labels.find_map(|label| label.strip_prefix("d="))?;
+    Some(millis(told_time.parse().ok()?))
 }
 
 async fn serve_origin(fleet: &Fleet, node: usize, stream: TcpStream) {
-    let mut framed = Framed::new(stream, Server);
-    let mut ahead: Option<Asked> = None;
+    let mut framed = Framed::new(stream, ServerCodec);
+    let mut ahead: Option<Request> = None;
     loop {
-        let asked = match ahead.take() {
-            Some(asked) => asked,
+        let request = match ahead.take() {
+            Some(request) => request,
             None => match framed.next().await {
-                Some(Ok(asked)) => asked,
+                Some(Ok(request)) => request,
                 _ => return,
             },
         };
-        let answer = if asked.path.starts_with("/health/") {
-            Answer { status: 200, ..Answer::default() }
-        } else if let Some(xchg) = asked.header("x-txn").and_then(id_of) {
+        let response = if request.path.starts_with("/health/") {
+            Response { status: 200, ..Response::default() }
+        } else if let Some(request_id) = request.header("x-txn").and_then(parse_request_id) {
             let gone = async {
-                if let Some(Ok(asked)) = framed.next().await {
-                    ahead = Some(asked);
+                if let Some(Ok(request)) = framed.next().await {
+                    ahead = Some(request);
                     std::future::pending::<()>().await;
                 }
             };
-            let told = asked.header("x-labels").and_then(told);
-            match work(fleet, node, xchg, told, gone).await {
+            let told_time = request.header("x-labels").and_then(parse_told_time);
+            match run_attempt(fleet, node, request_id, told_time, gone).await {
                 None => return,
-                Some((JobOutcome::Completed, value)) => Answer { status: 200, header: None, body: value },
+                Some((JobOutcome::Completed, value)) => Response { status: 200, header: None, body: value },
                 Some((JobOutcome::Rejected, _)) => {
-                    Answer { status: 503, header: Some(("X-Turned-Away", "1")), body: Bytes::new() }
+                    Response { status: 503, header: Some(("X-Turned-Away", "1")), body: Bytes::new() }
                 }
-                Some(_) => Answer { status: 500, ..Answer::default() },
+                Some(_) => Response { status: 500, ..Response::default() },
             }
         } else {
-            Answer { status: 400, ..Answer::default() }
+            Response { status: 400, ..Response::default() }
         };
-        if framed.send(answer).await.is_err() {
+        if framed.send(response).await.is_err() {
             return;
         }
     }
@@ -270,49 +270,49 @@
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
             let fleet = fleet.clone();
-            tokio::spawn(async move { agent(&fleet, proxy, stream).await });
+            tokio::spawn(async move { serve_discovery(&fleet, proxy, stream).await });
         }
     });
     Ok(address)
 }
 
-async fn agent(fleet: &Fleet, proxy: usize, stream: TcpStream) {
-    let mut framed = Framed::new(stream, Server);
-    while let Some(Ok(asked)) = framed.next().await {
-        let since = asked.query("index");
+async fn serve_discovery(fleet: &Fleet, proxy: usize, stream: TcpStream) {
+    let mut framed = Framed::new(stream, ServerCodec);
+    while let Some(Ok(request)) = framed.next().await {
+        let since = request.query("index");
         // A caller that is gone is told nothing.
         tokio::select! {
-            () = due(fleet, since, asked.query("wait").unwrap_or(0)) => {}
+            () = wait_until_due(fleet, since, request.query("wait").unwrap_or(0)) => {}
             _ = framed.next() => return,
         }
         let body = fleet.list(proxy, since).to_string().into();
-        if framed.send(Answer { status: 200, header: None, body }).await.is_err() {
+        if framed.send(Response { status: 200, header: None, body }).await.is_err() {
             return;
         }
     }
 }
 
 /// Waits until discovery has something to tell: news, the end of the watch, and the end of its own silence.
-async fn due(fleet: &Fleet, since: Option<u64>, wait: u64) {
+async fn wait_until_due(fleet: &Fleet, since: Option<u64>, wait: u64) {
     if let Some(version) = since {
-        let mut versions = fleet.versions();
-        let wait = Duration::from_millis(wait.min(LONGEST_WATCH));
+        let mut versions = fleet.registry_versions();
+        let wait = Duration::from_millis(wait.min(MAX_WATCH_MS));
         let newer = async { versions.wait_for(|now| *now > version).await.is_ok() };
         if timeout(wait, newer).await.unwrap_or(false) {
-            told_after(fleet).await;
+            wait_propagation_delay(fleet).await;
         }
     }
-    silence(fleet).await;
+    wait_until_responsive(fleet).await;
 }
 
-async fn told_after(fleet: &Fleet) {
-    let delay: Nanos = fleet.tells_after().unwrap_or(millis(10.0));
+async fn wait_propagation_delay(fleet: &Fleet) {
+    let delay: Nanos = fleet.discovery_delay().unwrap_or(millis(10.0));
     sleep(Duration::from_nanos(delay)).await;
 }
 
 /// Waits while discovery answers nobody.
-async fn silence(fleet: &Fleet) {
-    while fleet.tells_after().is_none() {
-        sleep(AGAIN).await;
+async fn wait_until_responsive(fleet: &Fleet) {
+    while fleet.discovery_delay().is_none() {
+        sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/lab/tests/lab/stand_ins.rs
+++ b/crates/lab/tests/lab/stand_ins.rs
@@ -9,8 +9,8 @@
 use pumicebay_core::{NodeStatus, Outcome};
 use pumicebay_lab::platform;
 use pumicebay_lab::real::fleet::Fleet;
-use pumicebay_lab::real::http::{Answer, Server};
-use pumicebay_lab::real::stand_ins::made_for;
+use pumicebay_lab::real::http::{Response, ServerCodec};
+use pumicebay_lab::real::stand_ins::request_id_of_value;
 use pumicebay_lab::seat::key_text;
 use pumicebay_model::faults::WorldChange;
 use pumicebay_model::traffic::{Operation, key_at_rank};
@@ -29,15 +29,15 @@
 }
 
 /// Tells the stand-ins of an exchange, as the load generator does.
-fn take(fleet: &Fleet, xchg: u64, rank: u64) -> Operation {
-    let wish =
+fn accept_request(fleet: &Fleet, request_id: u64, rank: u64) -> Operation {
+    let operation =
         Operation { start: 0, route: 0, tenant: 0, key: key_at_rank(rank), value_bytes: 900, proxy: 0 };
-    fleet.taken(xchg, &wish, 0, 1_000_000_000);
-    wish
+    fleet.request_accepted(request_id, &operation, 0, 1_000_000_000);
+    operation
 }
 
-async fn ask(node: &mut Framed<TcpStream, Resp>, wish: &Operation, xchg: u64) -> Frame {
-    let (key, id) = (key_text(wish.key), format!("{xchg:016x}"));
+async fn ask(node: &mut Framed<TcpStream, Resp>, operation: &Operation, request_id: u64) -> Frame {
+    let (key, id) = (key_text(operation.key), format!("{request_id:016x}"));
     let command = Frame::command([b"C.GET", key.as_bytes(), id.as_bytes(), b"c=read,d=500"]);
     node.send(&command).await.expect("a command sent");
     node.next().await.expect("a reply").expect("a frame")
@@ -52,30 +52,31 @@
 async fn cache_nodes_speak_as_the_proxy_reads() {
     let fleet = fleet().await;
     let mut node = connect(&fleet, 0).await;
-    let wish = take(&fleet, 77, 3);
-    let back = parse_cache_reply(ask(&mut node, &wish, 77).await).expect("a reply that can be read");
-    let value = back.value.whole().expect("a whole value");
-    assert_eq!((back.outcome, made_for(value), value.len()), (Outcome::Completed, Some(77), 900));
-    let wish = take(&fleet, 78, 1_000_000);
-    let back = parse_cache_reply(ask(&mut node, &wish, 78).await).expect("a reply that can be read");
-    assert_eq!(back.outcome, Outcome::Missed);
+    let operation = accept_request(&fleet, 77, 3);
+    let reply = parse_cache_reply(ask(&mut node, &operation, 77).await).expect("a reply that can be read");
+    let value = reply.value.whole().expect("a whole value");
+    assert_eq!((reply.outcome, request_id_of_value(value), value.len()), (Outcome::Completed, Some(77), 900));
+    let operation = accept_request(&fleet, 78, 1_000_000);
+    let reply = parse_cache_reply(ask(&mut node, &operation, 78).await).expect("a reply that can be read");
+    assert_eq!(reply.outcome, Outcome::Missed);
     node.send(&Frame::command([b"PING"])).await.expect("a probe sent");
     let pong = node.next().await.expect("a reply").expect("a frame");
     assert_eq!(parse_probe_reply(pong).expect("a probe's answer").outcome, Outcome::Completed);
     // What no client asked for is turned away, and spoilt answers can't be read.
-    let wish = take(&fleet, 79, 3);
-    let unknown = parse_cache_reply(ask(&mut node, &wish, 4000).await).expect("a reply that can be read");
+    let operation = accept_request(&fleet, 79, 3);
+    let unknown =
+        parse_cache_reply(ask(&mut node, &operation, 4000).await).expect("a reply that can be read");
     assert_eq!(unknown.outcome, Outcome::Saturated);
-    fleet.changes(WorldChange::Errors(0, 1.0)).await;
+    fleet.apply_change(WorldChange::Errors(0, 1.0)).await;
     assert_eq!(
-        parse_cache_reply(ask(&mut node, &wish, 79).await).expect("a reply").outcome,
+        parse_cache_reply(ask(&mut node, &operation, 79).await).expect("a reply").outcome,
         Outcome::Errored
     );
-    fleet.changes(WorldChange::Errors(0, 0.0)).await;
-    fleet.changes(WorldChange::Spoils(0, 1.0)).await;
-    let wish = take(&fleet, 80, 3);
+    fleet.apply_change(WorldChange::Errors(0, 0.0)).await;
+    fleet.apply_change(WorldChange::Spoils(0, 1.0)).await;
+    let operation = accept_request(&fleet, 80, 3);
     let id = format!("{:016x}", 80);
-    let key = key_text(wish.key);
+    let key = key_text(operation.key);
     let command = Frame::command([b"C.GET", key.as_bytes(), id.as_bytes(), b"c=read,d=500"]);
     node.send(&command).await.expect("a command sent");
     assert!(node.next().await.is_none_or(|frame| frame.is_err()));
@@ -85,7 +86,7 @@
 async fn a_node_that_dies_breaks_its_connections_and_listens_again() {
     let fleet = fleet().await;
     let mut node = connect(&fleet, 0).await;
-    fleet.changes(WorldChange::Stop(0)).await;
+    fleet.apply_change(WorldChange::Stop(0)).await;
     let end = timeout(Duration::from_secs(5), node.next()).await.expect("an end");
     assert!(end.is_none_or(|frame| frame.is_err()));
     let address = fleet.address(0).expect("an address");
@@ -98,20 +99,23 @@
         sleep(Duration::from_millis(5)).await;
     }
     assert!(refused);
-    fleet.changes(WorldChange::Start(0)).await;
-    let mut back = false;
+    fleet.apply_change(WorldChange::Start(0)).await;
+    let mut reply = false;
     for _ in 0..200 {
-        back = TcpStream::connect(address).await.is_ok();
-        if back {
+        reply = TcpStream::connect(address).await.is_ok();
+        if reply {
             break;
         }
         sleep(Duration::from_millis(5)).await;
     }
-    assert!(back);
-    // It came back empty.
+    assert!(reply);
+    // It came reply empty.
     let mut node = connect(&fleet, 0).await;
-    let wish = take(&fleet, 90, 3);
-    assert_eq!(parse_cache_reply(ask(&mut node, &wish, 90).await).expect("a reply").outcome, Outcome::Missed);
+    let operation = accept_request(&fleet, 90, 3);
+    assert_eq!(
+        parse_cache_reply(ask(&mut node, &operation, 90).await).expect("a reply").outcome,
+        Outcome::Missed
+    );
 }
 
 #[tokio::test]
@@ -120,22 +124,22 @@
     let address = fleet.address(fleet.origin()).expect("an address");
     let stream = TcpStream::connect(address).await.expect("a connection");
     let mut origin = Framed::new(stream, ClientCodec::new(64 * 1024));
-    let wish = take(&fleet, 5, 4);
+    let operation = accept_request(&fleet, 5, 4);
     let id = format!("{:016x}", 5);
-    let path = format!("/{}", key_text(wish.key));
+    let path = format!("/{}", key_text(operation.key));
     let headers = vec![("X-Txn", id.as_bytes()), ("X-Labels", &b"c=read,d=500"[..])];
     origin.send(Request { headers, ..Request::get(path) }).await.expect("a request sent");
     let response = origin.next().await.expect("an answer").expect("that can be read");
-    let back = parse_origin_response(response);
-    let value = back.value.whole().expect("a whole value");
-    assert_eq!((back.outcome, made_for(value)), (Outcome::Completed, Some(5)));
+    let reply = parse_origin_response(response);
+    let value = reply.value.whole().expect("a whole value");
+    assert_eq!((reply.outcome, request_id_of_value(value)), (Outcome::Completed, Some(5)));
 }
 
 #[tokio::test]
 async fn discovery_speaks_as_the_proxy_reads() {
     let fleet = fleet().await;
     let config = json!({
-        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": platform::settings(fleet.day(), 0)
+        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": platform::settings(fleet.scenario(), 0)
     });
     let config = pumicebay::config::parse(&config).expect("a configuration that the proxy takes");
     let address = fleet.discovery(0).expect("an address");
@@ -148,7 +152,7 @@
     assert!(all && named.len() == 3 && named[2].listed.origin);
     let watch = format!("/registry/instances?index={version}&wait=5000");
     agent.send(Request::get(watch)).await.expect("a request sent");
-    fleet.changes(WorldChange::Drain(1)).await;
+    fleet.apply_change(WorldChange::Drain(1)).await;
     let changes = agent.next().await.expect("an answer").expect("that can be read");
     let (later, all, named) =
         pumicebay::discovery::entries::parse_list(&changes.body, &config).expect("a list");
@@ -160,16 +164,16 @@
 fn http_comes_whole_or_not_at_all() {
     let mut buffer =
         BytesMut::from(&b"PUT /k?index=4 HTTP/1.1\r\nX-Txn: 9\r\nContent-Length: 3\r\n\r\nab"[..]);
-    let mut server = Server;
-    assert_eq!(server.decode(&mut buffer).expect("so far sound"), None);
+    let mut codec = ServerCodec;
+    assert_eq!(codec.decode(&mut buffer).expect("so far sound"), None);
     buffer.extend_from_slice(b"cGET");
-    let asked = server.decode(&mut buffer).expect("sound").expect("whole");
+    let asked = codec.decode(&mut buffer).expect("sound").expect("whole");
     assert_eq!((asked.query("index"), &asked.body[..], &buffer[..]), (Some(4), &b"abc"[..], &b"GET"[..]));
     let mut buffer = BytesMut::from(&b"GET / HTTP/1.1\r\nContent-Length: many\r\n\r\n"[..]);
-    assert!(server.decode(&mut buffer).is_err());
+    assert!(codec.decode(&mut buffer).is_err());
     let mut buffer = BytesMut::new();
-    let answer = Answer { status: 503, header: Some(("X-Turned-Away", "1")), body: "no".into() };
-    server.encode(answer, &mut buffer).expect("room");
+    let response = Response { status: 503, header: Some(("X-Turned-Away", "1")), body: "no".into() };
+    codec.encode(response, &mut buffer).expect("room");
     let response = ClientCodec::new(100).decode(&mut buffer).expect("sound").expect("whole");
     assert_eq!(parse_origin_response(response).outcome, Outcome::Saturated);
 }
