--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -1,5 +1,5 @@
-//! What all stand-ins share: the model's nodes, origin and list, the auditor and the counts, behind one lock
-//! that is never held while anything waits. One task is the clock of all jobs.
+//! State shared by all stand-ins: the simulated nodes, origin and registry, the auditor and the counters.
+//! One mutex guards it and is never held across an await. One task runs the timers of all jobs.
 
 use crate::audit::{Auditor, Final};
 use crate::platform;
@@ -28,21 +28,22 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How a stand-in's process is: changes break its connections.
+/// State of a stand-in's simulated process. A new epoch is a new process: it breaks open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessState {
     pub listening: bool,
     pub epoch: u64,
 }
 
-/// An exchange that the load generator has out.
+/// A request that the load generator has sent and that has not ended yet.
 struct OpenRequest {
     operation: Operation,
     proxy: usize,
+    /// Nodes that answered it with a miss.
     missed: Vec<usize>,
 }
 
-/// What jobs need while a node is at work.
+/// Bookkeeping that a node's job callbacks need while the node itself is borrowed.
 struct Accounting {
     now: Nanos,
     waiting: HashMap<JobId, oneshot::Sender<JobOutcome>>,
@@ -50,6 +51,7 @@
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
     tally: Tally,
+    /// Nodes that crashed from overload and are not handled yet; the origin's number is the node count.
     crashed_nodes: Vec<usize>,
     last_job: JobId,
 }
@@ -61,25 +63,30 @@
     registry: Registry,
     network: Network,
     rng: Rng,
+    /// Extra delay of discovery's answers, from a fault.
     discovery_lag: Nanos,
+    /// Nodes that discovery wrongly reports as left.
     falsely_left: Vec<bool>,
+    /// Error of each node's reported start time, where a fault sets one.
     clock_offsets: Vec<Option<i64>>,
     left: Vec<bool>,
     open_requests: HashMap<u64, OpenRequest>,
 }
 
+/// The simulated cache nodes, origin and discovery of one run, served on loopback sockets.
 pub struct Fleet {
     scenario: Scenario,
     inner: Mutex<Inner>,
     start: OnceLock<Instant>,
     start_unix_ms: OnceLock<u64>,
     process_states: Vec<watch::Sender<ProcessState>>,
-    /// The version of the list, for those who watch it.
+    /// Version of the registry, for discovery's long polls.
     version: watch::Sender<u64>,
     addresses: OnceLock<Vec<SocketAddr>>,
     discovery_addresses: OnceLock<Vec<SocketAddr>>,
 }
 
+/// Callbacks of one node's or the origin's jobs; `cache` is `None` for the origin.
 struct JobEnvironment<'a> {
     accounting: &'a mut Accounting,
     node: usize,
@@ -88,7 +95,7 @@
 
 impl Environment for JobEnvironment<'_> {
     fn schedule_completion(&mut self, at: Nanos, job: JobId) {
-        // The clock of jobs ends with the fleet.
+        // Sending fails only after the timer task has ended with the fleet.
         let _ = self.accounting.timers.send((at, self.node, job));
     }
 
@@ -110,7 +117,7 @@
 }
 
 impl Fleet {
-    /// Starts all stand-ins on free ports of the loopback.
+    /// Starts all stand-ins on free loopback ports. Fails when a port cannot be bound.
     pub async fn start(scenario: &Scenario, seed: u64) -> Result<Arc<Fleet>> {
         let count = scenario.nodes.count;
         let (timers, due) = mpsc::unbounded_channel();
@@ -184,45 +191,49 @@
         inner
     }
 
-    /// The day begins now.
+    /// Starts the scenario's clock.
     pub fn begin(&self) {
         let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let _ = self.start_unix_ms.set(since_unix_epoch.as_millis() as u64);
         let _ = self.start.set(Instant::now());
     }
 
-    /// Since the day began.
+    /// Nanoseconds since the scenario began; 0 before it begins.
     pub fn now(&self) -> Nanos {
         self.start.get().map_or(0, |start| start.elapsed().as_nanos() as Nanos)
     }
 
-    /// When that time of the day is.
+    /// The instant of a scenario time.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.start.get().copied().unwrap_or_else(Instant::now) + Duration::from_nanos(at)
     }
 
+    /// Number that stands for the origin: the count of cache nodes.
     pub fn origin(&self) -> usize {
         self.scenario.nodes.count
     }
 
+    /// The scenario that is played.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
+    /// Watches the process state of a node or the origin.
     pub fn process_state(&self, node: usize) -> watch::Receiver<ProcessState> {
         self.process_states[node].subscribe()
     }
 
-    /// Where a node, or the origin, listens while it does.
+    /// Address of a node or the origin; `None` before the start or for an unknown number.
     pub fn address(&self, node: usize) -> Option<SocketAddr> {
         self.addresses.get()?.get(node).copied()
     }
 
+    /// Address of a proxy's discovery agent; `None` before the start or for an unknown proxy.
     pub fn discovery(&self, proxy: usize) -> Option<SocketAddr> {
         self.discovery_addresses.get()?.get(proxy).copied()
     }
 
-    // ---- Tries ------------------------------------------------------------------------------------
+    // ---- Attempts ---------------------------------------------------------------------------------
 
     /// A try has come to a stand-in and told it how long it will be waited for: what is known of its exchange, one-way
     /// delay, and whether it gets current.
@@ -246,7 +257,7 @@
         Some((operation, delay, network.can_reach(proxy, node)))
     }
 
-    /// Puts the job to the node; its verdict comes by the channel, if it ever does.
+    /// Submits an attempt's job to the node. The channel gets its outcome, or closes when there will be none.
     pub fn submit_job(
         &self,
         request_id: u64,
@@ -279,7 +290,7 @@
         (job.id, receiver)
     }
 
-    /// The proxy has given up the try.
+    /// Records that the proxy gave up the attempt, and cancels its job.
     pub fn attempt_cancelled(&self, job: Option<JobId>, request_id: u64, node: usize) {
         let mut inner = self.lock();
         let Inner { accounting, nodes, origin, .. } = &mut *inner;
@@ -294,7 +305,7 @@
         }
     }
 
-    /// The verdict is on its way to the proxy.
+    /// Records an outcome that is about to be written to the proxy.
     pub fn attempt_answered(&self, job: JobId, request_id: u64, node: usize, outcome: JobOutcome) {
         let mut inner = self.lock();
         let now = inner.accounting.now;
@@ -316,7 +327,8 @@
         }
     }
 
-    /// The origin is done: where it was missed a copy is kept, and what was written drops all copies.
+    /// Updates the caches after the origin completed a request: a read is stored at the nodes that missed it, a
+    /// write removes the key from all nodes.
     pub fn origin_completed(&self, request_id: u64) {
         let mut inner = self.lock();
         let Inner { nodes, open_requests, .. } = &mut *inner;
@@ -330,6 +342,7 @@
         }
     }
 
+    /// Completes a job whose timer expired.
     fn job_finished(&self, node: usize, job: JobId) {
         let mut inner = self.lock();
         let Inner { accounting, nodes, origin, .. } = &mut *inner;
@@ -343,7 +356,7 @@
         self.handle_crashes(&mut inner);
     }
 
-    /// Whether a connection to this node is taken up.
+    /// Counts a new connection to the node; false when it has no room for it or is down.
     pub fn accepts_connection(&self, node: usize) -> bool {
         let mut inner = self.lock();
         let now = inner.accounting.now;
@@ -353,6 +366,7 @@
         }
     }
 
+    /// Releases a connection, unless its process has ended meanwhile.
     pub fn connection_closed(&self, node: usize, epoch: u64) {
         if self.process_states[node].borrow().epoch == epoch
             && let Some(node) = self.lock().nodes.get_mut(node)
@@ -366,8 +380,9 @@
         self.lock().nodes.get(node).is_none_or(|node| node.up && !node.unresponsive)
     }
 
-    // ---- Exchanges, as the load generator has them ------------------------------------------------
+    // ---- Requests of the load generator -----------------------------------------------------------
 
+    /// Records that a client starts a request at a proxy, with its overall timeout.
     pub fn request_accepted(&self, request_id: u64, operation: &Operation, proxy: usize, timeout: Nanos) {
         let mut inner = self.lock();
         let now = inner.accounting.now;
@@ -378,13 +393,14 @@
             .insert(request_id, OpenRequest { operation: *operation, proxy, missed: Vec::new() });
     }
 
-    /// Its client has written its last byte, and waits so long from now on.
+    /// Records that the client has written the whole request and waits this long from now.
     pub fn request_sent(&self, request_id: u64, wait: Nanos) {
         let mut inner = self.lock();
         let until = inner.accounting.now + wait;
         inner.accounting.auditor.client_waits_until(request_id, until);
     }
 
+    /// Records a request's final answer; `sound` is false for a value made for another request.
     pub fn final_answer(&self, request_id: u64, answer: Final, sound: bool) {
         let mut inner = self.lock();
         let now = inner.accounting.now;
@@ -397,31 +413,34 @@
         inner.accounting.auditor.sweep(now);
     }
 
-    /// No answer is owed: nothing was taken, or its proxy was killed.
+    /// Frees the proxy of the duty to answer: it never accepted the request, or was killed.
     pub fn excuse_request(&self, request_id: u64, at: Nanos) {
         self.lock().accounting.auditor.lost(at, request_id);
     }
 
+    /// Counts a client connection that a proxy refused.
     pub fn connection_refused(&self) {
         self.lock().accounting.tally.refused += 1;
     }
 
-    /// The exchange is over for its client.
+    /// Removes a request that has ended for its client.
     pub fn request_closed(&self, request_id: u64) {
         self.lock().open_requests.remove(&request_id);
     }
 
+    /// Counts how an operation ended after all its retries.
     pub fn operation_ended(&self, operation: &Operation, end: End) {
         self.lock().accounting.tally.wish(operation, end);
     }
 
     // ---- Discovery --------------------------------------------------------------------------------
 
+    /// Watches the version of the registry.
     pub fn registry_versions(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// How much later a proxy is told; none while discovery answers nobody.
+    /// Random delay until a proxy learns of a change; `None` while discovery is unresponsive.
     pub fn discovery_delay(&self) -> Option<Nanos> {
         use rand::RngExt;
         let mut inner = self.lock();
@@ -430,7 +449,8 @@
         (!inner.registry.unresponsive).then_some(delay + inner.discovery_lag)
     }
 
-    /// The list as discovery has it for one proxy, which is told it with this: whole, or since a version.
+    /// The registry as JSON, whole or only the changes since a version. Records for the auditor that the proxy has
+    /// learned these entries.
     pub fn list(&self, proxy: usize, since: Option<u64>) -> Json {
         let mut inner = self.lock();
         let entries = match since {
@@ -465,11 +485,12 @@
         })
     }
 
-    /// A proxy starts from nothing.
+    /// Records that a proxy restarted without its memory.
     pub fn proxy_restarted(&self, proxy: usize) {
         self.lock().accounting.auditor.restarted(proxy);
     }
 
+    /// Writes a node's present state to the registry.
     fn publish_entry(&self, inner: &mut Inner, node: usize) {
         let entry = inner.registry_entry(node);
         if inner.registry.update(entry) {
@@ -477,7 +498,7 @@
         }
     }
 
-    /// Discovery gets to know of a node after a while.
+    /// Writes a node's state to the registry after discovery's detection delay.
     fn publish_entry_later(self: &Arc<Self>, node: usize, after: Nanos) {
         let fleet = self.clone();
         tokio::spawn(async move {
@@ -487,8 +508,9 @@
         });
     }
 
-    // ---- What goes wrong --------------------------------------------------------------------------
+    // ---- Faults -----------------------------------------------------------------------------------
 
+    /// Applies a change of the scenario's timeline. Kills of proxies are done by their owner.
     pub async fn apply_change(self: &Arc<Self>, change: WorldChange) {
         let mut inner = self.lock();
         let (now, detection) = (inner.accounting.now, millis(self.scenario.discovery.detection_ms));
@@ -570,7 +592,7 @@
         }
     }
 
-    /// Nodes that fell over by themselves stop, and come back.
+    /// Stops nodes that crashed from overload, and schedules their restart.
     fn handle_crashes(&self, inner: &mut Inner) {
         while let Some(node) = inner.accounting.crashed_nodes.pop() {
             let now = inner.accounting.now;
@@ -587,11 +609,12 @@
             };
             self.process_states[node]
                 .send_modify(|state| *state = ProcessState { listening: false, epoch: state.epoch + 1 });
-            // The clock of jobs brings it back: a job of no number.
+            // Job number 0 is never a job: it is the timer that restarts the node.
             let _ = inner.accounting.timers.send((now + down, node, 0));
         }
     }
 
+    /// Restarts a node, or makes the origin listen again, after a crash from overload.
     fn restart_after_crash(self: &Arc<Self>, node: usize) {
         let mut inner = self.lock();
         if node < self.origin() {
@@ -602,14 +625,14 @@
         }
     }
 
-    /// Waits until no node has a job.
+    /// Waits until no job is outstanding.
     pub async fn wait_until_idle(&self) {
         while !self.lock().accounting.waiting.is_empty() {
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// The rules and the counts; the day is over.
+    /// Takes the auditor and the counters out at the end of the run.
     pub fn finish(&self) -> (Auditor, Tally) {
         let mut inner = self.lock();
         let auditor = std::mem::replace(&mut inner.accounting.auditor, Auditor::new(&self.scenario, 0));
@@ -618,13 +641,15 @@
 }
 
 impl Inner {
+    /// The registry entry that a node has now, with the faults that falsify it.
     fn registry_entry(&self, node: usize) -> NodeEntry {
         let gone = self.left[node] || self.falsely_left[node];
         self.nodes[node].registry_entry(node, self.accounting.now, gone, self.clock_offsets[node])
     }
 }
 
-/// Tells the nodes when their jobs are done; ends with the fleet.
+/// Completes jobs when their timers expire; ends with the fleet. It wakes at least every 100 ms so that it
+/// notices that end.
 async fn run_timers(fleet: std::sync::Weak<Fleet>, mut due: mpsc::UnboundedReceiver<(Nanos, usize, JobId)>) {
     let mut timers: BinaryHeap<Reverse<(Nanos, usize, JobId)>> = BinaryHeap::new();
     loop {
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -1,28 +1,32 @@
-//! HTTP/1.1 as a server speaks it: what the origin and discovery stand-ins need of it.
+//! Server side of HTTP/1.1, as far as the stand-ins for the origin and discovery need it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::io::{Error, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-const MAX_HEAD_BYTES: usize = 16 * 1024;
-const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Longest accepted request head, in bytes.
+const MAX_HEAD_LEN: usize = 16 * 1024;
+/// Longest accepted request body, in bytes.
+const MAX_BODY_LEN: usize = 1024 * 1024;
 
+/// A complete HTTP request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     pub method: String,
-    /// With its query.
+    /// Path with the query.
     pub path: String,
-    /// Names in lower case.
+    /// Headers in order, their names in lower case.
     pub headers: Vec<(String, Bytes)>,
     pub body: Bytes,
 }
 
 impl Request {
+    /// Value of the first header of this lower-case name.
     pub fn header(&self, name: &str) -> Option<&[u8]> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| &value[..])
     }
 
-    /// A figure of the query.
+    /// A number from the query; `None` when it is absent or not a number.
     pub fn query(&self, name: &str) -> Option<u64> {
         let (_, query) = self.path.split_once('?')?;
         let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -30,6 +34,7 @@
     }
 }
 
+/// An HTTP response with at most one header besides `Content-Length`.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     pub status: u16,
@@ -37,6 +42,7 @@
     pub body: Bytes,
 }
 
+/// Codec that reads requests and writes responses.
 #[derive(Debug, Default)]
 pub struct ServerCodec;
 
@@ -45,13 +51,13 @@
     type Error = Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Request>, Error> {
-        let error = |message: &'static str| Error::new(ErrorKind::InvalidData, message);
+        let err = |message: &'static str| Error::new(ErrorKind::InvalidData, message);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut parsed = httparse::Request::new(&mut headers);
-        let head = match parsed.parse(buffer).map_err(|_| error("malformed request"))? {
+        let head = match parsed.parse(buffer).map_err(|_| err("malformed request"))? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if buffer.len() > MAX_HEAD_BYTES => {
-                return Err(error("head too long"));
+            httparse::Status::Partial if buffer.len() > MAX_HEAD_LEN => {
+                return Err(err("head too long"));
             }
             httparse::Status::Partial => return Ok(None),
         };
@@ -67,11 +73,11 @@
             None => 0,
             Some(text) => {
                 let length = std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok());
-                length.ok_or_else(|| error("invalid Content-Length"))?
+                length.ok_or_else(|| err("invalid Content-Length"))?
             }
         };
-        if length > MAX_BODY_BYTES {
-            return Err(error("body too long"));
+        if length > MAX_BODY_LEN {
+            return Err(err("body too long"));
         }
         if buffer.len() < head + length {
             return Ok(None);
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -1,5 +1,5 @@
-//! The load generator: open loop, so that what is slow delays nothing that comes after it, and latencies count
-//! from when a client meant to send. It measures its own lateness.
+//! Open-loop load generator: a slow request does not delay later ones, and latencies count from the scheduled
+//! send time. It measures how late it sends.
 
 use crate::audit::Final;
 use crate::real::SharedFleet;
@@ -25,14 +25,16 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::codec::Framed;
 
+/// Timeout for connecting to a proxy.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections that are kept to each proxy.
+/// Most idle connections kept open to each proxy.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
 type Connection = Framed<TcpStream, Resp>;
 
-/// How late wishes were sent.
+/// How late operations were sent after their scheduled time.
 pub struct Lateness {
+    /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
 }
 
@@ -45,7 +47,7 @@
     rng: Mutex<Rng>,
 }
 
-/// Sends all that the day has, and waits for the answers.
+/// Sends all operations of the scenario and waits until each has ended. Fails when the histogram cannot be made.
 pub async fn start(
     scenario: &Scenario,
     seed: u64,
@@ -72,17 +74,18 @@
     Ok(Lateness { p99_ms: lateness.value_at_quantile(0.99) as f64 / 1000.0 })
 }
 
-/// What became of one exchange.
+/// How one request ended for its client.
 enum RequestEnd {
     Answer(Frame),
-    /// There was no process to take it.
+    /// The proxy accepted no connection.
     Refused,
-    /// The connection ended, or nothing came in time.
+    /// The connection ended, or no answer came in time.
     Lost,
 }
 
 impl Load {
-    /// One wish with all its retries.
+    /// Runs one operation with all its client retries. Writes are retried only when they were shed, as only then
+    /// it is certain that they had no effect.
     async fn client(self: Arc<Self>, operation: Operation) {
         let count = self.proxies.len();
         let (mut proxy, mut requests, mut refused) = (operation.proxy % count, 0, 0);
@@ -123,11 +126,13 @@
         self.fleet.operation_ended(&operation, end);
     }
 
+    /// Delay before the next retry; `None` when there are no more retries.
     fn retry_wait(&self, requests: u32, pause: Nanos) -> Option<Nanos> {
         let mut rng = self.rng.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         retry_delay(&self.scenario, &mut rng, requests, pause)
     }
 
+    /// Sends one request and reports to the auditor how it ended.
     async fn send_request(&self, operation: &Operation, proxy: usize, retry: bool) -> RequestEnd {
         let route = &self.scenario.route[operation.route];
         let time_limit = millis(route.timeout_ms);
@@ -144,7 +149,7 @@
         let ended = result.unwrap_or(RequestEnd::Lost);
         match &ended {
             RequestEnd::Answer(frame) => self.report_answer(request_id, frame),
-            // The auditor knows of kills; any other silence is the proxy's fault.
+            // A refused connection or a dead proxy owes no answer; any other missing answer is the proxy's fault.
             RequestEnd::Refused => self.fleet.excuse_request(request_id, self.fleet.now()),
             RequestEnd::Lost if self.is_down(proxy).await => {
                 self.fleet.excuse_request(request_id, self.fleet.now())
@@ -158,6 +163,7 @@
         ended
     }
 
+    /// Reports a final answer to the auditor.
     fn report_answer(&self, request_id: u64, frame: &Frame) {
         let (answer, sound) = match frame {
             Frame::Bulk(value) => (Final::Served, request_id_of_value(value) == Some(request_id)),
@@ -167,6 +173,7 @@
         self.fleet.final_answer(request_id, answer, sound);
     }
 
+    /// The RESP command of a request, with its id and labels.
     fn request_command(&self, operation: &Operation, request_id: u64, retry: bool) -> Frame {
         let route = &self.scenario.route[operation.route];
         let mut labels = format!("c={}", route.name);
@@ -187,8 +194,8 @@
         Frame::Array(parts)
     }
 
-    /// Over a connection that is kept, or a new one. One that a proxy closed between two requests is replaced
-    /// once.
+    /// Sends the command over an idle connection or a new one. An idle connection that the proxy has closed since
+    /// its last request is replaced once.
     async fn send_to_proxy(
         &self,
         proxy: usize,
@@ -219,6 +226,7 @@
         }
     }
 
+    /// Puts a connection back into the idle pool, or drops it when the pool is full.
     fn return_connection(&self, proxy: usize, connection: Connection) {
         let mut idle = self.idle[proxy].lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if idle.len() < MAX_IDLE_CONNECTIONS {
@@ -226,13 +234,14 @@
         }
     }
 
-    /// Whether nobody listens there any more.
+    /// Whether the proxy accepts no connections any more.
     async fn is_down(&self, proxy: usize) -> bool {
         !matches!(timeout(CONNECT_TIMEOUT, TcpStream::connect(self.proxies[proxy])).await, Ok(Ok(_)))
     }
 }
 
-/// One command and its answer; none where the connection ended first. `asked` hears when it is written.
+/// Sends a command and returns its reply; `None` when the connection ended first. Calls `on_sent` once the
+/// command is written.
 async fn send_command(connection: &mut Connection, command: &Frame, on_sent: impl Fn()) -> Option<Frame> {
     connection.send(command).await.ok()?;
     on_sent();
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! A day on loopback sockets in real time: real proxies, each a process of its own, and stand-ins for all
-//! else, which behave as the model does.
+//! Plays a scenario in real time on loopback sockets: real proxies, each in its own process, and stand-ins for
+//! cache nodes, origin and discovery, which behave as the simulation model does.
 
 pub mod fleet;
 pub mod http;
@@ -21,17 +21,20 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// What times may be off by on a busy machine, for the auditor.
+/// Timing error, in milliseconds, that the auditor tolerates on a busy machine.
 const AUDIT_SLACK_MS: f64 = 50.0;
-/// The most that a day may ask of sockets; beyond it use virtual time.
+/// Most nodes of a scenario on sockets; larger ones need virtual time.
 const MAX_NODES: usize = 4096;
+/// Most proxies of a scenario on sockets; larger ones need virtual time.
 const MAX_PROXIES: usize = 1024;
-/// How late the load generator may be, for one in a hundred wishes, before the run is not usable.
+/// Limit, in milliseconds, for the 99th percentile of the load generator's lateness. Beyond it the run is not
+/// usable.
 pub const MAX_LATENESS_MS: f64 = 20.0;
-/// From when all is ready until the day begins.
+/// Pause between the readiness of all processes and the scenario's begin.
 const START_DELAY: Duration = Duration::from_millis(300);
 
-/// Plays the day with this program as proxy, or with the lab's own copy of it.
+/// Plays the scenario with this program as proxy, or with this executable's own `serve` command. Fails when the
+/// scenario is too large for sockets, a process does not start, or a signal interrupts the run.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -45,7 +48,7 @@
         let signal = termination_signal()?;
         tokio::select! {
             results = run(scenario, seed, proxy, progress) => results,
-            // What was started ends with the future that holds it.
+            // Dropping the run's future ends its processes.
             signal = signal => Err(signal),
         }
     });
@@ -53,7 +56,7 @@
     results
 }
 
-/// Heard from this call on; the future ends with the first signal.
+/// Handles SIGTERM and SIGINT from this call on; the future resolves at the first signal.
 fn termination_signal() -> Result<impl Future<Output = anyhow::Error>> {
     use tokio::signal::unix::{SignalKind, signal};
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
@@ -63,13 +66,14 @@
     })
 }
 
+/// Starts stand-ins, proxies and load, applies the timeline, and collects the results.
 async fn run(
     scenario: &Scenario,
     seed: u64,
     proxy: Option<&PathBuf>,
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<Results> {
-    let fleet = Fleet::start(scenario, seed).await.context("stand-ins")?;
+    let fleet = Fleet::start(scenario, seed).await.context("cannot start the stand-ins")?;
     let mut proxies = Proxies::start(scenario, seed, proxy, &fleet).await?;
     sleep(START_DELAY).await;
     fleet.begin();
@@ -98,7 +102,7 @@
         }
     };
     let mut notes = proxies.stop().await;
-    // What nodes still have to say comes within the longest overall timeout.
+    // Outstanding jobs end within the longest overall timeout.
     let _ = timeout(Duration::from_secs(2), fleet.wait_until_idle()).await;
     let (auditor, tally) = fleet.finish();
     let mut results = collect_results(auditor, &tally, seed);
@@ -113,14 +117,16 @@
     Ok(results)
 }
 
+/// Audits what is left and computes the results.
 fn collect_results(mut auditor: Auditor, tally: &Tally, seed: u64) -> Results {
     auditor.finish();
     tally.results("pumicebay", "real", seed, &auditor)
 }
 
-/// The auditor's slack on sockets.
+/// The auditor's tolerance for timing errors on sockets.
 pub fn slack() -> Nanos {
     millis(AUDIT_SLACK_MS)
 }
 
+/// The stand-ins, shared between the tasks of a run.
 pub type SharedFleet = Arc<Fleet>;
