--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -235,8 +235,9 @@
 
     // ---- Attempts ---------------------------------------------------------------------------------
 
-    /// A try has come to a stand-in and told it how long it will be waited for: what is known of its exchange, one-way
-    /// delay, and whether it gets current.
+    /// Records an attempt that reached a stand-in and the time that its proxy said it would wait. Returns the
+    /// request's operation, the one-way delay, and whether the simulated network lets the attempt through; `None`
+    /// when no such request is open.
     pub fn attempt_received(
         &self,
         request_id: u64,
--- a/crates/lab/src/real/http.rs
+++ b/crates/lab/src/real/http.rs
@@ -51,14 +51,12 @@
     type Error = Error;
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Request>, Error> {
-        let err = |message: &'static str| Error::new(ErrorKind::InvalidData, message);
+        let invalid = |message: &'static str| Error::new(ErrorKind::InvalidData, message);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut parsed = httparse::Request::new(&mut headers);
-        let head = match parsed.parse(buffer).map_err(|_| err("malformed request"))? {
+        let head = match parsed.parse(buffer).map_err(|_| invalid("malformed request"))? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if buffer.len() > MAX_HEAD_LEN => {
-                return Err(err("head too long"));
-            }
+            httparse::Status::Partial if buffer.len() > MAX_HEAD_LEN => return Err(invalid("head too long")),
             httparse::Status::Partial => return Ok(None),
         };
         let mut request = Request {
@@ -73,11 +71,11 @@
             None => 0,
             Some(text) => {
                 let length = std::str::from_utf8(text).ok().and_then(|text| text.trim().parse().ok());
-                length.ok_or_else(|| err("invalid Content-Length"))?
+                length.ok_or_else(|| invalid("invalid Content-Length"))?
             }
         };
         if length > MAX_BODY_LEN {
-            return Err(err("body too long"));
+            return Err(invalid("body too long"));
         }
         if buffer.len() < head + length {
             return Ok(None);
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -62,7 +62,7 @@
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     Ok(async move {
         tokio::select! { _ = term.recv() => {} _ = int.recv() => {} }
-        anyhow::anyhow!("interrupted: the scenario is over, its processes are ended")
+        anyhow::anyhow!("interrupted by a signal: the run was aborted and its proxies were stopped")
     })
 }
 
@@ -109,7 +109,7 @@
     results.usable = lateness.p99_ms <= MAX_LATENESS_MS && notes.iter().all(|note| !note.starts_with("p"));
     if lateness.p99_ms > MAX_LATENESS_MS {
         notes.push(format!(
-            "the load generator was lateness: {:.1} ms for one wish in a hundred, at most {MAX_LATENESS_MS} ms is usable",
+            "the load generator was late: {:.1} ms for one operation in a hundred, at most {MAX_LATENESS_MS} ms is usable",
             lateness.p99_ms
         ));
     }
--- a/crates/lab/src/real/process.rs
+++ b/crates/lab/src/real/process.rs
@@ -1,5 +1,6 @@
-//! Proxies as processes: started, watched, killed as the day has it, and ended whatever happens. One that
-//! prints without end is read without end, and all but its last lines are dropped.
+//! Runs the proxies as child processes: starts and supervises them, kills and restarts them as the scenario
+//! demands, and ends them on every way out. Their output is always read, so that a proxy that prints without end
+//! never blocks on a full pipe; only its last lines are kept.
 
 use crate::real::SharedFleet;
 use crate::{operator, platform};
@@ -23,33 +24,40 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Lines of a proxy's log that are kept, and the bytes of each.
+/// Last lines kept of a proxy's output.
 const MAX_LOG_LINES: usize = 40;
+/// Longest line kept, in bytes; a longer one is split.
 const MAX_LOG_LINE_BYTES: u64 = 400;
-/// Where the proxies are a fleet.
+/// Number of proxies that vote when the proxies form a fleet.
 const VOTER_COUNT: usize = 3;
 
-/// Where proxies listen: so many ports from the first on, and how far apart programs begin.
+/// Lowest port that proxies listen on.
 const FIRST_PORT: u16 = 10_000;
+/// Size of the port range.
 const PORT_COUNT: u16 = 20_000;
+/// Distance between the first ports of lab processes with consecutive process ids.
 const PORT_STRIDE: u32 = 997;
 
+/// Last lines of a proxy's output.
 type Log = Arc<Mutex<VecDeque<String>>>;
 
+/// One proxy and its child process, while it has one.
 struct Proxy {
     address: SocketAddr,
-    /// Where it takes links of replication, if it does.
+    /// Address for replication links, where the scenario has replication.
     replication_address: Option<SocketAddr>,
-    /// Where it takes the fleet's links, if it votes.
+    /// Address for the fleet's links, if this proxy is a voter.
     voter_address: Option<SocketAddr>,
     config: PathBuf,
     child: Option<Child>,
     log: Log,
-    /// When it is to start again.
+    /// When to start it again after a kill.
     restart_at: Option<Instant>,
+    /// Number of starts so far.
     starts: u64,
 }
 
+/// All proxy processes of a run. Dropping it kills them.
 pub struct Proxies {
     scenario: Scenario,
     seed: u64,
@@ -60,7 +68,8 @@
 }
 
 impl Proxies {
-    /// Starts all, and waits until each answers.
+    /// Starts all proxies, waits until each answers, and founds the fleet where the scenario has one. Fails when a
+    /// process ends or does not answer in time.
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
@@ -69,9 +78,9 @@
     ) -> Result<Proxies> {
         let program = match program {
             Some(program) => program.clone(),
-            None => std::env::current_exe().context("this program's own path")?,
+            None => std::env::current_exe().context("cannot find the path of this executable")?,
         };
-        let folder = tempfile::tempdir().context("a folder for configurations")?;
+        let folder = tempfile::tempdir().context("cannot create a folder for configurations")?;
         let mut proxies = Vec::new();
         for number in 0..scenario.proxies.count {
             proxies.push(Proxy {
@@ -102,11 +111,12 @@
         Ok(all)
     }
 
+    /// Client addresses of the proxies, in order.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.proxies.iter().map(|proxy| proxy.address).collect()
     }
 
-    /// The section `fleet` of a proxy.
+    /// Section `fleet` of a proxy's configuration.
     fn fleet_section(&self, number: usize) -> Json {
         let voters: serde_json::Map<_, _> = (1..)
             .zip(&self.proxies)
@@ -128,6 +138,7 @@
         fleet_section
     }
 
+    /// Writes a proxy's configuration and starts its process.
     fn spawn(&mut self, number: usize, fleet: &SharedFleet) -> Result<()> {
         fleet.proxy_restarted(number);
         let fleet_section = self.scenario.proxies.fleet.then(|| self.fleet_section(number));
@@ -137,7 +148,7 @@
         let mut config = json!({
             "name": format!("p{}", number + 1),
             "listen": proxy.address.to_string(),
-            "discovery": fleet.discovery(number).context("discovery")?.to_string(),
+            "discovery": fleet.discovery(number).context("discovery has no address for this proxy")?.to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {"sockets": 4096, "memory_mb": 512},
             "known": fleet.list(number, None),
@@ -158,7 +169,7 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("p{}: {}", number + 1, self.program.display()))?;
+            .with_context(|| format!("p{}: cannot run {}", number + 1, self.program.display()))?;
         if let Some(stdout) = child.stdout.take() {
             tokio::spawn(keep_last_lines(stdout, proxy.log.clone()));
         }
@@ -170,6 +181,7 @@
         Ok(())
     }
 
+    /// Waits until a proxy answers `PING`. Fails when it ends first or the time limit passes.
     async fn wait_until_ready(&mut self, number: usize) -> Result<()> {
         let name = format!("p{}", number + 1);
         let time_limit = self.scenario.proxies.ready_seconds;
@@ -179,9 +191,9 @@
             if let Some(child) = &mut proxy.child
                 && let Some(status) = child.try_wait()?
             {
-                // What it said may still be on its way.
+                // Its last output may still be in the pipe.
                 sleep(Duration::from_millis(50)).await;
-                bail!("{name} did not start: {status}; it said:\n{}", log_text(&proxy.log));
+                bail!("{name} did not start: {status}; last output:\n{}", log_text(&proxy.log));
             }
             if timeout(Duration::from_millis(500), answers_ping(proxy.address)).await.unwrap_or(false) {
                 return Ok(());
@@ -189,10 +201,10 @@
             sleep(Duration::from_millis(20)).await;
         }
         let log = log_text(&self.proxies[number].log);
-        bail!("{name} did not answer within {time_limit} s; it said:\n{log}");
+        bail!("{name} did not answer within {time_limit} s; last output:\n{log}");
     }
 
-    /// Kills it outright; it starts again as the scenario has it.
+    /// Kills a proxy with SIGKILL and schedules its restart.
     pub async fn kill(&mut self, number: usize, fleet: &SharedFleet) {
         let proxy = &mut self.proxies[number];
         if let Some(mut child) = proxy.child.take() {
@@ -203,7 +215,7 @@
         fleet.proxy_restarted(number);
     }
 
-    /// Starts those again that are due, and notices those that ended by themselves.
+    /// Restarts the proxies that are due, and notes those that ended by themselves.
     pub async fn supervise(&mut self, fleet: &SharedFleet) {
         for number in 0..self.proxies.len() {
             let proxy = &mut self.proxies[number];
@@ -211,9 +223,9 @@
             if let Some(status) = ended {
                 proxy.child = None;
                 let run_time = run_time(fleet.now());
-                let said = log_text(&proxy.log);
+                let output = log_text(&proxy.log);
                 self.notes.push(format!(
-                    "p{} ended by itself run_time {run_time}: {status}; it said:\n{said}",
+                    "p{} ended by itself at {run_time}: {status}; last output:\n{output}",
                     number + 1
                 ));
             }
@@ -221,13 +233,13 @@
                 && let Err(error) = self.spawn(number, fleet)
             {
                 self.proxies[number].restart_at = None;
-                self.notes.push(format!("p{} did not start restart_at: {error:#}", number + 1));
+                self.notes.push(format!("p{} did not restart: {error:#}", number + 1));
             }
         }
     }
 
-    /// Asks all to end, and sees that they do. Gives what was noticed; what begins with a proxy's name spoils
-    /// the day.
+    /// Sends SIGTERM to all proxies and kills those that do not end in time. Returns the notes of the run; a note
+    /// that begins with a proxy's name makes the run unusable.
     pub async fn stop(&mut self) -> Vec<String> {
         for proxy in &self.proxies {
             let id = proxy.child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
@@ -240,22 +252,23 @@
             let Some(mut child) = proxy.child.take() else { continue };
             if tokio::time::timeout_at(until, child.wait()).await.is_err() {
                 let _ = child.kill().await;
-                self.notes.push(format!("p{} hung: it did not end when asked to", number + 1));
+                self.notes.push(format!("p{} hung: it did not end after SIGTERM and was killed", number + 1));
             }
         }
         std::mem::take(&mut self.notes)
     }
 }
 
+/// Time since the scenario began, as text in seconds.
 fn run_time(now: Nanos) -> String {
     format!("{:.1} s", now as f64 / 1e9)
 }
 
-/// An address that nobody listens at. It lies below the ports that the kernel gives to whoever names none: else a
-/// connection or listener of a stand-in could have it before the proxy does.
+/// A loopback address that is free at the moment. Its port lies below the kernel's ephemeral range: otherwise a
+/// connection or listener of a stand-in could take it before the proxy binds it. Fails when no port is free.
 fn free_address() -> Result<SocketAddr> {
     static TAKEN: AtomicU16 = AtomicU16::new(0);
-    // Programs that run beside this one begin elsewhere.
+    // Lab processes that run at the same time begin at different ports.
     let first = std::process::id().wrapping_mul(PORT_STRIDE) as u16 % PORT_COUNT;
     for _ in 0..PORT_COUNT {
         let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
@@ -264,21 +277,22 @@
             return Ok(listener.local_addr()?);
         }
     }
-    bail!("no free_address port from {FIRST_PORT} on")
+    bail!("no free port from {FIRST_PORT} on")
 }
 
+/// Whether the proxy at this address answers `PING`.
 async fn answers_ping(address: SocketAddr) -> bool {
-    let asked = async {
+    let probe = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
         let mut answer = [0; 5];
         stream.read_exact(&mut answer).await?;
         std::io::Result::Ok(&answer == b"+PONG")
     };
-    asked.await.unwrap_or(false)
+    probe.await.unwrap_or(false)
 }
 
-/// Reads to the end and keeps the last lines, each cut to a length.
+/// Reads a process's output to its end and keeps the last lines, each at most `MAX_LOG_LINE_BYTES` long.
 async fn keep_last_lines(from: impl tokio::io::AsyncRead + Unpin, log: Log) {
     let mut from = BufReader::new(from);
     let mut line = Vec::new();
@@ -297,6 +311,7 @@
     }
 }
 
+/// The kept lines, indented.
 fn log_text(log: &Log) -> String {
     let log = log.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     log.iter().map(|line| format!("    {line}\n")).collect::<String>().trim_end().to_string()
--- a/crates/lab/src/real/stand_ins.rs
+++ b/crates/lab/src/real/stand_ins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback sockets: cache nodes speak RESP2, the origin and discovery HTTP/1.1. What they do
-//! with what comes is the model's; here it is only carried out.
+//! Stand-ins on loopback sockets: cache nodes speak RESP2, the origin and discovery HTTP/1.1. The simulation
+//! model decides how each answers; this module only does the input and output.
 
 use crate::real::fleet::{Fleet, ProcessState};
 use crate::real::http::{Request, Response, ServerCodec};
@@ -17,26 +17,27 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::Framed;
 
-/// How long an address that was given up is asked for again, in steps of this.
+/// Pause before binding an address again, and between checks whether discovery is responsive again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest that a watch of the list may last.
+/// Longest long poll of discovery, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 
-/// The value that is made for an exchange: its id, and as many bytes as it should have.
+/// The value for a request: its id, padded to `size` bytes. The id shows whether a client gets its own answer.
 pub fn response_value(request_id: u64, size: u64) -> Bytes {
     let mut value = format!("{request_id:016x}:").into_bytes();
     value.resize((size as usize).max(value.len()), b'.');
     value.into()
 }
 
-/// The exchange that a value was made for.
+/// Id of the request that a value was made for; `None` when it does not begin with an id.
 pub fn request_id_of_value(value: &[u8]) -> Option<u64> {
     u64::from_str_radix(std::str::from_utf8(value.get(..16)?).ok()?, 16).ok()
 }
 
-/// Starts a cache node, or the origin; it listens whenever its process runs, at one address.
+/// Starts a cache node or the origin. It listens at one address for as long as its simulated process does. Fails
+/// when no port can be bound.
 pub async fn node(fleet: Arc<Fleet>, node: usize) -> Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.context("a free port")?;
+    let listener = TcpListener::bind("127.0.0.1:0").await.context("cannot bind a port for a node")?;
     let address = listener.local_addr()?;
     let mut process_state = fleet.process_state(node);
     let mut bound = Some(listener);
@@ -60,7 +61,7 @@
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        connection(fleet.clone(), node, epoch, stream);
+                        serve_connection(fleet.clone(), node, epoch, stream);
                     }
                 }
                 changed = process_state.changed() => if changed.is_err() { return },
@@ -70,11 +71,11 @@
     Ok(address)
 }
 
-/// Serves one connection until it ends, or the process that has it does.
-fn connection(fleet: Arc<Fleet>, node: usize, epoch: u64, stream: TcpStream) {
+/// Serves one connection until it or the simulated process ends.
+fn serve_connection(fleet: Arc<Fleet>, node: usize, epoch: u64, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     if !fleet.accepts_connection(node) {
-        // Dropped at once: it has as many as it can hold.
+        // The node has no room for another connection: reset it at once.
         let _ = stream.set_zero_linger();
         return;
     }
@@ -82,7 +83,7 @@
     tokio::spawn(async move {
         let origin = node == fleet.origin();
         let process_ended = async {
-            // A node that only refuses new connections keeps those that it has.
+            // A node that only refuses new connections keeps the open ones, so the epoch decides.
             while process_state.borrow_and_update().epoch == epoch {
                 if process_state.changed().await.is_err() {
                     return;
@@ -101,7 +102,8 @@
     });
 }
 
-/// Ends a try however its connection does: dropped unanswered, it counts as given up.
+/// An attempt at a stand-in. Dropped before its answer, it counts as given up by the proxy, however its
+/// connection ended.
 struct Attempt<'a> {
     fleet: &'a Fleet,
     request_id: u64,
@@ -118,21 +120,22 @@
     }
 }
 
-/// Carries a try through the model; none where it is never answered. `gone` says that its proxy closed.
+/// Runs an attempt through the model and returns its outcome and value. Returns `None` when `closed` completes first:
+/// the proxy closed the connection.
 async fn run_attempt(
     fleet: &Fleet,
     node: usize,
     request_id: u64,
     told_time: Option<u64>,
-    gone: impl Future<Output = ()>,
+    closed: impl Future<Output = ()>,
 ) -> Option<(JobOutcome, Bytes)> {
     let mut attempt = Attempt { fleet, request_id, node, job: None, open: true };
-    let outcome_sent = async {
-        let Some((operation, delay, reaches)) = fleet.attempt_received(request_id, node, told_time) else {
-            // Its client is gone: the request is already over.
+    let outcome_and_value = async {
+        let Some((operation, delay, reachable)) = fleet.attempt_received(request_id, node, told_time) else {
+            // The request has already ended for its client.
             return Some((JobOutcome::Rejected, Bytes::new()));
         };
-        if !reaches {
+        if !reachable {
             return std::future::pending().await;
         }
         sleep(Duration::from_nanos(delay)).await;
@@ -148,16 +151,17 @@
         Some((outcome, response_value(request_id, operation.value_bytes)))
     };
     tokio::select! {
-        done = outcome_sent => done,
-        () = gone => None,
+        done = outcome_and_value => done,
+        () = closed => None,
     }
 }
 
+/// Serves a cache node's connection, one command at a time.
 async fn serve_cache(fleet: &Fleet, node: usize, stream: TcpStream) {
     let mut framed = Framed::new(stream, Resp);
-    let mut ahead = None;
+    let mut pipelined = None;
     loop {
-        let frame = match ahead.take() {
+        let frame = match pipelined.take() {
             Some(frame) => frame,
             None => match framed.next().await {
                 Some(Ok(frame)) => frame,
@@ -173,27 +177,27 @@
                     let _ = framed.send(&Frame::error("SYNTAX")).await;
                     return;
                 };
-                // What comes meanwhile is the end, or a command that waits its turn.
-                let gone = async {
+                // Meanwhile either the connection ends or a pipelined command arrives, which is kept for later.
+                let closed = async {
                     if let Some(Ok(frame)) = framed.next().await {
-                        ahead = Some(frame);
+                        pipelined = Some(frame);
                         std::future::pending::<()>().await;
                     }
                 };
                 let told_time = command_words.get(3).and_then(|labels| parse_told_time(labels));
-                match run_attempt(fleet, node, request_id, told_time, gone).await {
+                match run_attempt(fleet, node, request_id, told_time, closed).await {
                     None => return,
                     Some((JobOutcome::Corrupted, _)) => {
                         let _ = framed.get_mut().write_all(b"*3\r\n$what?\r\n").await;
                         return;
                     }
                     Some((JobOutcome::Completed, value)) => {
-                        let how = Frame::Bulk(Bytes::from_static(b"hit"));
-                        Frame::Array(vec![Frame::Bulk(value), how, Frame::Null])
+                        let cache_status = Frame::Bulk(Bytes::from_static(b"hit"));
+                        Frame::Array(vec![Frame::Bulk(value), cache_status, Frame::Null])
                     }
                     Some((JobOutcome::Missed, _)) => {
-                        let how = Frame::Bulk(Bytes::from_static(b"miss"));
-                        Frame::Array(vec![Frame::Null, how, Frame::Null])
+                        let cache_status = Frame::Bulk(Bytes::from_static(b"miss"));
+                        Frame::Array(vec![Frame::Null, cache_status, Frame::Null])
                     }
                     Some((JobOutcome::Rejected, _)) => Frame::error("BUSY"),
                     Some((JobOutcome::Failed, _)) => Frame::error("ERR failed"),
@@ -207,28 +211,31 @@
     }
 }
 
+/// The bulk strings of a command.
 fn command_words(frame: &Frame) -> Vec<Bytes> {
     let Frame::Array(parts) = frame else { return Vec::new() };
     let word = |part: &Frame| if let Frame::Bulk(word) = part { word.clone() } else { Bytes::new() };
     parts.iter().map(word).collect()
 }
 
+/// A request id from its hexadecimal form.
 fn parse_request_id(word: &[u8]) -> Option<u64> {
     u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()
 }
 
-/// How long an attempt tells that it will be waited for, in nanoseconds.
+/// How long the proxy says that it will wait for the attempt, from label `d` in milliseconds.
 fn parse_told_time(labels: &[u8]) -> Option<Nanos> {
     let mut labels = std::str::from_utf8(labels).ok()?.split(',');
     let told_time = labels.find_map(|label| label.strip_prefix("d="))?;
     Some(millis(told_time.parse().ok()?))
 }
 
+/// Serves a connection to the origin, one request at a time.
 async fn serve_origin(fleet: &Fleet, node: usize, stream: TcpStream) {
     let mut framed = Framed::new(stream, ServerCodec);
-    let mut ahead: Option<Request> = None;
+    let mut pipelined: Option<Request> = None;
     loop {
-        let request = match ahead.take() {
+        let request = match pipelined.take() {
             Some(request) => request,
             None => match framed.next().await {
                 Some(Ok(request)) => request,
@@ -238,14 +245,14 @@
         let response = if request.path.starts_with("/health/") {
             Response { status: 200, ..Response::default() }
         } else if let Some(request_id) = request.header("x-txn").and_then(parse_request_id) {
-            let gone = async {
+            let closed = async {
                 if let Some(Ok(request)) = framed.next().await {
-                    ahead = Some(request);
+                    pipelined = Some(request);
                     std::future::pending::<()>().await;
                 }
             };
             let told_time = request.header("x-labels").and_then(parse_told_time);
-            match run_attempt(fleet, node, request_id, told_time, gone).await {
+            match run_attempt(fleet, node, request_id, told_time, closed).await {
                 None => return,
                 Some((JobOutcome::Completed, value)) => Response { status: 200, header: None, body: value },
                 Some((JobOutcome::Rejected, _)) => {
@@ -262,9 +269,9 @@
     }
 }
 
-/// Starts discovery's agent beside a proxy.
+/// Starts a proxy's discovery agent. Fails when no port can be bound.
 pub async fn discovery(fleet: Arc<Fleet>, proxy: usize) -> Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.context("a free port")?;
+    let listener = TcpListener::bind("127.0.0.1:0").await.context("cannot bind a port for discovery")?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -276,11 +283,12 @@
     Ok(address)
 }
 
+/// Serves a connection to discovery: whole lists, and long polls for changes.
 async fn serve_discovery(fleet: &Fleet, proxy: usize, stream: TcpStream) {
     let mut framed = Framed::new(stream, ServerCodec);
     while let Some(Ok(request)) = framed.next().await {
         let since = request.query("index");
-        // A caller that is gone is told nothing.
+        // A list that a closed connection never got must not count as known to the proxy.
         tokio::select! {
             () = wait_until_due(fleet, since, request.query("wait").unwrap_or(0)) => {}
             _ = framed.next() => return,
@@ -292,7 +300,8 @@
     }
 }
 
-/// Waits until discovery has something to tell: news, the end of the watch, and the end of its own silence.
+/// Waits until discovery answers: with a `since` version until there is a newer one or the long poll ends, and in
+/// any case while discovery is unresponsive.
 async fn wait_until_due(fleet: &Fleet, since: Option<u64>, wait: u64) {
     if let Some(version) = since {
         let mut versions = fleet.registry_versions();
@@ -305,12 +314,13 @@
     wait_until_responsive(fleet).await;
 }
 
+/// Waits for the delay with which a change reachable a proxy.
 async fn wait_propagation_delay(fleet: &Fleet) {
     let delay: Nanos = fleet.discovery_delay().unwrap_or(millis(10.0));
     sleep(Duration::from_nanos(delay)).await;
 }
 
-/// Waits while discovery answers nobody.
+/// Waits while discovery is unresponsive.
 async fn wait_until_responsive(fleet: &Fleet) {
     while fleet.discovery_delay().is_none() {
         sleep(RETRY_INTERVAL).await;
