--- a/crates/lab/examples/cold.rs
+++ b/crates/lab/examples/cold.rs
@@ -1,12 +1,17 @@
-//! The table of cold nodes in docs/lab-results.md: how much of what a cold node falls by it gets from all proxies
-//! together, at the worst of ten seeds. `cargo run --release --example cold -- MULTIPLE RATE [DAY]`: at multiple 1 a node
-//! bears what it does of normal work when warm, by the part that it has; the rate is of a warm node, a second, of eight such before four join.
+//! Prints the table of cold nodes in docs/lab-results.md: the load that all proxies together put on a cold node, as a
+//! part of the load at which it crashes, for the worst of ten seeds.
+//!
+//! `cargo run --release --example cold -- MULTIPLE RATE [DAY]`: MULTIPLE is the load that a node survives, relative to
+//! its normal load when warm and scaled by its present capacity (1 is the normal load); RATE is the requests per
+//! second of a warm node; DAY is the number of one scenario, from 0, instead of all. There are eight warm nodes, and
+//! four more join in the scenario `join`.
 
 use pumicebay_lab::{scenario, virt};
 use rayon::prelude::*;
 use std::path::Path;
 
-const DAYS: [(&str, &str, &str); 7] = [
+/// Row name, and settings or faults before and after the base scenario.
+const SCENARIOS: [(&str, &str, &str); 7] = [
     ("replace", REPLACE, ""),
     ("join", JOIN, ""),
     ("restarts amid", REPLACE, RESTARTS),
@@ -26,41 +31,45 @@
 
 fn main() {
     let numbers: Vec<f64> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
-    let (&[multiple, rate], only) = (&numbers[..2], numbers.get(2).map(|&day| day as usize)) else {
-        panic!("expected MULTIPLE RATE, and a day's number or none");
+    let (&[multiple, rate], only) = (&numbers[..2], numbers.get(2).map(|&number| number as usize)) else {
+        panic!("expected MULTIPLE RATE [DAY]: two numbers and optionally the number of a scenario");
     };
     println!("| day | 1 | 5 | 20 | 30 | 60 |\n| --- | --- | --- | --- | --- | --- |");
-    for (_, (name, first, last)) in (0..).zip(DAYS).filter(|(day, _)| only.is_none_or(|only| only == *day)) {
+    for (_, (name, before, after)) in
+        (0..).zip(SCENARIOS).filter(|(number, _)| only.is_none_or(|only| only == *number))
+    {
         print!("| {name} ");
         for proxies in [1, 5, 20, 30, 60] {
-            let first = first.replace("half", &(proxies / 2).max(1).to_string());
+            let before = before.replace("half", &(proxies / 2).max(1).to_string());
             let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/base/cold.toml");
-            let base = std::fs::read_to_string(path).expect("the base of cold days");
-            let text = format!("{}\n{base}\n{}\n{last}", keys(&first, false), keys(&first, true));
-            let set = [
+            let base = std::fs::read_to_string(path).expect("a readable scenarios/base/cold.toml");
+            let text =
+                format!("{}\n{base}\n{}\n{after}", text_of_kind(&before, false), text_of_kind(&before, true));
+            let overrides = [
                 ("proxies.count", proxies as f64),
                 ("clients.rate", 12.0 * rate),
                 (
                     "nodes.fall_multiple",
-                    multiple * rate * 0.004 / 2.0 * if first == JOIN { 1.5 } else { 1.0 },
+                    multiple * rate * 0.004 / 2.0 * if before == JOIN { 1.5 } else { 1.0 },
                 ),
             ];
-            let whole = |(key, value): (&str, f64)| (key.to_string(), value.to_string());
-            let day = scenario::parse(&text, &set.map(whole)).expect("a sound day");
-            let play = |seed| {
-                let (auditor, tally) = virt::run(&day, "pumicebay", seed, &|_| {}).expect("a day that plays");
+            let to_text = |(key, value): (&str, f64)| (key.to_string(), value.to_string());
+            let scenario = scenario::parse(&text, &overrides.map(to_text)).expect("a valid scenario");
+            let run_seed = |seed| {
+                let (auditor, tally) =
+                    virt::run(&scenario, "pumicebay", seed, &|_| {}).expect("a completed run");
                 (auditor.worst, auditor.counts[4], auditor.uncharged, tally.buried)
             };
-            let played: Vec<_> = (1..=10u64).into_par_iter().map(play).collect();
-            let worst = played.iter().map(|day| day.0).fold(0.0, f64::max);
-            let sum = |part: fn(&(f64, u64, u64, u64)) -> u64| played.iter().map(part).sum::<u64>();
-            print!("| {worst:.2}, {} charged, {} not ", sum(|day| day.1), sum(|day| day.2));
+            let runs: Vec<_> = (1..=10u64).into_par_iter().map(run_seed).collect();
+            let worst = runs.iter().map(|run| run.0).fold(0.0, f64::max);
+            let sum = |part: fn(&(f64, u64, u64, u64)) -> u64| runs.iter().map(part).sum::<u64>();
+            print!("| {worst:.2}, {} charged, {} not ", sum(|run| run.1), sum(|run| run.2));
         }
         println!("|");
     }
 }
 
-/// The faults of a day stand after all else, its other keys before.
-fn keys(text: &str, faults: bool) -> &str {
+/// The text if it is of the wanted kind, else nothing: TOML tables of faults go after the base, plain keys before it.
+fn text_of_kind(text: &str, faults: bool) -> &str {
     if text.starts_with("[[") == faults { text } else { "" }
 }
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -1,6 +1,6 @@
-//! Every rule broken on purpose, and kept where it looks like broken.
+//! Each rule is broken on purpose and must be reported; each case that only resembles a violation must not be.
 
-use crate::day;
+use crate::parse_scenario;
 use pumicebay_lab::audit::{Auditor, Final};
 use pumicebay_lab::time_told::TimeTold;
 use pumicebay_model::registry::NodeState;
@@ -25,50 +25,51 @@
     window_seconds = 0.2
 "#;
 
-/// What the auditor says of one exchange, taken at 0 with a second to go, after this has happened.
-fn judged(route: usize, happens: impl FnOnce(&mut Auditor)) -> Vec<String> {
-    let mut auditor = Auditor::new(&day(ROUTES), MS);
+/// Violations that the auditor reports for one request, accepted at 0 with an overall timeout of 1 s, after these
+/// events.
+fn violations(route: usize, events: impl FnOnce(&mut Auditor)) -> Vec<String> {
+    let mut auditor = Auditor::new(&parse_scenario(ROUTES), MS);
     auditor.taken(0, 1, 0, route, 1000 * MS);
-    happens(&mut auditor);
+    events(&mut auditor);
     auditor.finish();
     assert_eq!(auditor.judged(), 1);
     let line = |broken: &pumicebay_lab::audit::Broken| format!("{}: {}", broken.rule, broken.what);
     auditor.broken.iter().map(line).collect()
 }
 
-/// A try at a node from one time to another; it ran there.
-fn tried(auditor: &mut Auditor, node: usize, from: u64, until: u64) {
+/// Records an attempt at a node between two times, in milliseconds, that ran there.
+fn record_attempt(auditor: &mut Auditor, node: usize, from: u64, until: u64) {
     auditor.sent(from * MS, 1, Some(node));
     auditor.ran((from + 1) * MS, 1, Some(node));
     auditor.over(until * MS, 1, Some(node));
 }
 
 #[test]
-fn an_ordinary_exchange_breaks_nothing() {
-    let broken = judged(PUT, |auditor| {
-        tried(auditor, 0, 10, 20);
+fn an_ordinary_request_breaks_no_rule() {
+    let broken = violations(PUT, |auditor| {
+        record_attempt(auditor, 0, 10, 20);
         auditor.answered(20 * MS, 1, Final::Served, true);
     });
     assert!(broken.is_empty(), "{broken:?}");
 }
 
 #[test]
-fn one_answer_in_time() {
-    assert_eq!(judged(READ, |_| {}), ["1: never answered"]);
-    let twice = judged(READ, |auditor| {
+fn missing_second_and_late_answers_break_rule_one() {
+    assert_eq!(violations(READ, |_| {}), ["1: never answered"]);
+    let twice = violations(READ, |auditor| {
         auditor.answered(20 * MS, 1, Final::Shed, true);
         auditor.answered(30 * MS, 1, Final::Served, true);
     });
     assert_eq!(twice, ["1: answered 2 times"]);
-    let late = judged(READ, |auditor| auditor.answered(1020 * MS, 1, Final::Errored, true));
+    let late = violations(READ, |auditor| auditor.answered(1020 * MS, 1, Final::Errored, true));
     assert_eq!(late, ["1: answered 0.020 s past its overall timeout"]);
-    // A proxy that died owes nothing.
-    assert!(judged(READ, |auditor| auditor.lost(500 * MS, 1)).is_empty());
+    // A proxy that was killed owes no answer.
+    assert!(violations(READ, |auditor| auditor.lost(500 * MS, 1)).is_empty());
 }
 
 #[test]
-fn no_try_after_the_answer() {
-    let broken = judged(READ, |auditor| {
+fn an_attempt_after_the_answer_breaks_rule_one() {
+    let broken = violations(READ, |auditor| {
         auditor.answered(20 * MS, 1, Final::Shed, true);
         auditor.sent(30 * MS, 1, Some(2));
     });
@@ -76,43 +77,43 @@
 }
 
 #[test]
-fn no_two_tries_at_once() {
-    let broken = judged(READ, |auditor| {
-        tried(auditor, 0, 10, 40);
-        tried(auditor, 1, 20, 30);
+fn overlapping_attempts_break_rule_two() {
+    let broken = violations(READ, |auditor| {
+        record_attempt(auditor, 0, 10, 40);
+        record_attempt(auditor, 1, 20, 30);
         auditor.answered(40 * MS, 1, Final::Served, true);
     });
     assert_eq!(broken, ["2: sent while another try was out"]);
-    let one_by_one = judged(READ, |auditor| {
-        tried(auditor, 0, 10, 20);
-        tried(auditor, 1, 20, 30);
+    let sequential = violations(READ, |auditor| {
+        record_attempt(auditor, 0, 10, 20);
+        record_attempt(auditor, 1, 20, 30);
         auditor.answered(40 * MS, 1, Final::Served, true);
     });
-    assert!(one_by_one.is_empty(), "{one_by_one:?}");
+    assert!(sequential.is_empty(), "{sequential:?}");
 }
 
 #[test]
-fn no_effect_twice() {
+fn a_second_effect_breaks_rule_two() {
     let twice = |route, node, second| {
-        judged(route, |auditor| {
-            tried(auditor, 0, 10, 20);
-            tried(auditor, node, second, second + 5);
+        violations(route, |auditor| {
+            record_attempt(auditor, 0, 10, 20);
+            record_attempt(auditor, node, second, second + 5);
             auditor.answered((second + 6) * MS, 1, Final::Served, true);
         })
     };
     assert!(twice(READ, 1, 30).is_empty());
     assert_eq!(twice(PUT, 1, 30), ["2: took effect twice"]);
-    // Node 2 is in the zone of node 0 and discards the repeat, for 200 ms; node 1 is not.
+    // Node 2 shares the zone of node 0 and discards the repeat for 200 ms; node 1 is in another zone.
     assert!(twice(MARK, 2, 30).is_empty());
     assert_eq!(twice(MARK, 1, 30), ["2: took effect twice"]);
     assert_eq!(twice(MARK, 2, 300), ["2: took effect twice"]);
 }
 
 #[test]
-fn nothing_is_shed_that_ran() {
+fn shedding_a_write_that_ran_breaks_rule_two() {
     let shed = |route| {
-        judged(route, |auditor| {
-            tried(auditor, 0, 10, 20);
+        violations(route, |auditor| {
+            record_attempt(auditor, 0, 10, 20);
             auditor.answered(30 * MS, 1, Final::Shed, true);
         })
     };
@@ -122,29 +123,29 @@
 }
 
 #[test]
-fn nothing_new_to_a_node_past_the_grace() {
-    let sent = |at: u64, tell: &dyn Fn(&mut Auditor)| {
-        judged(READ, |auditor| {
+fn new_work_for_a_node_past_the_drain_grace_breaks_rule_three() {
+    let sent = |at: u64, report: &dyn Fn(&mut Auditor)| {
+        violations(READ, |auditor| {
             auditor.told(0, 0, 3, NodeState::Ready);
-            tell(auditor);
+            report(auditor);
             auditor.sent(at * MS, 1, Some(3));
             auditor.over((at + 1) * MS, 1, Some(3));
             auditor.answered((at + 2).min(999) * MS, 1, Final::Served, true);
         })
     };
-    // The drain was a second and more before the exchange began.
+    // Work is allowed within the grace period after a drain. Further below, requests begin 2 s after the drain.
     let drained = |auditor: &mut Auditor| auditor.told(0, 0, 3, NodeState::Draining);
     assert!(sent(900, &drained).is_empty());
-    let mut auditor = Auditor::new(&day(ROUTES), MS);
+    let mut auditor = Auditor::new(&parse_scenario(ROUTES), MS);
     auditor.told(0, 0, 3, NodeState::Draining);
     auditor.told(0, 1, 4, NodeState::Draining);
-    for (xchg, proxy) in [(1, 0), (2, 1)] {
-        auditor.taken(2000 * MS, xchg, proxy, READ, 3000 * MS);
-        auditor.sent(2010 * MS, xchg, Some(3));
-        auditor.over(2020 * MS, xchg, Some(3));
-        auditor.answered(2020 * MS, xchg, Final::Served, true);
+    for (request_id, proxy) in [(1, 0), (2, 1)] {
+        auditor.taken(2000 * MS, request_id, proxy, READ, 3000 * MS);
+        auditor.sent(2010 * MS, request_id, Some(3));
+        auditor.over(2020 * MS, request_id, Some(3));
+        auditor.answered(2020 * MS, request_id, Final::Served, true);
     }
-    // Told again the same it has no new grace, and ready again it may be sent to.
+    // A repeated report starts no new grace period, and a node that is ready again may get requests.
     auditor.told(1900 * MS, 0, 3, NodeState::Left);
     auditor.told(2050 * MS, 0, 3, NodeState::Ready);
     auditor.taken(4000 * MS, 3, 0, READ, 5000 * MS);
@@ -158,76 +159,80 @@
 }
 
 #[test]
-fn values_and_cold_nodes() {
-    let broken = judged(READ, |auditor| auditor.answered(20 * MS, 1, Final::Served, false));
+fn wrong_values_and_crashed_cold_nodes_are_counted() {
+    let broken = violations(READ, |auditor| auditor.answered(20 * MS, 1, Final::Served, false));
     assert_eq!(broken, ["0: served with what was not made for it"]);
-    let mut auditor = Auditor::new(&day(ROUTES), MS);
+    let mut auditor = Auditor::new(&parse_scenario(ROUTES), MS);
     auditor.buried(7 * MS, 2);
     auditor.origin_stopped(8 * MS);
     assert_eq!(auditor.counts, [0, 0, 0, 0, 2]);
 }
 
-/// What the auditor says of so many requests at once, by three proxies in turn, to a node whose process is 0.1 s old:
-/// by its age 27 are allowed then, so that the fortieth is one too many. Each proxy was told of a start, or not.
+/// Violations and uncharged crashes after `count` simultaneous requests, sent by three proxies in turn to a node whose
+/// process is 0.1 s old. At that age 27 are allowed, so that the fortieth is one too many. `told` holds the start
+/// time, in milliseconds, that each proxy was told, if any.
 fn burst(count: u64, told: [Option<u64>; 3]) -> (Vec<String>, u64) {
     let nodes = "cores = 1\nstart_capacity = 0.1\nwarm_up_seconds = 10\nfall_multiple = 1";
-    let mut auditor = Auditor::new(&day(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
+    let mut auditor =
+        Auditor::new(&parse_scenario(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
     auditor.started(5000 * MS, 2);
     for (proxy, started) in told.into_iter().enumerate() {
         started.into_iter().for_each(|started| auditor.told_start(5050 * MS, proxy, 2, started * MS));
     }
-    for xchg in 1..=count {
-        auditor.taken(5090 * MS, xchg, (xchg % 3) as usize, READ, 6000 * MS);
-        auditor.sent(5095 * MS, xchg, Some(2));
-        auditor.got(5100 * MS, xchg, 2);
-        auditor.answered(5110 * MS, xchg, Final::Served, true);
+    for request_id in 1..=count {
+        auditor.taken(5090 * MS, request_id, (request_id % 3) as usize, READ, 6000 * MS);
+        auditor.sent(5095 * MS, request_id, Some(2));
+        auditor.got(5100 * MS, request_id, 2);
+        auditor.answered(5110 * MS, request_id, Final::Served, true);
     }
     auditor.finish();
     (auditor.broken.iter().map(|broken| broken.what.clone()).collect(), auditor.uncharged)
 }
 
 #[test]
-fn a_cold_node_falls_under_the_sum_of_all_that_knew_of_its_start() {
-    let (knew, before) = (Some(5000), Some(4000));
-    assert_eq!(burst(39, [knew; 3]), (vec![], 0));
-    let fell =
+fn a_crashed_cold_node_is_charged_to_the_proxies_told_of_its_start() {
+    let (informed, before) = (Some(5000), Some(4000));
+    assert_eq!(burst(39, [informed; 3]), (vec![], 0));
+    let charged =
         |part| vec![format!("a cold node was buried: 40 requests, {part}% by proxies told of its start")];
-    assert_eq!(burst(40, [knew; 3]), (fell(100), 0));
-    assert_eq!(burst(400, [knew; 3]), (fell(100), 0), "a process falls once");
-    // Those who were not told, or of the process before, could not know; a third of it is no excuse.
+    assert_eq!(burst(40, [informed; 3]), (charged(100), 0));
+    assert_eq!(burst(400, [informed; 3]), (charged(100), 0), "a process crashes only once");
+    // Proxies that were told no start, or that of the previous process, could not know. That one of the three did not
+    // know excuses nobody while the others alone exceed the node's limit.
     assert_eq!(burst(40, [None; 3]), (vec![], 1));
     assert_eq!(burst(40, [before; 3]), (vec![], 1));
-    assert_eq!(burst(40, [None, knew, knew]), (fell(68), 0));
-    assert_eq!(burst(40, [knew, None, knew]), (vec![], 1));
+    assert_eq!(burst(40, [None, informed, informed]), (charged(68), 0));
+    assert_eq!(burst(40, [informed, None, informed]), (vec![], 1));
 }
 
 #[test]
-fn a_cold_node_is_judged_by_its_window_and_its_age() {
-    let fell = |at: fn(u64) -> u64| {
+fn a_cold_nodes_limit_counts_one_window_and_grows_with_its_age() {
+    let charged = |at: fn(u64) -> u64| {
         let nodes = "cores = 1\nstart_capacity = 0.1\nwarm_up_seconds = 10\nfall_multiple = 1";
-        let mut auditor = Auditor::new(&day(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
+        let mut auditor =
+            Auditor::new(&parse_scenario(&format!("[nodes]\n{nodes}\n[[route]]\nservice_ms = 4")), MS);
         auditor.started(MS, 2);
         auditor.told_start(MS, 0, 2, MS);
-        for xchg in 1..=60 {
-            auditor.taken(at(xchg) * MS, xchg, 0, READ, (at(xchg) + 1000) * MS);
-            auditor.sent((at(xchg) + 5) * MS, xchg, Some(2));
-            auditor.got((at(xchg) + 5) * MS, xchg, 2);
+        for request_id in 1..=60 {
+            auditor.taken(at(request_id) * MS, request_id, 0, READ, (at(request_id) + 1000) * MS);
+            auditor.sent((at(request_id) + 5) * MS, request_id, Some(2));
+            auditor.got((at(request_id) + 5) * MS, request_id, 2);
         }
         auditor.counts[4]
     };
-    assert_eq!(fell(|_| 100), 1);
-    assert_eq!(fell(|xchg| 100 + 30 * xchg), 0, "spread over two windows");
-    assert_eq!(fell(|_| 4000), 0, "by then it bears more than a hundred");
-    assert_eq!(fell(|_| 11_000), 0, "warm");
+    assert_eq!(charged(|_| 100), 1);
+    assert_eq!(charged(|request_id| 100 + 30 * request_id), 0, "spread over two windows");
+    assert_eq!(charged(|_| 4000), 0, "at that age it can take more than a hundred");
+    assert_eq!(charged(|_| 11_000), 0, "warm");
 }
 
-/// What an attempt tells counts against its client's own clock: a first one and a further one, within what measuring is
-/// off by and past it, and one that tells nothing.
+/// The wait that an attempt announces is compared with the time its client has left: for a first and a further
+/// attempt, within the tolerance for measuring and past it, and for one that announces none.
 #[test]
-fn no_attempt_tells_more_time_than_its_client_has_left() {
+fn an_attempt_must_not_announce_more_time_than_its_client_has_left() {
     let told = |first: Option<u64>, further: Option<u64>| {
         let mut time_told = TimeTold::default();
-        let broken = judged(READ, |auditor| {
+        let broken = violations(READ, |auditor| {
             auditor.client_waits_until(1, 900 * MS);
             for (at, told) in [(100, first), (400, further)] {
                 auditor.sent(at * MS, 1, Some(0));
--- a/crates/lab/tests/lab/main.rs
+++ b/crates/lab/tests/lab/main.rs
@@ -1,33 +1,34 @@
-//! The lab itself: its auditor, its checker of histories, its virtual days, its scenarios' errors, and real days cut short.
+//! Tests of the lab: the auditor, the history checker, runs in virtual time, errors in scenarios, and short runs on
+//! sockets.
 
 mod audit;
-mod crowds;
 mod history;
+mod many_proxies;
 mod scenarios;
 mod sockets;
 mod stand_ins;
-mod virtual_days;
+mod virtual_time;
 
 use pumicebay_lab::scenario;
 use pumicebay_model::spec::Scenario;
 use std::sync::{PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
-/// A day on sockets has the cores to itself; virtual days share them. Beside one that is meant to
-/// overload the load generator, or beside threads that reckon, another day's clients were late by
-/// 26.6 ms on a smaller machine, and its verdict was the machine's.
+/// A run on sockets has the cores to itself; runs in virtual time share them. Beside the run that overloads the
+/// load generator, or beside computing threads, the clients of another run on sockets were 26.6 ms late on a
+/// smaller machine, so that its result measured the machine and not the proxy.
 static CORES: RwLock<()> = RwLock::new(());
 
-/// For a day on sockets.
-pub fn alone() -> RwLockWriteGuard<'static, ()> {
+/// Held by a run on sockets.
+pub fn exclusive_cores() -> RwLockWriteGuard<'static, ()> {
     CORES.write().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// For virtual days.
-pub fn shared() -> RwLockReadGuard<'static, ()> {
+/// Held by runs in virtual time.
+pub fn shared_cores() -> RwLockReadGuard<'static, ()> {
     CORES.read().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A scenario from its text.
-pub fn day(text: &str) -> Scenario {
-    scenario::parse(text, &[]).expect("a sound scenario")
+/// Parses a scenario that must be valid.
+pub fn parse_scenario(text: &str) -> Scenario {
+    scenario::parse(text, &[]).expect("a valid scenario")
 }
--- a/crates/lab/tests/lab/crowds.rs
+++ b/crates/lab/tests/lab/many_proxies.rs
@@ -1,12 +1,13 @@
-//! Real days with more proxies than nodes: what none of them does alone, all may do together.
+//! Runs on sockets with more proxies than nodes: load that is harmless from one proxy can overload a node when all
+//! proxies send it together.
 
-use crate::day;
+use crate::parse_scenario;
 use crate::sockets::{self, LAB, ROUTES};
 use pumicebay_lab::results::Results;
 use std::path::Path;
 
-fn play(faults: &str) -> Results {
-    let day = day(&format!(
+fn play_without_violations(faults: &str) -> Results {
+    let scenario = parse_scenario(&format!(
         r#"
         seconds = 9
         warm_up_seconds = 1
@@ -24,19 +25,20 @@
         {ROUTES}
     "#
     ));
-    let results = sockets::play(&day, Path::new(LAB)).expect("a day that plays");
+    let results = sockets::play(&scenario, Path::new(LAB)).expect("a completed run");
     println!("{}", results.table());
     assert!(results.rules_kept(), "{:?}", results.broken);
     assert!(results.notes.is_empty(), "{:?}", results.notes);
-    let told = results.time_told;
-    assert_eq!((told.first_too_much, told.further_too_much), (0, 0), "{told:?}");
+    let time_told = results.time_told;
+    assert_eq!((time_told.first_too_much, time_told.further_too_much), (0, 0), "{time_told:?}");
     results
 }
 
-/// Half of the nodes are replaced by cold ones, while twice as much is asked.
+/// Half of the nodes are replaced by cold ones during a burst of twice the load: the proxies together must not
+/// overload the cold nodes.
 #[test]
-fn a_crowd_of_proxies_meets_cold_nodes() {
-    let results = play(
+fn many_proxies_together_do_not_overload_cold_nodes() {
+    let results = play_without_violations(
         r#"
         [[fault]]
         kind = "replace"
@@ -53,10 +55,11 @@
     assert!(results.share > 0.8, "{}", results.table());
 }
 
-/// Lists fall silent late, while a node drains and another dies; proxies are killed while clients call.
+/// Discovery stops answering while a node drains and another crashes, and proxies are killed under load: the
+/// restarted proxies must keep the rules with the lists they have.
 #[test]
-fn lists_fall_silent_while_proxies_are_killed() {
-    let results = play(
+fn discovery_is_silent_while_proxies_are_killed() {
+    let results = play_without_violations(
         r#"
         [[fault]]
         kind = "discovery_silent"
--- a/crates/lab/tests/lab/sockets.rs
+++ b/crates/lab/tests/lab/sockets.rs
@@ -1,6 +1,6 @@
-//! Real days cut short, and proxies that misbehave.
+//! Short runs on sockets, and proxies that misbehave.
 
-use crate::{alone, day};
+use crate::{exclusive_cores, parse_scenario};
 use pumicebay_lab::real;
 use pumicebay_lab::results::Results;
 use pumicebay_model::spec::Scenario;
@@ -10,12 +10,12 @@
 
 pub const LAB: &str = env!("CARGO_BIN_EXE_pumicebay-lab");
 
-pub fn play(day: &Scenario, proxy: &Path) -> anyhow::Result<Results> {
-    let _alone = alone();
-    real::play(day, day.seed, Some(&proxy.to_path_buf()), &|_| {})
+pub fn play(scenario: &Scenario, proxy: &Path) -> anyhow::Result<Results> {
+    let _guard = exclusive_cores();
+    real::play(scenario, scenario.seed, Some(&proxy.to_path_buf()), &|_| {})
 }
 
-/// A program that does this instead of serving; `$LAB serve ...` serves.
+/// Writes an executable script that runs instead of the proxy; `$LAB serve ...` in it starts the real one.
 fn script(folder: &Path, text: &str) -> PathBuf {
     let path = folder.join("proxy.sh");
     std::fs::write(&path, format!("#!/bin/sh\nLAB={LAB}\n{text}\n")).expect("a script");
@@ -37,7 +37,7 @@
     keys = 100
 "#;
 
-/// Reads that may be sent again, and writes that may not.
+/// A route of retriable reads and one of non-retriable writes.
 pub const ROUTES: &str = r#"
     [[route]]
     name = "read"
@@ -53,7 +53,7 @@
 "#;
 
 #[test]
-fn a_first_day_cut_to_five_seconds() {
+fn a_crash_and_a_killed_proxy_break_no_rule() {
     let text = r#"
         seconds = 5
         warm_up_seconds = 1
@@ -76,20 +76,21 @@
         at = 3
         proxies = ["p2"]
     "#;
-    let results = play(&day(&(text.to_string() + ROUTES)), Path::new(LAB)).expect("a day that plays");
+    let results =
+        play(&parse_scenario(&(text.to_string() + ROUTES)), Path::new(LAB)).expect("a completed run");
     assert!(results.rules_kept(), "{:?}", results.broken);
     assert!(results.notes.is_empty(), "{:?}", results.notes);
     assert!(results.share > 0.8, "{}", results.table());
     assert!(results.hit_rate > 0.5 && results.fetches_per_second > 1.0);
-    // Nobody was told more time than a client had left, and further attempts were among those looked at.
-    let told = results.time_told;
-    assert!(told.first > 300 && told.further > 30, "{told:?}");
-    assert_eq!((told.first_too_much, told.further_too_much), (0, 0), "{told:?}");
+    // No attempt announced more time than its client had left, and further attempts were among those checked.
+    let time_told = results.time_told;
+    assert!(time_told.first > 300 && time_told.further > 30, "{time_told:?}");
+    assert_eq!((time_told.first_too_much, time_told.further_too_much), (0, 0), "{time_told:?}");
 }
 
 #[test]
-fn latencies_count_from_when_clients_meant_to_send() {
-    // All that was meant to be sent while the nodes stood still waits, not the one that was out.
+fn latencies_count_from_the_scheduled_send_time() {
+    // Guards against coordinated omission: all requests scheduled during the stall must show it, not only those open.
     let text = SHORT.to_string()
         + r#"
         retry = "never"
@@ -104,58 +105,58 @@
         lasts = 1
         nodes = ["n1", "n2"]
     "#;
-    let results = play(&day(&text), Path::new(LAB)).expect("a day that plays");
+    let results = play(&parse_scenario(&text), Path::new(LAB)).expect("a completed run");
     let latency = &results.latency[0];
     assert!(latency.max_ms > 850.0, "{latency:?}");
-    // A second of two and a half was lost: far more than one exchange in a hundred had to wait.
+    // One second of two and a half was lost, so far more than one request in a hundred had to wait.
     assert!(latency.p90_ms > 500.0, "{latency:?}");
 }
 
 #[test]
-fn a_load_generator_that_is_late_says_so() {
+fn a_late_load_generator_makes_the_run_unusable() {
     let text = SHORT.replace("rate = 50", "rate = 60000").replace("seconds = 3", "seconds = 0.6");
     let text = text.replace("warm_up_seconds = 0.5", "warm_up_seconds = 0.0");
-    let results = play(&day(&text), Path::new(LAB)).expect("a day that plays");
+    let results = play(&parse_scenario(&text), Path::new(LAB)).expect("a completed run");
     assert!(!results.usable);
     assert!(results.notes.iter().any(|note| note.contains("load generator was late")), "{:?}", results.notes);
 }
 
 #[test]
-fn a_proxy_that_refuses_to_start() {
+fn a_proxy_that_exits_at_start_is_reported_with_its_output() {
     let folder = tempfile::tempdir().expect("a folder");
     let proxy = script(folder.path(), "echo no key for me >&2; exit 3");
-    let error = format!("{:#}", play(&day(SHORT), &proxy).expect_err("no day"));
+    let error = format!("{:#}", play(&parse_scenario(SHORT), &proxy).expect_err("a failed start"));
     assert!(error.contains("p1 did not start") && error.contains("no key for me"), "{error}");
 }
 
 #[test]
-fn a_proxy_that_prints_without_end_and_never_answers() {
+fn a_proxy_that_prints_without_end_and_never_answers_is_reported() {
     let folder = tempfile::tempdir().expect("a folder");
     let proxy = script(folder.path(), "exec yes so be it");
-    let error = format!("{:#}", play(&day(SHORT), &proxy).expect_err("no day"));
+    let error = format!("{:#}", play(&parse_scenario(SHORT), &proxy).expect_err("a failed start"));
     assert!(error.contains("did not answer within 2 s") && error.len() < 2000, "{error}");
 }
 
 #[test]
-fn a_proxy_that_dies_on_the_way() {
+fn a_proxy_that_dies_during_the_run_makes_it_unusable() {
     let folder = tempfile::tempdir().expect("a folder");
     let proxy = script(folder.path(), "(sleep 1.5; kill -9 $$) & exec $LAB \"$@\"");
-    let results = play(&day(SHORT), &proxy).expect("a day, though not a good one");
+    let results = play(&parse_scenario(SHORT), &proxy).expect("a completed run");
     assert!(!results.usable && results.notes[0].contains("p1 ended by itself"), "{:?}", results.notes);
 }
 
 #[test]
-fn a_proxy_that_hangs() {
+fn a_proxy_that_hangs_makes_the_run_unusable() {
     let folder = tempfile::tempdir().expect("a folder");
     let proxy = script(folder.path(), "(sleep 1.5; kill -STOP $$) & exec $LAB \"$@\"");
-    let results = play(&day(SHORT), &proxy).expect("a day, though not a good one");
+    let results = play(&parse_scenario(SHORT), &proxy).expect("a completed run");
     assert!(!results.usable && results.notes[0].contains("p1 hung"), "{:?}", results.notes);
-    // It took exchanges and never answered them.
+    // It accepted requests and never answered them.
     assert!(results.rules_broken[1] > 0, "{:?}", results.rules_broken);
 }
 
 #[test]
-fn exit_codes_and_messages() {
+fn exit_codes_tell_kept_rules_broken_rules_and_invalid_calls() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.toml");
     std::fs::write(&path, "seconds = 6\n[nodes]\ndrain_grace_ms = 300\n[[fault]]\nkind = \"drain\"\nat = 4\nnodes = [\"n1..n3\"]")
@@ -182,14 +183,14 @@
     );
 }
 
-/// Whether the process runs: one that is dead and not yet noticed does not.
-fn runs(id: &str) -> bool {
+/// Whether the process runs; a zombie does not.
+fn is_running(id: &str) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     stat.rsplit(')').next().is_some_and(|rest| !rest.is_empty() && !rest.trim_start().starts_with('Z'))
 }
 
 #[test]
-fn an_interrupted_day_leaves_no_proxy_behind() {
+fn an_interrupted_run_leaves_no_proxy_behind() {
     use nix::sys::signal::{Signal, kill};
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("day.toml");
@@ -206,7 +207,7 @@
             done()
         })
     };
-    // Children are listed by the thread that started them.
+    // The kernel lists children under the thread that started them.
     let children = |lab: u32| -> Vec<String> {
         let threads = std::fs::read_dir(format!("/proc/{lab}/task")).expect("a process");
         let lists = threads.flatten().filter_map(|t| std::fs::read_to_string(t.path().join("children")).ok());
@@ -219,5 +220,5 @@
     }));
     kill(nix::unistd::Pid::from_raw(lab.id() as i32), Signal::SIGINT).expect("a signal sent");
     assert!(until(&mut || lab.try_wait().expect("a child").is_some()));
-    assert!(until(&mut || !proxies.iter().any(|id| runs(id))));
+    assert!(until(&mut || !proxies.iter().any(|id| is_running(id))));
 }
--- a/crates/lab/tests/lab/virtual_days.rs
+++ b/crates/lab/tests/lab/virtual_time.rs
@@ -1,7 +1,7 @@
-//! Days in virtual time: the same on any number of threads, with every wish ending once, and with careless
-//! policies caught.
+//! Runs in virtual time: the same results on any number of threads, each operation ends once, and careless policies
+//! are caught.
 
-use crate::{day, shared};
+use crate::{parse_scenario, shared_cores};
 use pumicebay_lab::results::Results;
 use pumicebay_lab::stats::Mean;
 use pumicebay_lab::sweep::grid;
@@ -10,14 +10,15 @@
 use pumicebay_model::traffic::Traffic;
 use std::path::Path;
 
-fn play(day: &Scenario, policy: &str) -> Results {
-    virt::play(day, policy, day.seed, &|_| {}).expect("a day that plays")
+fn play(scenario: &Scenario, policy: &str) -> Results {
+    virt::play(scenario, policy, scenario.seed, &|_| {}).expect("a completed run")
 }
 
 #[test]
 fn any_number_of_threads_gives_the_same_bytes() {
-    let _shared = shared();
-    let day = day(r#"
+    let _guard = shared_cores();
+    let scenario = parse_scenario(
+        r#"
         seconds = 3
         warm_up_seconds = 1
         [proxies]
@@ -36,18 +37,19 @@
         kind = "kill_proxy"
         at = 1.5
         proxies = ["p1..p5"]
-    "#);
-    let played = |threads| {
+    "#,
+    );
+    let results_of = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-        serde_json::to_string(&pool.install(|| play(&day, "pumicebay"))).expect("results are JSON")
+        serde_json::to_string(&pool.install(|| play(&scenario, "pumicebay"))).expect("results are JSON")
     };
-    let one = played(1);
-    assert!(one.len() > 1000);
-    assert_eq!(one, played(8));
+    let single_threaded = results_of(1);
+    assert!(single_threaded.len() > 1000);
+    assert_eq!(single_threaded, results_of(8));
 }
 
-/// A small day with trouble of every kind, on which wishes must still end once each.
-const TROUBLE: &str = r#"
+/// A small scenario with faults of every kind, in which each operation must still end exactly once.
+const ALL_FAULTS: &str = r#"
     seconds = 12
     warm_up_seconds = 0
     [proxies]
@@ -89,24 +91,25 @@
 "#;
 
 #[test]
-fn every_wish_ends_once() {
-    let _shared = shared();
-    let day = day(TROUBLE);
+fn every_operation_ends_once() {
+    let _guard = shared_cores();
+    let scenario = parse_scenario(ALL_FAULTS);
     for policy in ["pumicebay", "two", "bounded"] {
-        let results = play(&day, policy);
-        assert_eq!(results.wishes, Traffic::new(&day, day.seed).count() as u64, "{policy}");
+        let results = play(&scenario, policy);
+        assert_eq!(results.wishes, Traffic::new(&scenario, scenario.seed).count() as u64, "{policy}");
         let Results { served, shed, errored, lost, .. } = results;
         assert!((served + shed + errored + lost - 1.0).abs() < 1e-9, "{policy}: {results:?}");
         assert_eq!(results.rules_broken[..4], [0; 4], "{policy}: {:?}", results.broken);
     }
-    let results = play(&day, "pumicebay");
+    let results = play(&scenario, "pumicebay");
     assert!(results.rules_kept(), "{:?}", results.broken);
 }
 
 #[test]
-fn the_careless_one_is_caught() {
-    let _shared = shared();
-    let spoilt = day(r#"
+fn a_careless_policy_breaks_rules_and_careful_ones_do_not() {
+    let _guard = shared_cores();
+    let corrupting = parse_scenario(
+        r#"
         seconds = 6
         warm_up_seconds = 1
         [clients]
@@ -120,12 +123,14 @@
         lasts = 3
         share = 1.0
         nodes = ["n1..n4"]
-    "#);
-    let careless = play(&spoilt, "careless");
+    "#,
+    );
+    let careless = play(&corrupting, "careless");
     assert!(careless.rules_broken[2] > 10, "{:?}", careless.rules_broken);
     let broken = &careless.broken[0];
     assert!(broken.rule == 2 && broken.exchange > 0 && broken.node.is_some() && broken.at >= 2.0);
-    let drained = day(r#"
+    let draining = parse_scenario(
+        r#"
         seconds = 8
         warm_up_seconds = 1
         [nodes]
@@ -135,20 +140,22 @@
         at = 2
         lasts = 5
         nodes = ["n1..n4"]
-    "#);
-    assert!(play(&drained, "careless").rules_broken[3] > 10);
-    for day in [spoilt, drained] {
-        for careful in ["pumicebay", "random"] {
-            let results = play(&day, careful);
-            assert!(results.rules_kept(), "{careful}: {:?}", results.broken);
+    "#,
+    );
+    assert!(play(&draining, "careless").rules_broken[3] > 10);
+    for scenario in [corrupting, draining] {
+        for policy in ["pumicebay", "random"] {
+            let results = play(&scenario, policy);
+            assert!(results.rules_kept(), "{policy}: {:?}", results.broken);
         }
     }
 }
 
 #[test]
-fn a_policy_without_budgets_buries_cold_nodes() {
-    let _shared = shared();
-    let day = day(r#"
+fn a_policy_without_budgets_overloads_cold_nodes() {
+    let _guard = shared_cores();
+    let scenario = parse_scenario(
+        r#"
         seconds = 10
         [nodes]
         count = 4
@@ -162,29 +169,33 @@
         at = 4
         lasts = 2
         nodes = ["n1"]
-    "#);
-    assert!(play(&day, "random").rules_broken[4] > 0);
-    let results = play(&day, "pumicebay");
+    "#,
+    );
+    assert!(play(&scenario, "random").rules_broken[4] > 0);
+    let results = play(&scenario, "pumicebay");
     assert!(results.rules_kept(), "{:?}", results.broken);
 }
 
-/// The sum of all proxies' parts: one has ten times the traffic of another, and there are twice as many as is said.
+/// Each proxy sends a cold node its part of what the node can take, and the sum must fit although one proxy has ten
+/// times the traffic of another and there are twice as many proxies as configured.
 #[test]
-fn cold_nodes_bear_what_unequal_proxies_send_together() {
-    let _shared = shared();
+fn unequal_proxies_together_do_not_overload_cold_nodes() {
+    let _guard = shared_cores();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cold-sum.toml");
-    let day = scenario::read(&path, &[]).expect("a sound scenario");
-    let played = |policy| virt::run(&day, policy, day.seed, &|_| {}).expect("a day that plays").0;
-    let auditor = played("pumicebay");
+    let scenario = scenario::read(&path, &[]).expect("a valid scenario");
+    let results_of =
+        |policy| virt::run(&scenario, policy, scenario.seed, &|_| {}).expect("a completed run").0;
+    let auditor = results_of("pumicebay");
     assert_eq!((auditor.counts, auditor.uncharged), ([0; 5], 0), "{:?}", auditor.broken);
-    assert!((0.3..1.0).contains(&auditor.worst), "{} of what it bears", auditor.worst);
-    assert!(played("random").counts[4] > 0, "a policy without budgets");
+    assert!((0.3..1.0).contains(&auditor.worst), "{} of its limit", auditor.worst);
+    assert!(results_of("random").counts[4] > 0, "a policy without budgets");
 }
 
 #[test]
-fn faults_are_seen_and_service_comes_back() {
-    let _shared = shared();
-    let day = day(r#"
+fn recovery_after_an_origin_outage_is_measured() {
+    let _guard = shared_cores();
+    let scenario = parse_scenario(
+        r#"
         seconds = 20
         [clients]
         retry = "never"
@@ -199,29 +210,31 @@
         [[route]]
         name = "read"
         share = 0.5
-    "#);
-    let recovery = &play(&day, "pumicebay").recovery[0];
+    "#,
+    );
+    let recovery = &play(&scenario, "pumicebay").recovery[0];
     assert!(recovery.lowest < 0.7, "{recovery:?}");
     assert!(recovery.seconds.is_some_and(|seconds| (2.0..8.0).contains(&seconds)), "{recovery:?}");
 }
 
 #[test]
-fn comparisons_pair_by_seed_and_noise_covers_zero() {
-    let _shared = shared();
-    let day = day("seconds = 6\n[nodes]\nmemory_mb = 8\n[origin]\nslots = 4\n[clients]\nrate = 800");
+fn paired_comparison_separates_policies_from_noise() {
+    let _guard = shared_cores();
+    let scenario =
+        parse_scenario("seconds = 6\n[nodes]\nmemory_mb = 8\n[origin]\nslots = 4\n[clients]\nrate = 800");
     let names = ["pumicebay".to_string(), "pumicebay#1".into(), "random".into()];
-    let days = compare::days(&day, &names, 6).expect("days that play");
-    let shares = |at: usize| days[at].iter().map(|day| day.share).collect::<Vec<_>>();
+    let runs = compare::days(&scenario, &names, 6).expect("completed runs");
+    let shares = |policy: usize| runs[policy].iter().map(|run| run.share).collect::<Vec<_>>();
     let noise = Mean::paired(&shares(0), &shares(1));
     assert!(noise.covers_zero(), "{noise:?}");
     let gain = Mean::paired(&shares(0), &shares(2));
     assert!(gain.mean > gain.half, "{gain:?}");
-    assert!(compare::table(&names, &days).lines().count() == 5);
+    assert!(compare::table(&names, &runs).lines().count() == 5);
 }
 
 #[test]
-fn grids_and_hunts() {
-    let _shared = shared();
+fn grids_list_all_points_and_hunts_write_the_scenario_they_found() {
+    let _guard = shared_cores();
     let set =
         [("a".to_string(), vec!["1".to_string(), "2".into()]), ("b".into(), vec!["3".into(), "4".into()])];
     let points: Vec<String> = grid(&set)
@@ -234,15 +247,16 @@
     );
     let found = hunt::hunt(&text, "random", 6, Some(3)).expect("a hunt");
     assert!(found.loss >= 0.9 * found.whole_loss && found.changes.1 <= found.changes.0);
-    // The day that was written is the day that was found.
-    let again = play(&day(&found.text), "random");
-    assert_eq!(again.share, found.results.share);
+    // The scenario text that the hunt wrote gives the result that it found.
+    let replayed = play(&parse_scenario(&found.text), "random");
+    assert_eq!(replayed.share, found.results.share);
 }
 
-/// The more caches, the more fetches were once allowed at a cold start: hundreds of caches stopped the origin.
+/// Guards against a bound on origin fetches that grows with the number of caches: at a cold start hundreds of caches
+/// then stopped the origin.
 #[test]
 fn a_cold_fleet_does_not_stop_its_origin_however_many_caches_and_proxies_it_has() {
-    let _shared = shared();
+    let _guard = shared_cores();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/calm.toml");
     for (nodes, proxies) in [(12, 6), (192, 1), (192, 6), (192, 60)] {
         let set = |key: &str, value: u32| (key.to_string(), value.to_string());
@@ -252,8 +266,8 @@
             set("proxies.count", proxies),
             set("clients.warm_keys", 0),
         ];
-        let day = scenario::read(&path, &set).expect("a sound scenario");
-        let results = play(&day, "pumicebay");
+        let scenario = scenario::read(&path, &set).expect("a valid scenario");
+        let results = play(&scenario, "pumicebay");
         assert_eq!(results.origin_stops, 0, "{nodes} caches, {proxies} proxies");
     }
 }
