--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -31,7 +31,9 @@
 /// State of a stand-in's simulated process. A new epoch is a new process: it breaks open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessState {
+    /// Whether it accepts connections at all.
     pub listening: bool,
+    /// Number of the process, counted up at each stop and start.
     pub epoch: u64,
 }
 
@@ -45,9 +47,13 @@
 
 /// Bookkeeping that a node's job callbacks need while the node itself is borrowed.
 struct Accounting {
+    /// Scenario time when the lock was taken.
     now: Nanos,
+    /// Where to send the outcomes of unfinished jobs.
     waiting: HashMap<JobId, oneshot::Sender<JobOutcome>>,
+    /// Request that each unfinished job belongs to.
     request_ids: HashMap<JobId, u64>,
+    /// Timers to set: time, node, job.
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
     tally: Tally,
@@ -56,6 +62,7 @@
     last_job: JobId,
 }
 
+/// State behind the mutex.
 struct Inner {
     accounting: Accounting,
     nodes: Vec<CacheNode>,
@@ -69,7 +76,9 @@
     falsely_left: Vec<bool>,
     /// Error of each node's reported start time, where a fault sets one.
     clock_offsets: Vec<Option<i64>>,
+    /// Nodes that have left for good or not joined yet.
     left: Vec<bool>,
+    /// Requests by their ids.
     open_requests: HashMap<u64, OpenRequest>,
 }
 
@@ -77,8 +86,10 @@
 pub struct Fleet {
     scenario: Scenario,
     inner: Mutex<Inner>,
+    /// When the scenario began; unset before.
     start: OnceLock<Instant>,
     start_unix_ms: OnceLock<u64>,
+    /// One for each node, and the last one for the origin.
     process_states: Vec<watch::Sender<ProcessState>>,
     /// Version of the registry, for discovery's long polls.
     version: watch::Sender<u64>,
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -38,6 +38,7 @@
     pub p99_ms: f64,
 }
 
+/// What the clients of a run share.
 struct Load {
     scenario: Scenario,
     fleet: SharedFleet,
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn missing_second_and_late_answers_break_rule_one() {
+fn missing_second_and_late_answers_are_reported() {
     assert_eq!(violations(READ, |_| {}), ["1: never answered"]);
     let twice = violations(READ, |auditor| {
         auditor.answered(20 * MS, 1, Final::Shed, true);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_attempt_after_the_answer_breaks_rule_one() {
+fn an_attempt_after_the_answer_is_reported() {
     let broken = violations(READ, |auditor| {
         auditor.answered(20 * MS, 1, Final::Shed, true);
         auditor.sent(30 * MS, 1, Some(2));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn overlapping_attempts_break_rule_two() {
+fn overlapping_attempts_are_reported() {
     let broken = violations(READ, |auditor| {
         record_attempt(auditor, 0, 10, 40);
         record_attempt(auditor, 1, 20, 30);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_second_effect_breaks_rule_two() {
+fn a_second_effect_is_reported() {
     let twice = |route, node, second| {
         violations(route, |auditor| {
             record_attempt(auditor, 0, 10, 20);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn shedding_a_write_that_ran_breaks_rule_two() {
+fn shedding_a_write_that_ran_is_reported() {
     let shed = |route| {
         violations(route, |auditor| {
             record_attempt(auditor, 0, 10, 20);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn new_work_for_a_node_past_the_drain_grace_breaks_rule_three() {
+fn new_work_for_a_node_past_the_drain_grace_is_reported() {
     let sent = |at: u64, report: &dyn Fn(&mut Auditor)| {
         violations(READ, |auditor| {
             auditor.told(0, 0, 3, NodeState::Ready);
@@ -197,8 +197,8 @@
         |part| vec![format!("a cold node was buried: 40 requests, {part}% by proxies told of its start")];
     assert_eq!(burst(40, [informed; 3]), (charged(100), 0));
     assert_eq!(burst(400, [informed; 3]), (charged(100), 0), "a process crashes only once");
-    // Proxies that were told no start, or that of the previous process, could not know. That one of the three did not
-    // know excuses nobody while the others alone exceed the node's limit.
+    // Proxies that were told no start, or that of the previous process, could not know that the node was cold. The crash
+    // is charged only where proxies that knew sent more than two thirds of the requests.
     assert_eq!(burst(40, [None; 3]), (vec![], 1));
     assert_eq!(burst(40, [before; 3]), (vec![], 1));
     assert_eq!(burst(40, [None, informed, informed]), (charged(68), 0));
