--- a/crates/lab/examples/cold.rs
+++ b/crates/lab/examples/cold.rs
@@ -1,10 +1,10 @@
-//! Prints the table of cold nodes in docs/lab-results.md: the load that all proxies together put on a cold node, as a
-//! part of the load at which it crashes, for the worst of ten seeds.
+//! Prints the table of cold nodes in docs/lab-results.md: the load that all proxies together put on a cold
+//! node, as a part of the load at which it crashes, for the worst of ten seeds.
 //!
-//! `cargo run --release --example cold -- MULTIPLE RATE [DAY]`: MULTIPLE is the load that a node survives, relative to
-//! its normal load when warm and scaled by its present capacity (1 is the normal load); RATE is the requests per
-//! second of a warm node; DAY is the number of one scenario, from 0, instead of all. There are eight warm nodes, and
-//! four more join in the scenario `join`.
+//! `cargo run --release --example cold -- MULTIPLE RATE [DAY]`: MULTIPLE is the load that a node survives,
+//! relative to its normal load when warm and scaled by its present capacity (1 is the normal load); RATE is
+//! the requests per second of a warm node; DAY is the number of one scenario, from 0, instead of all. There
+//! are eight warm nodes, and four more join in the scenario `join`.
 
 use pumicebay_lab::{scenario, virt};
 use rayon::prelude::*;
@@ -69,7 +69,8 @@
     }
 }
 
-/// The text if it is of the wanted kind, else nothing: TOML tables of faults go after the base, plain keys before it.
+/// The text if it is of the wanted kind, else nothing: TOML tables of faults go after the base, plain keys
+/// before it.
 fn text_of_kind(text: &str, faults: bool) -> &str {
     if text.starts_with("[[") == faults { text } else { "" }
 }
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -247,8 +247,8 @@
     // ---- Attempts ---------------------------------------------------------------------------------
 
     /// Records an attempt that reached a stand-in and the time that its proxy said it would wait. Returns the
-    /// request's operation, the one-way delay, and whether the simulated network lets the attempt through; `None`
-    /// when no such request is open.
+    /// request's operation, the one-way delay, and whether the simulated network lets the attempt through;
+    /// `None` when no such request is open.
     pub fn attempt_received(
         &self,
         request_id: u64,
@@ -339,8 +339,8 @@
         }
     }
 
-    /// Updates the caches after the origin completed a request: a read is stored at the nodes that missed it, a
-    /// write removes the key from all nodes.
+    /// Updates the caches after the origin completed a request: a read is stored at the nodes that missed it,
+    /// a write removes the key from all nodes.
     pub fn origin_completed(&self, request_id: u64) {
         let mut inner = self.lock();
         let Inner { nodes, open_requests, .. } = &mut *inner;
@@ -461,8 +461,8 @@
         (!inner.registry.unresponsive).then_some(delay + inner.discovery_lag)
     }
 
-    /// The registry as JSON, whole or only the changes since a version. Records for the auditor that the proxy has
-    /// learned these entries.
+    /// The registry as JSON, whole or only the changes since a version. Records for the auditor that the
+    /// proxy has learned these entries.
     pub fn list(&self, proxy: usize, since: Option<u64>) -> Json {
         let mut inner = self.lock();
         let entries = match since {
--- a/crates/lab/src/real/load.rs
+++ b/crates/lab/src/real/load.rs
@@ -48,7 +48,8 @@
     rng: Mutex<Rng>,
 }
 
-/// Sends all operations of the scenario and waits until each has ended. Fails when the histogram cannot be made.
+/// Sends all operations of the scenario and waits until each has ended. Fails when the histogram cannot be
+/// made.
 pub async fn start(
     scenario: &Scenario,
     seed: u64,
@@ -85,8 +86,8 @@
 }
 
 impl Load {
-    /// Runs one operation with all its client retries. Writes are retried only when they were shed, as only then
-    /// it is certain that they had no effect.
+    /// Runs one operation with all its client retries. Writes are retried only when they were shed, as only
+    /// then it is certain that they had no effect.
     async fn client(self: Arc<Self>, operation: Operation) {
         let count = self.proxies.len();
         let (mut proxy, mut requests, mut refused) = (operation.proxy % count, 0, 0);
@@ -150,7 +151,8 @@
         let ended = result.unwrap_or(RequestEnd::Lost);
         match &ended {
             RequestEnd::Answer(frame) => self.report_answer(request_id, frame),
-            // A refused connection or a dead proxy owes no answer; any other missing answer is the proxy's fault.
+            // A refused connection or a dead proxy owes no answer; any other missing answer is the proxy's
+            // fault.
             RequestEnd::Refused => self.fleet.excuse_request(request_id, self.fleet.now()),
             RequestEnd::Lost if self.is_down(proxy).await => {
                 self.fleet.excuse_request(request_id, self.fleet.now())
@@ -195,8 +197,8 @@
         Frame::Array(parts)
     }
 
-    /// Sends the command over an idle connection or a new one. An idle connection that the proxy has closed since
-    /// its last request is replaced once.
+    /// Sends the command over an idle connection or a new one. An idle connection that the proxy has closed
+    /// since its last request is replaced once.
     async fn send_to_proxy(
         &self,
         proxy: usize,
--- a/crates/lab/src/real/mod.rs
+++ b/crates/lab/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario in real time on loopback sockets: real proxies, each in its own process, and stand-ins for
-//! cache nodes, origin and discovery, which behave as the simulation model does.
+//! Plays a scenario in real time on loopback sockets: real proxies, each in its own process, and stand-ins
+//! for cache nodes, origin and discovery, which behave as the simulation model does.
 
 pub mod fleet;
 pub mod http;
@@ -33,8 +33,8 @@
 /// Pause between the readiness of all processes and the scenario's begin.
 const START_DELAY: Duration = Duration::from_millis(300);
 
-/// Plays the scenario with this program as proxy, or with this executable's own `serve` command. Fails when the
-/// scenario is too large for sockets, a process does not start, or a signal interrupts the run.
+/// Plays the scenario with this program as proxy, or with this executable's own `serve` command. Fails when
+/// the scenario is too large for sockets, a process does not start, or a signal interrupts the run.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
--- a/crates/lab/src/real/process.rs
+++ b/crates/lab/src/real/process.rs
@@ -1,6 +1,6 @@
 //! Runs the proxies as child processes: starts and supervises them, kills and restarts them as the scenario
-//! demands, and ends them on every way out. Their output is always read, so that a proxy that prints without end
-//! never blocks on a full pipe; only its last lines are kept.
+//! demands, and ends them on every way out. Their output is always read, so that a proxy that prints without
+//! end never blocks on a full pipe; only its last lines are kept.
 
 use crate::real::SharedFleet;
 use crate::{operator, platform};
@@ -68,8 +68,8 @@
 }
 
 impl Proxies {
-    /// Starts all proxies, waits until each answers, and founds the fleet where the scenario has one. Fails when a
-    /// process ends or does not answer in time.
+    /// Starts all proxies, waits until each answers, and founds the fleet where the scenario has one. Fails
+    /// when a process ends or does not answer in time.
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Sends SIGTERM to all proxies and kills those that do not end in time. Returns the notes of the run; a note
-    /// that begins with a proxy's name makes the run unusable.
+    /// Sends SIGTERM to all proxies and kills those that do not end in time. Returns the notes of the run; a
+    /// note that begins with a proxy's name makes the run unusable.
     pub async fn stop(&mut self) -> Vec<String> {
         for proxy in &self.proxies {
             let id = proxy.child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
@@ -264,8 +264,9 @@
     format!("{:.1} s", now as f64 / 1e9)
 }
 
-/// A loopback address that is free at the moment. Its port lies below the kernel's ephemeral range: otherwise a
-/// connection or listener of a stand-in could take it before the proxy binds it. Fails when no port is free.
+/// A loopback address that is free at the moment. Its port lies below the kernel's ephemeral range: otherwise
+/// a connection or listener of a stand-in could take it before the proxy binds it. Fails when no port is
+/// free.
 fn free_address() -> Result<SocketAddr> {
     static TAKEN: AtomicU16 = AtomicU16::new(0);
     // Lab processes that run at the same time begin at different ports.
--- a/crates/lab/src/real/stand_ins.rs
+++ b/crates/lab/src/real/stand_ins.rs
@@ -22,7 +22,8 @@
 /// Longest long poll of discovery, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 
-/// The value for a request: its id, padded to `size` bytes. The id shows whether a client gets its own answer.
+/// The value for a request: its id, padded to `size` bytes. The id shows whether a client gets its own
+/// answer.
 pub fn response_value(request_id: u64, size: u64) -> Bytes {
     let mut value = format!("{request_id:016x}:").into_bytes();
     value.resize((size as usize).max(value.len()), b'.');
@@ -34,8 +35,8 @@
     u64::from_str_radix(std::str::from_utf8(value.get(..16)?).ok()?, 16).ok()
 }
 
-/// Starts a cache node or the origin. It listens at one address for as long as its simulated process does. Fails
-/// when no port can be bound.
+/// Starts a cache node or the origin. It listens at one address for as long as its simulated process does.
+/// Fails when no port can be bound.
 pub async fn node(fleet: Arc<Fleet>, node: usize) -> Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await.context("cannot bind a port for a node")?;
     let address = listener.local_addr()?;
@@ -120,8 +121,8 @@
     }
 }
 
-/// Runs an attempt through the model and returns its outcome and value. Returns `None` when `closed` completes first:
-/// the proxy closed the connection.
+/// Runs an attempt through the model and returns its outcome and value. Returns `None` when `closed`
+/// completes first: the proxy closed the connection.
 async fn run_attempt(
     fleet: &Fleet,
     node: usize,
@@ -177,7 +178,8 @@
                     let _ = framed.send(&Frame::error("SYNTAX")).await;
                     return;
                 };
-                // Meanwhile either the connection ends or a pipelined command arrives, which is kept for later.
+                // Meanwhile either the connection ends or a pipelined command arrives, which is kept for
+                // later.
                 let closed = async {
                     if let Some(Ok(frame)) = framed.next().await {
                         pipelined = Some(frame);
@@ -300,8 +302,8 @@
     }
 }
 
-/// Waits until discovery answers: with a `since` version until there is a newer one or the long poll ends, and in
-/// any case while discovery is unresponsive.
+/// Waits until discovery answers: with a `since` version until there is a newer one or the long poll ends,
+/// and in any case while discovery is unresponsive.
 async fn wait_until_due(fleet: &Fleet, since: Option<u64>, wait: u64) {
     if let Some(version) = since {
         let mut versions = fleet.registry_versions();
--- a/crates/lab/tests/lab/audit.rs
+++ b/crates/lab/tests/lab/audit.rs
@@ -1,4 +1,5 @@
-//! Each rule is broken on purpose and must be reported; each case that only resembles a violation must not be.
+//! Each rule is broken on purpose and must be reported; each case that only resembles a violation must not
+//! be.
 
 use crate::parse_scenario;
 use pumicebay_lab::audit::{Auditor, Final};
@@ -25,8 +26,8 @@
     window_seconds = 0.2
 "#;
 
-/// Violations that the auditor reports for one request, accepted at 0 with an overall timeout of 1 s, after these
-/// events.
+/// Violations that the auditor reports for one request, accepted at 0 with an overall timeout of 1 s, after
+/// these events.
 fn violations(route: usize, events: impl FnOnce(&mut Auditor)) -> Vec<String> {
     let mut auditor = Auditor::new(&parse_scenario(ROUTES), MS);
     auditor.taken(0, 1, 0, route, 1000 * MS);
@@ -133,7 +134,8 @@
             auditor.answered((at + 2).min(999) * MS, 1, Final::Served, true);
         })
     };
-    // Work is allowed within the grace period after a drain. Further below, requests begin 2 s after the drain.
+    // Work is allowed within the grace period after a drain. Further below, requests begin 2 s after the
+    // drain.
     let drained = |auditor: &mut Auditor| auditor.told(0, 0, 3, NodeState::Draining);
     assert!(sent(900, &drained).is_empty());
     let mut auditor = Auditor::new(&parse_scenario(ROUTES), MS);
@@ -168,9 +170,9 @@
     assert_eq!(auditor.counts, [0, 0, 0, 0, 2]);
 }
 
-/// Violations and uncharged crashes after `count` simultaneous requests, sent by three proxies in turn to a node whose
-/// process is 0.1 s old. At that age 27 are allowed, so that the fortieth is one too many. `told` holds the start
-/// time, in milliseconds, that each proxy was told, if any.
+/// Violations and uncharged crashes after `count` simultaneous requests, sent by three proxies in turn to a
+/// node whose process is 0.1 s old. At that age 27 are allowed, so that the fortieth is one too many. `told`
+/// holds the start time, in milliseconds, that each proxy was told, if any.
 fn burst(count: u64, told: [Option<u64>; 3]) -> (Vec<String>, u64) {
     let nodes = "cores = 1\nstart_capacity = 0.1\nwarm_up_seconds = 10\nfall_multiple = 1";
     let mut auditor =
@@ -197,8 +199,8 @@
         |part| vec![format!("a cold node was buried: 40 requests, {part}% by proxies told of its start")];
     assert_eq!(burst(40, [informed; 3]), (charged(100), 0));
     assert_eq!(burst(400, [informed; 3]), (charged(100), 0), "a process crashes only once");
-    // Proxies that were told no start, or that of the previous process, could not know that the node was cold. The crash
-    // is charged only where proxies that knew sent more than two thirds of the requests.
+    // Proxies that were told no start, or that of the previous process, could not know that the node was
+    // cold. The crash is charged only where proxies that knew sent more than two thirds of the requests.
     assert_eq!(burst(40, [None; 3]), (vec![], 1));
     assert_eq!(burst(40, [before; 3]), (vec![], 1));
     assert_eq!(burst(40, [None, informed, informed]), (charged(68), 0));
@@ -226,8 +228,8 @@
     assert_eq!(charged(|_| 11_000), 0, "warm");
 }
 
-/// The wait that an attempt announces is compared with the time its client has left: for a first and a further
-/// attempt, within the tolerance for measuring and past it, and for one that announces none.
+/// The wait that an attempt announces is compared with the time its client has left: for a first and a
+/// further attempt, within the tolerance for measuring and past it, and for one that announces none.
 #[test]
 fn an_attempt_must_not_announce_more_time_than_its_client_has_left() {
     let told = |first: Option<u64>, further: Option<u64>| {
--- a/crates/lab/tests/lab/history.rs
+++ b/crates/lab/tests/lab/history.rs
@@ -1,5 +1,5 @@
-//! The history checker on small histories: it must accept a consistent one and report a stale read, two writes
-//! with one version, and a write over a version that was no longer the newest.
+//! The history checker on small histories: it must accept a consistent one and report a stale read, two
+//! writes with one version, and a write over a version that was no longer the newest.
 
 use pumicebay_lab::rig::history::{Op, judge};
 
--- a/crates/lab/tests/lab/main.rs
+++ b/crates/lab/tests/lab/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the lab: the auditor, the history checker, runs in virtual time, errors in scenarios, and short runs on
-//! sockets.
+//! Tests of the lab: the auditor, the history checker, runs in virtual time, errors in scenarios, and short
+//! runs on sockets.
 
 mod audit;
 mod history;
@@ -13,9 +13,9 @@
 use pumicebay_model::spec::Scenario;
 use std::sync::{PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
-/// A run on sockets has the cores to itself; runs in virtual time share them. Beside the run that overloads the
-/// load generator, or beside computing threads, the clients of another run on sockets were 26.6 ms late on a
-/// smaller machine, so that its result measured the machine and not the proxy.
+/// A run on sockets has the cores to itself; runs in virtual time share them. Beside the run that overloads
+/// the load generator, or beside computing threads, the clients of another run on sockets were 26.6 ms late
+/// on a smaller machine, so that its result measured the machine and not the proxy.
 static CORES: RwLock<()> = RwLock::new(());
 
 /// Held by a run on sockets.
--- a/crates/lab/tests/lab/many_proxies.rs
+++ b/crates/lab/tests/lab/many_proxies.rs
@@ -1,5 +1,5 @@
-//! Runs on sockets with more proxies than nodes: load that is harmless from one proxy can overload a node when all
-//! proxies send it together.
+//! Runs on sockets with more proxies than nodes: load that is harmless from one proxy can overload a node
+//! when all proxies send it together.
 
 use crate::parse_scenario;
 use crate::sockets::{self, LAB, ROUTES};
@@ -34,8 +34,8 @@
     results
 }
 
-/// Half of the nodes are replaced by cold ones during a burst of twice the load: the proxies together must not
-/// overload the cold nodes.
+/// Half of the nodes are replaced by cold ones during a burst of twice the load: the proxies together must
+/// not overload the cold nodes.
 #[test]
 fn many_proxies_together_do_not_overload_cold_nodes() {
     let results = play_without_violations(
--- a/crates/lab/tests/lab/sockets.rs
+++ b/crates/lab/tests/lab/sockets.rs
@@ -90,7 +90,8 @@
 
 #[test]
 fn latencies_count_from_the_scheduled_send_time() {
-    // Guards against coordinated omission: all requests scheduled during the stall must show it, not only those open.
+    // Guards against coordinated omission: all requests scheduled during the stall must show it, not only
+    // those open.
     let text = SHORT.to_string()
         + r#"
         retry = "never"
--- a/crates/lab/tests/lab/virtual_time.rs
+++ b/crates/lab/tests/lab/virtual_time.rs
@@ -1,5 +1,5 @@
-//! Runs in virtual time: the same results on any number of threads, each operation ends once, and careless policies
-//! are caught.
+//! Runs in virtual time: the same results on any number of threads, each operation ends once, and careless
+//! policies are caught.
 
 use crate::{parse_scenario, shared_cores};
 use pumicebay_lab::results::Results;
@@ -176,8 +176,8 @@
     assert!(results.rules_kept(), "{:?}", results.broken);
 }
 
-/// Each proxy sends a cold node its part of what the node can take, and the sum must fit although one proxy has ten
-/// times the traffic of another and there are twice as many proxies as configured.
+/// Each proxy sends a cold node its part of what the node can take, and the sum must fit although one proxy
+/// has ten times the traffic of another and there are twice as many proxies as configured.
 #[test]
 fn unequal_proxies_together_do_not_overload_cold_nodes() {
     let _guard = shared_cores();
@@ -252,8 +252,8 @@
     assert_eq!(replayed.share, found.results.share);
 }
 
-/// Guards against a bound on origin fetches that grows with the number of caches: at a cold start hundreds of caches
-/// then stopped the origin.
+/// Guards against a bound on origin fetches that grows with the number of caches: at a cold start hundreds of
+/// caches then stopped the origin.
 #[test]
 fn a_cold_fleet_does_not_stop_its_origin_however_many_caches_and_proxies_it_has() {
     let _guard = shared_cores();
