--- a/crates/lab/src/capacity/measure.rs
+++ b/crates/lab/src/capacity/measure.rs
@@ -3,7 +3,7 @@
 //! rate at which the list changes; busy proxies by the rate and the size of requests. Also measured are the
 //! memory of a table of keys, and the first voter of an idle fleet.
 
-use crate::real::http::{Answer, Server};
+use crate::real::http::{Response, ServerCodec};
 use crate::rig::plan::Plan;
 use crate::rig::{self, Programs};
 use anyhow::{Context, Result, bail, ensure};
@@ -413,7 +413,7 @@
 
 /// Answers the requests of one connection; a watch call is held until the list changes or its wait ends.
 async fn serve_connection(registry: &Registry, stream: TcpStream) {
-    let mut framed = Framed::new(stream, Server);
+    let mut framed = Framed::new(stream, ServerCodec);
     while let Some(Ok(request)) = framed.next().await {
         let since = request.query("index").filter(|_| request.path.starts_with(LIST_PATH));
         if let Some(since) = since {
@@ -430,7 +430,7 @@
         if since.is_none() {
             registry.list_bytes.store(body.len() as u64, Ordering::Relaxed);
         }
-        if framed.send(Answer { status: 200, header: None, body: body.into() }).await.is_err() {
+        if framed.send(Response { status: 200, header: None, body: body.into() }).await.is_err() {
             return;
         }
     }
--- a/crates/lab/src/real/fleet.rs
+++ b/crates/lab/src/real/fleet.rs
@@ -1,5 +1,5 @@
-//! What all stand-ins share: the model's nodes, origin and list, the auditor and the counts, behind one lock
-//! that is never held while anything waits. One task is the clock of all jobs.
+//! State shared by all stand-ins: the simulated nodes, origin and registry, the auditor and the counters.
+//! One mutex guards it and is never held across an await. One task runs the timers of all jobs.
 
 use crate::audit::{Auditor, FinalAnswer};
 use crate::metrics::{OperationOutcome, RunMetrics};
@@ -28,251 +28,288 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How a stand-in's process is: changes break its connections.
+/// State of a stand-in's simulated process. A new epoch is a new process: it breaks open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
-    pub listens: bool,
+pub struct ProcessState {
+    /// Whether it accepts connections at all.
+    pub listening: bool,
+    /// Number of the process, counted up at each stop and start.
     pub epoch: u64,
 }
 
-/// An exchange that the load generator has out.
-struct Out {
-    wish: Operation,
+/// A request that the load generator has sent and that has not ended yet.
+struct OpenRequest {
+    operation: Operation,
     proxy: usize,
+    /// Nodes that answered it with a miss.
     missed: Vec<usize>,
 }
 
-/// What jobs need while a node is at work.
-struct Desk {
+/// Bookkeeping that a node's job callbacks need while the node itself is borrowed.
+struct Accounting {
+    /// Scenario time when the lock was taken.
     now: Nanos,
+    /// Where to send the outcomes of unfinished jobs.
     waiting: HashMap<JobId, oneshot::Sender<JobOutcome>>,
-    xchgs: HashMap<JobId, u64>,
+    /// Request that each unfinished job belongs to.
+    request_ids: HashMap<JobId, u64>,
+    /// Timers to set: time, node, job.
     timers: mpsc::UnboundedSender<(Nanos, usize, JobId)>,
     auditor: Auditor,
     tally: RunMetrics,
-    fallen: Vec<usize>,
-    last: JobId,
+    /// Nodes that crashed from overload and are not handled yet; the origin's number is the node count.
+    crashed_nodes: Vec<usize>,
+    last_job: JobId,
 }
 
+/// State behind the mutex.
 struct Inner {
-    desk: Desk,
+    accounting: Accounting,
     nodes: Vec<CacheNode>,
     origin: Origin,
     registry: Registry,
     network: Network,
     rng: Rng,
-    late: Nanos,
-    lies: Vec<bool>,
-    clock: Vec<Option<i64>>,
+    /// Extra delay of discovery's answers, from a fault.
+    discovery_lag: Nanos,
+    /// Nodes that discovery wrongly reports as left.
+    falsely_left: Vec<bool>,
+    /// Error of each node's reported start time, where a fault sets one.
+    clock_offsets: Vec<Option<i64>>,
+    /// Nodes that have left for good or not joined yet.
     left: Vec<bool>,
-    out: HashMap<u64, Out>,
+    /// Requests by their ids.
+    open_requests: HashMap<u64, OpenRequest>,
 }
 
+/// The simulated cache nodes, origin and discovery of one run, served on loopback sockets.
 pub struct Fleet {
-    day: Scenario,
+    scenario: Scenario,
     inner: Mutex<Inner>,
+    /// When the scenario began; unset before.
     start: OnceLock<Instant>,
-    unix: OnceLock<u64>,
-    lives: Vec<watch::Sender<Life>>,
-    /// The version of the list, for those who watch it.
+    start_unix_ms: OnceLock<u64>,
+    /// One for each node, and the last one for the origin.
+    process_states: Vec<watch::Sender<ProcessState>>,
+    /// Version of the registry, for discovery's long polls.
     version: watch::Sender<u64>,
     addresses: OnceLock<Vec<SocketAddr>>,
-    discoveries: OnceLock<Vec<SocketAddr>>,
+    discovery_addresses: OnceLock<Vec<SocketAddr>>,
 }
 
-struct Work<'a> {
-    desk: &'a mut Desk,
+/// Callbacks of one node's or the origin's jobs; `cache` is `None` for the origin.
+struct JobEnvironment<'a> {
+    accounting: &'a mut Accounting,
     node: usize,
     cache: Option<usize>,
 }
 
-impl Environment for Work<'_> {
+impl Environment for JobEnvironment<'_> {
     fn schedule_completion(&mut self, at: Nanos, job: JobId) {
-        // The clock of jobs ends with the fleet.
-        let _ = self.desk.timers.send((at, self.node, job));
+        // Sending fails only after the timer task has ended with the fleet.
+        let _ = self.accounting.timers.send((at, self.node, job));
     }
 
     fn execution_started(&mut self, job: JobId) {
-        if let Some(&xchg) = self.desk.xchgs.get(&job) {
-            self.desk.auditor.executed(self.desk.now, xchg, self.cache);
+        if let Some(&request_id) = self.accounting.request_ids.get(&job) {
+            self.accounting.auditor.executed(self.accounting.now, request_id, self.cache);
         }
     }
 
-    fn respond(&mut self, job: JobId, verdict: JobOutcome) {
-        if let Some(waiting) = self.desk.waiting.remove(&job) {
-            let _ = waiting.send(verdict);
+    fn respond(&mut self, job: JobId, outcome: JobOutcome) {
+        if let Some(waiting) = self.accounting.waiting.remove(&job) {
+            let _ = waiting.send(outcome);
         }
     }
 
     fn crashed(&mut self, _now: Nanos) {
-        self.desk.fallen.push(self.node);
+        self.accounting.crashed_nodes.push(self.node);
     }
 }
 
 impl Fleet {
-    /// Starts all stand-ins on free ports of the loopback.
-    pub async fn start(day: &Scenario, seed: u64) -> Result<Arc<Fleet>> {
-        let count = day.nodes.count;
+    /// Starts all stand-ins on free loopback ports. Fails when a port cannot be bound.
+    pub async fn start(scenario: &Scenario, seed: u64) -> Result<Arc<Fleet>> {
+        let count = scenario.nodes.count;
         let (timers, due) = mpsc::unbounded_channel();
-        let desk = Desk {
+        let accounting = Accounting {
             now: 0,
             waiting: HashMap::new(),
-            xchgs: HashMap::new(),
+            request_ids: HashMap::new(),
             timers,
-            auditor: Auditor::new(day, super::slack()),
-            tally: RunMetrics::new(day),
-            fallen: Vec::new(),
-            last: 0,
+            auditor: Auditor::new(scenario, super::slack()),
+            tally: RunMetrics::new(scenario),
+            crashed_nodes: Vec::new(),
+            last_job: 0,
         };
         let mut inner = Inner {
-            desk,
-            nodes: (0..count).map(|node| CacheNode::new(&day.nodes, seed, node)).collect(),
-            origin: Origin::new(&day.origin, seed),
+            accounting,
+            nodes: (0..count).map(|node| CacheNode::new(&scenario.nodes, seed, node)).collect(),
+            origin: Origin::new(&scenario.origin, seed),
             registry: Registry::default(),
-            network: Network::new(&day.network),
+            network: Network::new(&scenario.network),
             rng: rng(seed, "network", 0),
-            late: 0,
-            lies: vec![false; count],
-            clock: vec![None; count],
+            discovery_lag: 0,
+            falsely_left: vec![false; count],
+            clock_offsets: vec![None; count],
             left: vec![false; count],
-            out: HashMap::new(),
+            open_requests: HashMap::new(),
         };
-        for node in initially_absent_nodes(day) {
+        for node in initially_absent_nodes(scenario) {
             inner.nodes[node].up = false;
             inner.left[node] = true;
         }
-        for (node, keys) in warm_keys(day, &inner.nodes) {
+        for (node, keys) in warm_keys(scenario, &inner.nodes) {
             keys.into_iter()
-                .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(day, key)));
+                .for_each(|key| inner.nodes[node].store.insert(key, traffic::value_bytes(scenario, key)));
         }
         for node in 0..count {
-            let entry = inner.actual(node);
+            let entry = inner.registry_entry(node);
             inner.registry.update(entry);
         }
         inner.registry.update(NodeEntry { node: count, state: NodeState::Ready, started_at: 0 });
-        let life = |node: usize| Life { listens: node == count || inner.nodes[node].up, epoch: 1 };
-        let lives = (0..=count).map(|node| watch::channel(life(node)).0).collect();
+        let process_state =
+            |node: usize| ProcessState { listening: node == count || inner.nodes[node].up, epoch: 1 };
+        let process_states = (0..=count).map(|node| watch::channel(process_state(node)).0).collect();
         let version = watch::channel(inner.registry.version()).0;
         let fleet = Arc::new(Fleet {
-            day: day.clone(),
+            scenario: scenario.clone(),
             inner: Mutex::new(inner),
             start: OnceLock::new(),
-            unix: OnceLock::new(),
-            lives,
+            start_unix_ms: OnceLock::new(),
+            process_states,
             version,
             addresses: OnceLock::new(),
-            discoveries: OnceLock::new(),
+            discovery_addresses: OnceLock::new(),
         });
         let mut addresses = Vec::new();
         for node in 0..=count {
             addresses.push(stand_ins::node(fleet.clone(), node).await?);
         }
-        let mut discoveries = Vec::new();
-        for proxy in 0..day.proxies.count {
-            discoveries.push(stand_ins::discovery(fleet.clone(), proxy).await?);
+        let mut discovery_addresses = Vec::new();
+        for proxy in 0..scenario.proxies.count {
+            discovery_addresses.push(stand_ins::discovery(fleet.clone(), proxy).await?);
         }
         let _ = fleet.addresses.set(addresses);
-        let _ = fleet.discoveries.set(discoveries);
-        tokio::spawn(clock(Arc::downgrade(&fleet), due));
+        let _ = fleet.discovery_addresses.set(discovery_addresses);
+        tokio::spawn(run_timers(Arc::downgrade(&fleet), due));
         Ok(fleet)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         let mut inner = self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        inner.desk.now = self.now();
+        inner.accounting.now = self.now();
         inner
     }
 
-    /// The day begins now.
+    /// Starts the scenario's clock.
     pub fn begin(&self) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let _ = self.unix.set(unix.as_millis() as u64);
+        let since_unix_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let _ = self.start_unix_ms.set(since_unix_epoch.as_millis() as u64);
         let _ = self.start.set(Instant::now());
     }
 
-    /// Since the day began.
+    /// Nanoseconds since the scenario began; 0 before it begins.
     pub fn now(&self) -> Nanos {
         self.start.get().map_or(0, |start| start.elapsed().as_nanos() as Nanos)
     }
 
-    /// When that time of the day is.
+    /// The instant of a scenario time.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.start.get().copied().unwrap_or_else(Instant::now) + Duration::from_nanos(at)
     }
 
+    /// Number that stands for the origin: the count of cache nodes.
     pub fn origin(&self) -> usize {
-        self.day.nodes.count
+        self.scenario.nodes.count
     }
 
-    pub fn day(&self) -> &Scenario {
-        &self.day
+    /// The scenario that is played.
+    pub fn scenario(&self) -> &Scenario {
+        &self.scenario
     }
 
-    pub fn life(&self, node: usize) -> watch::Receiver<Life> {
-        self.lives[node].subscribe()
+    /// Watches the process state of a node or the origin.
+    pub fn process_state(&self, node: usize) -> watch::Receiver<ProcessState> {
+        self.process_states[node].subscribe()
     }
 
-    /// Where a node, or the origin, listens while it does.
+    /// Address of a node or the origin; `None` before the start or for an unknown number.
     pub fn address(&self, node: usize) -> Option<SocketAddr> {
         self.addresses.get()?.get(node).copied()
     }
 
+    /// Address of a proxy's discovery agent; `None` before the start or for an unknown proxy.
     pub fn discovery(&self, proxy: usize) -> Option<SocketAddr> {
-        self.discoveries.get()?.get(proxy).copied()
+        self.discovery_addresses.get()?.get(proxy).copied()
     }
 
-    // ---- Tries ------------------------------------------------------------------------------------
+    // ---- Attempts ---------------------------------------------------------------------------------
 
-    /// A try has come to a stand-in and told it how long it will be waited for: what is known of its exchange, one-way
-    /// delay, and whether it gets here.
-    pub fn came(&self, xchg: u64, node: usize, told: Option<Nanos>) -> Option<(Operation, Nanos, bool)> {
+    /// Records an attempt that reached a stand-in and the time that its proxy said it would wait. Returns the
+    /// request's operation, the one-way delay, and whether the simulated network lets the attempt through;
+    /// `None` when no such request is open.
+    pub fn attempt_received(
+        &self,
+        request_id: u64,
+        node: usize,
+        time_told: Option<Nanos>,
+    ) -> Option<(Operation, Nanos, bool)> {
         let mut inner = self.lock();
         let cache = (node < self.origin()).then_some(node);
-        let now = inner.desk.now;
-        inner.desk.tally.attempts += 1;
-        inner.desk.auditor.attempt_sent(now, xchg, cache);
-        inner.desk.auditor.timeout_advertised(now, xchg, cache, told);
-        let (wish, proxy) = inner.out.get(&xchg).map(|out| (out.wish, out.proxy))?;
-        let zones = self.day.nodes.zones;
+        let now = inner.accounting.now;
+        inner.accounting.tally.attempts += 1;
+        inner.accounting.auditor.attempt_sent(now, request_id, cache);
+        inner.accounting.auditor.timeout_advertised(now, request_id, cache, time_told);
+        let (operation, proxy) =
+            inner.open_requests.get(&request_id).map(|request| (request.operation, request.proxy))?;
+        let zones = self.scenario.nodes.zones;
         let Inner { network, rng, .. } = &mut *inner;
         let delay = network.delay(rng, proxy % zones, cache.map_or(0, |node| node % zones));
-        Some((wish, delay, network.can_reach(proxy, node)))
+        Some((operation, delay, network.can_reach(proxy, node)))
     }
 
-    /// Puts the job to the node; its verdict comes by the channel, if it ever does.
-    pub fn arrive(&self, xchg: u64, node: usize, wish: &Operation) -> (JobId, oneshot::Receiver<JobOutcome>) {
+    /// Submits an attempt's job to the node. The channel gets its outcome, or closes when there will be none.
+    pub fn submit_job(
+        &self,
+        request_id: u64,
+        node: usize,
+        operation: &Operation,
+    ) -> (JobId, oneshot::Receiver<JobOutcome>) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        desk.last += 1;
-        let route = &self.day.route[wish.route];
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        accounting.last_job += 1;
+        let route = &self.scenario.route[operation.route];
         let job = Job {
-            id: desk.last,
-            key: wish.key,
-            value_bytes: wish.value_bytes,
+            id: accounting.last_job,
+            key: operation.key,
+            value_bytes: operation.value_bytes,
             service_time: millis(route.service_ms),
             write: route.write,
         };
-        let (tell, told) = oneshot::channel();
-        desk.waiting.insert(job.id, tell);
-        desk.xchgs.insert(job.id, xchg);
-        let now = desk.now;
-        (node < nodes.len()).then(|| desk.auditor.node_received(now, xchg, node));
+        let (sender, receiver) = oneshot::channel();
+        accounting.waiting.insert(job.id, sender);
+        accounting.request_ids.insert(job.id, request_id);
+        let now = accounting.now;
+        (node < nodes.len()).then(|| accounting.auditor.node_received(now, request_id, node));
         match nodes.get_mut(node) {
-            Some(cache) => cache.job_arrived(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.job_arrived(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => {
+                cache.job_arrived(now, job, &mut JobEnvironment { accounting, node, cache: Some(node) })
+            }
+            None => origin.job_arrived(now, job, &mut JobEnvironment { accounting, node, cache: None }),
         }
-        self.falls(&mut inner);
-        (job.id, told)
+        self.handle_crashes(&mut inner);
+        (job.id, receiver)
     }
 
-    /// The proxy has given up the try.
-    pub fn cancelled(&self, job: Option<JobId>, xchg: u64, node: usize) {
+    /// Records that the proxy gave up the attempt, and cancels its job.
+    pub fn attempt_cancelled(&self, job: Option<JobId>, request_id: u64, node: usize) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        desk.auditor.attempt_ended(desk.now, xchg, (node < nodes.len()).then_some(node));
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        accounting.auditor.attempt_ended(accounting.now, request_id, (node < nodes.len()).then_some(node));
         if let Some(job) = job {
-            desk.waiting.remove(&job);
-            desk.xchgs.remove(&job);
+            accounting.waiting.remove(&job);
+            accounting.request_ids.remove(&job);
             match nodes.get_mut(node) {
                 Some(node) => node.cancel(job),
                 None => origin.cancel(job),
@@ -280,65 +317,70 @@
         }
     }
 
-    /// The verdict is on its way to the proxy.
-    pub fn answered(&self, job: JobId, xchg: u64, node: usize, verdict: JobOutcome) {
+    /// Records an outcome that is about to be written to the proxy.
+    pub fn attempt_answered(&self, job: JobId, request_id: u64, node: usize, outcome: JobOutcome) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         let cache = (node < self.origin()).then_some(node);
-        inner.desk.auditor.attempt_ended(now, xchg, cache);
-        inner.desk.xchgs.remove(&job);
-        match (cache, verdict) {
-            (Some(_), JobOutcome::Missed) => inner.desk.tally.misses += 1,
-            (Some(_), JobOutcome::Completed) => inner.desk.tally.hits += 1,
+        inner.accounting.auditor.attempt_ended(now, request_id, cache);
+        inner.accounting.request_ids.remove(&job);
+        match (cache, outcome) {
+            (Some(_), JobOutcome::Missed) => inner.accounting.tally.misses += 1,
+            (Some(_), JobOutcome::Completed) => inner.accounting.tally.hits += 1,
             _ => {}
         }
-        if verdict == JobOutcome::Completed {
-            inner.desk.tally.served(now, cache);
+        if outcome == JobOutcome::Completed {
+            inner.accounting.tally.served(now, cache);
         }
-        if let (Some(node), JobOutcome::Missed) = (cache, verdict)
-            && let Some(out) = inner.out.get_mut(&xchg)
+        if let (Some(node), JobOutcome::Missed) = (cache, outcome)
+            && let Some(request) = inner.open_requests.get_mut(&request_id)
         {
-            out.missed.push(node);
+            request.missed.push(node);
         }
     }
 
-    /// The origin is done: where it was missed a copy is kept, and what was written drops all copies.
-    pub fn fetched(&self, xchg: u64) {
+    /// Updates the caches after the origin completed a request: a read is stored at the nodes that missed it,
+    /// a write removes the key from all nodes.
+    pub fn origin_completed(&self, request_id: u64) {
         let mut inner = self.lock();
-        let Inner { nodes, out, .. } = &mut *inner;
-        let Some(Out { wish, missed, .. }) = out.get(&xchg) else { return };
-        if self.day.route[wish.route].write {
-            nodes.iter_mut().for_each(|node| node.store.remove(wish.key));
+        let Inner { nodes, open_requests, .. } = &mut *inner;
+        let Some(OpenRequest { operation, missed, .. }) = open_requests.get(&request_id) else { return };
+        if self.scenario.route[operation.route].write {
+            nodes.iter_mut().for_each(|node| node.store.remove(operation.key));
         } else {
             for &node in missed.iter().filter(|&&node| nodes[node].up).collect::<Vec<_>>() {
-                nodes[node].store.insert(wish.key, wish.value_bytes);
+                nodes[node].store.insert(operation.key, operation.value_bytes);
             }
         }
     }
 
-    fn finished(&self, node: usize, job: JobId) {
+    /// Completes a job whose timer expired.
+    fn job_finished(&self, node: usize, job: JobId) {
         let mut inner = self.lock();
-        let Inner { desk, nodes, origin, .. } = &mut *inner;
-        let now = desk.now;
+        let Inner { accounting, nodes, origin, .. } = &mut *inner;
+        let now = accounting.now;
         match nodes.get_mut(node) {
-            Some(cache) => cache.job_finished(now, job, &mut Work { desk, node, cache: Some(node) }),
-            None => origin.job_finished(now, job, &mut Work { desk, node, cache: None }),
+            Some(cache) => {
+                cache.job_finished(now, job, &mut JobEnvironment { accounting, node, cache: Some(node) })
+            }
+            None => origin.job_finished(now, job, &mut JobEnvironment { accounting, node, cache: None }),
         }
-        self.falls(&mut inner);
+        self.handle_crashes(&mut inner);
     }
 
-    /// Whether a connection to this node is taken up.
-    pub fn connects(&self, node: usize) -> bool {
+    /// Counts a new connection to the node; false when it has no room for it or is down.
+    pub fn accepts_connection(&self, node: usize) -> bool {
         let mut inner = self.lock();
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         match inner.nodes.get_mut(node) {
             Some(node) => node.connect(),
             None => inner.origin.is_up(now),
         }
     }
 
-    pub fn disconnects(&self, node: usize, epoch: u64) {
-        if self.lives[node].borrow().epoch == epoch
+    /// Releases a connection, unless its process has ended meanwhile.
+    pub fn connection_closed(&self, node: usize, epoch: u64) {
+        if self.process_states[node].borrow().epoch == epoch
             && let Some(node) = self.lock().nodes.get_mut(node)
         {
             node.disconnect();
@@ -346,83 +388,91 @@
     }
 
     /// Whether a node answers a probe.
-    pub fn speaks(&self, node: usize) -> bool {
+    pub fn answers_probes(&self, node: usize) -> bool {
         self.lock().nodes.get(node).is_none_or(|node| node.up && !node.unresponsive)
     }
 
-    // ---- Exchanges, as the load generator has them ------------------------------------------------
+    // ---- Requests of the load generator -----------------------------------------------------------
 
-    pub fn taken(&self, xchg: u64, wish: &Operation, proxy: usize, timeout: Nanos) {
+    /// Records that a client starts a request at a proxy, with its overall timeout.
+    pub fn request_accepted(&self, request_id: u64, operation: &Operation, proxy: usize, timeout: Nanos) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
-        inner.desk.tally.requests += 1;
-        inner.desk.auditor.request_accepted(now, xchg, proxy, wish.route, now + timeout);
-        inner.out.insert(xchg, Out { wish: *wish, proxy, missed: Vec::new() });
+        let now = inner.accounting.now;
+        inner.accounting.tally.requests += 1;
+        inner.accounting.auditor.request_accepted(now, request_id, proxy, operation.route, now + timeout);
+        inner
+            .open_requests
+            .insert(request_id, OpenRequest { operation: *operation, proxy, missed: Vec::new() });
     }
 
-    /// Its client has written its last byte, and waits so long from now on.
-    pub fn asked(&self, xchg: u64, patience: Nanos) {
+    /// Records that the client has written the whole request and waits this long from now.
+    pub fn request_sent(&self, request_id: u64, wait: Nanos) {
         let mut inner = self.lock();
-        let until = inner.desk.now + patience;
-        inner.desk.auditor.set_client_deadline(xchg, until);
+        let until = inner.accounting.now + wait;
+        inner.accounting.auditor.set_client_deadline(request_id, until);
     }
 
-    pub fn final_answer(&self, xchg: u64, answer: FinalAnswer, sound: bool) {
+    /// Records a request's final answer; `sound` is false for a value made for another request.
+    pub fn final_answer(&self, request_id: u64, answer: FinalAnswer, sound: bool) {
         let mut inner = self.lock();
-        let now = inner.desk.now;
-        inner.desk.auditor.answered(now, xchg, answer, sound);
+        let now = inner.accounting.now;
+        inner.accounting.auditor.answered(now, request_id, answer, sound);
         match answer {
-            FinalAnswer::Shed => inner.desk.tally.shed += 1,
-            FinalAnswer::Errored => inner.desk.tally.errored += 1,
+            FinalAnswer::Shed => inner.accounting.tally.shed += 1,
+            FinalAnswer::Errored => inner.accounting.tally.errored += 1,
             FinalAnswer::Served => {}
         }
-        inner.desk.auditor.audit_due(now);
+        inner.accounting.auditor.audit_due(now);
     }
 
-    /// No answer is owed: nothing was taken, or its proxy was killed.
-    pub fn excused(&self, xchg: u64, at: Nanos) {
-        self.lock().desk.auditor.request_abandoned(at, xchg);
+    /// Frees the proxy of the duty to answer: it never accepted the request, or was killed.
+    pub fn excuse_request(&self, request_id: u64, at: Nanos) {
+        self.lock().accounting.auditor.request_abandoned(at, request_id);
     }
 
-    pub fn refused(&self) {
-        self.lock().desk.tally.refused += 1;
+    /// Counts a client connection that a proxy refused.
+    pub fn connection_refused(&self) {
+        self.lock().accounting.tally.refused += 1;
     }
 
-    /// The exchange is over for its client.
-    pub fn over(&self, xchg: u64) {
-        self.lock().out.remove(&xchg);
+    /// Removes a request that has ended for its client.
+    pub fn request_closed(&self, request_id: u64) {
+        self.lock().open_requests.remove(&request_id);
     }
 
-    pub fn wish(&self, wish: &Operation, end: OperationOutcome) {
-        self.lock().desk.tally.operation_finished(wish, end);
+    /// Counts how an operation ended after all its retries.
+    pub fn operation_ended(&self, operation: &Operation, end: OperationOutcome) {
+        self.lock().accounting.tally.operation_finished(operation, end);
     }
 
     // ---- Discovery --------------------------------------------------------------------------------
 
-    pub fn versions(&self) -> watch::Receiver<u64> {
+    /// Watches the version of the registry.
+    pub fn registry_versions(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// How much later a proxy is told; none while discovery answers nobody.
-    pub fn tells_after(&self) -> Option<Nanos> {
+    /// Random delay until a proxy learns of a change; `None` while discovery is unresponsive.
+    pub fn discovery_delay(&self) -> Option<Nanos> {
         use rand::RngExt;
         let mut inner = self.lock();
-        let usual = millis(self.day.discovery.propagation_ms);
-        let delay = inner.rng.random_range(usual..=2 * usual);
-        (!inner.registry.unresponsive).then_some(delay + inner.late)
+        let minimum = millis(self.scenario.discovery.propagation_ms);
+        let delay = inner.rng.random_range(minimum..=2 * minimum);
+        (!inner.registry.unresponsive).then_some(delay + inner.discovery_lag)
     }
 
-    /// The list as discovery has it for one proxy, which is told it with this: whole, or since a version.
+    /// The registry as JSON, whole or only the changes since a version. Records for the auditor that the
+    /// proxy has learned these entries.
     pub fn list(&self, proxy: usize, since: Option<u64>) -> Json {
         let mut inner = self.lock();
         let entries = match since {
             Some(version) => inner.registry.changes_since(version),
             None => inner.registry.snapshot(),
         };
-        let now = inner.desk.now;
+        let now = inner.accounting.now;
         for entry in entries.iter().filter(|entry| entry.node < self.origin()) {
-            inner.desk.auditor.state_announced(now, proxy, entry.node, entry.state);
-            inner.desk.auditor.start_announced(now, proxy, entry.node, entry.started_at);
+            inner.accounting.auditor.state_announced(now, proxy, entry.node, entry.state);
+            inner.accounting.auditor.start_announced(now, proxy, entry.node, entry.started_at);
         }
         let targets: Vec<Json> = entries.iter().map(|entry| self.target(entry)).collect();
         json!({"rev": inner.registry.version(), "all": since.is_none(), "targets": targets})
@@ -431,11 +481,11 @@
     fn target(&self, entry: &NodeEntry) -> Json {
         let origin = entry.node == self.origin();
         let address = self.addresses.get().and_then(|all| all.get(entry.node)).map(ToString::to_string);
-        let unix = self.unix.get().copied().unwrap_or(0);
+        let start_unix_ms = self.start_unix_ms.get().copied().unwrap_or(0);
         json!({
             "uid": if origin { "origin".into() } else { node_uid(entry.node) },
             "endpoint": address.unwrap_or_default(),
-            "az": platform::zone(if origin { 0 } else { entry.node % self.day.nodes.zones }),
+            "az": platform::zone(if origin { 0 } else { entry.node % self.scenario.nodes.zones }),
             "model": if origin { platform::ORIGIN } else { platform::CACHE },
             "pod_group": 0,
             "state": match entry.state {
@@ -443,45 +493,47 @@
                 NodeState::Draining => "leaving",
                 NodeState::Left => "left",
             },
-            "boot_ms": if entry.started_at == 0 { 0 } else { unix + entry.started_at / 1_000_000 },
+            "boot_ms": if entry.started_at == 0 { 0 } else { start_unix_ms + entry.started_at / 1_000_000 },
         })
     }
 
-    /// A proxy starts from nothing.
-    pub fn restarted(&self, proxy: usize) {
-        self.lock().desk.auditor.proxy_restarted(proxy);
+    /// Records that a proxy restarted without its memory.
+    pub fn proxy_restarted(&self, proxy: usize) {
+        self.lock().accounting.auditor.proxy_restarted(proxy);
     }
 
-    fn says(&self, inner: &mut Inner, node: usize) {
-        let entry = inner.actual(node);
+    /// Writes a node's present state to the registry.
+    fn publish_entry(&self, inner: &mut Inner, node: usize) {
+        let entry = inner.registry_entry(node);
         if inner.registry.update(entry) {
             self.version.send_replace(inner.registry.version());
         }
     }
 
-    /// Discovery gets to know of a node after a while.
-    fn notice(self: &Arc<Self>, node: usize, after: Nanos) {
+    /// Writes a node's state to the registry after discovery's detection delay.
+    fn publish_entry_later(self: &Arc<Self>, node: usize, after: Nanos) {
         let fleet = self.clone();
         tokio::spawn(async move {
             sleep(Duration::from_nanos(after)).await;
             let mut inner = fleet.lock();
-            fleet.says(&mut inner, node);
+            fleet.publish_entry(&mut inner, node);
         });
     }
 
-    // ---- What goes wrong --------------------------------------------------------------------------
+    // ---- Faults -----------------------------------------------------------------------------------
 
-    pub async fn changes(self: &Arc<Self>, change: WorldChange) {
+    /// Applies a change of the scenario's timeline. Kills of proxies are done by their owner.
+    pub async fn apply_change(self: &Arc<Self>, change: WorldChange) {
         let mut inner = self.lock();
-        let (now, noticed) = (inner.desk.now, millis(self.day.discovery.detection_ms));
+        let (now, detection) = (inner.accounting.now, millis(self.scenario.discovery.detection_ms));
         match change {
             WorldChange::Stop(node) => {
-                self.node_stops(&mut inner, node);
-                self.notice(node, noticed);
+                self.stop_node(&mut inner, node);
+                self.publish_entry_later(node, detection);
             }
             WorldChange::Start(node) => {
-                self.node_starts(&mut inner, node);
-                self.notice(node, noticed);
+                self.start_node(&mut inner, node);
+                self.publish_entry_later(node, detection);
             }
             WorldChange::NodeSpeed(node, factor) => inner.nodes[node].slowdown = factor,
             WorldChange::Pause(node, until) => inner.nodes[node].pause(until),
@@ -489,21 +541,21 @@
             WorldChange::Spoils(node, share) => inner.nodes[node].corrupt_share = share,
             WorldChange::Refuses(node, refuses) => {
                 inner.nodes[node].refuses_connections = refuses;
-                self.lives[node].send_modify(|life| life.listens = !refuses);
+                self.process_states[node].send_modify(|state| state.listening = !refuses);
             }
             WorldChange::Silent(node, silent) => inner.nodes[node].unresponsive = silent,
             WorldChange::Drain(node) => {
                 inner.nodes[node].draining_since = Some(now);
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Undrain(node) => {
                 inner.nodes[node].draining_since = None;
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Leave(node) => {
                 inner.left[node] = true;
-                self.node_stops(&mut inner, node);
-                self.says(&mut inner, node);
+                self.stop_node(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::OriginSpeed(factor) => inner.origin.slowdown = factor,
             WorldChange::OriginDown(down) => {
@@ -511,105 +563,112 @@
                 if down {
                     inner.origin.stop();
                 }
-                let listens = !down;
-                self.lives[self.origin()].send_modify(|life| *life = Life { listens, epoch: life.epoch + 1 });
+                let listening = !down;
+                self.process_states[self.origin()]
+                    .send_modify(|state| *state = ProcessState { listening, epoch: state.epoch + 1 });
             }
             WorldChange::Void => inner.nodes.iter_mut().for_each(|node| node.store.clear()),
             WorldChange::Kill(_) => {}
             WorldChange::Discovery(speaks) => inner.registry.unresponsive = !speaks,
-            WorldChange::DiscoveryLate(late) => inner.late = late,
+            WorldChange::DiscoveryLate(late) => inner.discovery_lag = late,
             WorldChange::Freeze(node, frozen) => {
                 inner.registry.set_frozen(node, frozen);
-                self.says(&mut inner, node);
+                self.publish_entry(&mut inner, node);
             }
-            WorldChange::Lie(node, lies) => {
-                inner.lies[node] = lies;
-                self.says(&mut inner, node);
+            WorldChange::Lie(node, falsely_left) => {
+                inner.falsely_left[node] = falsely_left;
+                self.publish_entry(&mut inner, node);
             }
-            WorldChange::Clock(node, off) => {
-                inner.clock[node] = (off != 0).then_some(off);
-                self.says(&mut inner, node);
+            WorldChange::Clock(node, offset) => {
+                inner.clock_offsets[node] = (offset != 0).then_some(offset);
+                self.publish_entry(&mut inner, node);
             }
             WorldChange::Cut(proxy, node, cut) => inner.network.set_partitioned(proxy, node, cut),
         }
     }
 
-    fn node_stops(&self, inner: &mut Inner, node: usize) {
+    fn stop_node(&self, inner: &mut Inner, node: usize) {
         inner.nodes[node].stop();
-        self.lives[node].send_modify(|life| *life = Life { listens: false, epoch: life.epoch + 1 });
+        self.process_states[node]
+            .send_modify(|state| *state = ProcessState { listening: false, epoch: state.epoch + 1 });
     }
 
-    fn node_starts(&self, inner: &mut Inner, node: usize) {
+    fn start_node(&self, inner: &mut Inner, node: usize) {
         if !inner.nodes[node].up || inner.left[node] {
-            let now = inner.desk.now.max(1);
+            let now = inner.accounting.now.max(1);
             inner.nodes[node].start(now);
-            inner.desk.auditor.node_started(now, node);
+            inner.accounting.auditor.node_started(now, node);
             inner.left[node] = false;
-            self.lives[node].send_modify(|life| *life = Life { listens: true, epoch: life.epoch + 1 });
+            self.process_states[node]
+                .send_modify(|state| *state = ProcessState { listening: true, epoch: state.epoch + 1 });
         }
     }
 
-    /// Nodes that fell over by themselves stop, and come back.
-    fn falls(&self, inner: &mut Inner) {
-        while let Some(node) = inner.desk.fallen.pop() {
-            let now = inner.desk.now;
+    /// Stops nodes that crashed from overload, and schedules their restart.
+    fn handle_crashes(&self, inner: &mut Inner) {
+        while let Some(node) = inner.accounting.crashed_nodes.pop() {
+            let now = inner.accounting.now;
             let down = if node < self.origin() {
-                inner.desk.tally.cold_node_overloads += 1;
-                inner.desk.auditor.cold_node_overloaded(now, node);
-                seconds(self.day.nodes.down_seconds)
+                inner.accounting.tally.cold_node_overloads += 1;
+                inner.accounting.auditor.cold_node_overloaded(now, node);
+                seconds(self.scenario.nodes.down_seconds)
             } else {
-                inner.desk.tally.origin_stops += 1;
+                inner.accounting.tally.origin_stops += 1;
                 if inner.origin.slowdown <= 1.0 {
-                    inner.desk.auditor.origin_stopped(now);
+                    inner.accounting.auditor.origin_stopped(now);
                 }
-                seconds(self.day.origin.down_seconds)
+                seconds(self.scenario.origin.down_seconds)
             };
-            self.lives[node].send_modify(|life| *life = Life { listens: false, epoch: life.epoch + 1 });
-            // The clock of jobs brings it back: a job of no number.
-            let _ = inner.desk.timers.send((now + down, node, 0));
+            self.process_states[node]
+                .send_modify(|state| *state = ProcessState { listening: false, epoch: state.epoch + 1 });
+            // Job number 0 is never a job: it is the timer that restarts the node.
+            let _ = inner.accounting.timers.send((now + down, node, 0));
         }
     }
 
-    fn back(self: &Arc<Self>, node: usize) {
+    /// Restarts a node, or makes the origin listen again, after a crash from overload.
+    fn restart_after_crash(self: &Arc<Self>, node: usize) {
         let mut inner = self.lock();
         if node < self.origin() {
-            self.node_starts(&mut inner, node);
-            self.notice(node, millis(self.day.discovery.detection_ms));
-        } else if inner.origin.is_up(inner.desk.now) {
-            self.lives[node].send_modify(|life| life.listens = true);
+            self.start_node(&mut inner, node);
+            self.publish_entry_later(node, millis(self.scenario.discovery.detection_ms));
+        } else if inner.origin.is_up(inner.accounting.now) {
+            self.process_states[node].send_modify(|state| state.listening = true);
         }
     }
 
-    /// Waits until no node has a job.
-    pub async fn quiet(&self) {
-        while !self.lock().desk.waiting.is_empty() {
+    /// Waits until no job is outstanding.
+    pub async fn wait_until_idle(&self) {
+        while !self.lock().accounting.waiting.is_empty() {
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// The rules and the counts; the day is over.
-    pub fn end(&self) -> (Auditor, RunMetrics) {
+    /// Takes the auditor and the counters out at the end of the run.
+    pub fn finish(&self) -> (Auditor, RunMetrics) {
         let mut inner = self.lock();
-        let auditor = std::mem::replace(&mut inner.desk.auditor, Auditor::new(&self.day, 0));
-        (auditor, std::mem::replace(&mut inner.desk.tally, RunMetrics::new(&self.day)))
+        let auditor = std::mem::replace(&mut inner.accounting.auditor, Auditor::new(&self.scenario, 0));
+        (auditor, std::mem::replace(&mut inner.accounting.tally, RunMetrics::new(&self.scenario)))
     }
 }
 
 impl Inner {
-    fn actual(&self, node: usize) -> NodeEntry {
-        let gone = self.left[node] || self.lies[node];
-        self.nodes[node].registry_entry(node, self.desk.now, gone, self.clock[node])
+    /// The registry entry that a node has now, with the faults that falsify it.
+    fn registry_entry(&self, node: usize) -> NodeEntry {
+        let gone = self.left[node] || self.falsely_left[node];
+        self.nodes[node].registry_entry(node, self.accounting.now, gone, self.clock_offsets[node])
     }
 }
 
-/// Tells the nodes when their jobs are done; ends with the fleet.
-async fn clock(fleet: std::sync::Weak<Fleet>, mut due: mpsc::UnboundedReceiver<(Nanos, usize, JobId)>) {
+/// Completes jobs when their timers expire; ends with the fleet. It wakes at least every 100 ms so that it
+/// notices that end.
+async fn run_timers(fleet: std::sync::Weak<Fleet>, mut due: mpsc::UnboundedReceiver<(Nanos, usize, JobId)>) {
     let mut timers: BinaryHeap<Reverse<(Nanos, usize, JobId)>> = BinaryHeap::new();
     loop {
-        let Some(here) = fleet.upgrade() else { return };
+        let Some(current) = fleet.upgrade() else { return };
         let next = timers.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at);
-        let wake = here.instant(next.min(here.now() + millis(100.0)));
-        drop(here);
+        let wake = current.instant(next.min(current.now() + millis(100.0)));
+        drop(current);
         tokio::select! {
             timer = due.recv() => match timer {
                 Some(timer) => timers.push(Reverse(timer)),
@@ -617,16 +676,16 @@
             },
             () = sleep_until(wake) => {}
         }
-        let Some(here) = fleet.upgrade() else { return };
+        let Some(current) = fleet.upgrade() else { return };
         while let Some(&Reverse((at, node, job))) = timers.peek() {
-            if at > here.now() {
+            if at > current.now() {
                 break;
             }
             timers.pop();
             if job == 0 {
-                here.back(node);
+                current.restart_after_crash(node);
             } else {
-                here.finished(node, job);
+                current.job_finished(node, job);
             }
         }
     }
--- a/crates/lab/src/real/process.rs
+++ b/crates/lab/src/real/process.rs
@@ -1,5 +1,6 @@
-//! Proxies as processes: started, watched, killed as the day has it, and ended whatever happens. One that
-//! prints without end is read without end, and all but its last lines are dropped.
+//! Runs the proxies as child processes: starts and supervises them, kills and restarts them as the scenario
+//! demands, and ends them on every way out. Their output is always read, so that a proxy that prints without
+//! end never blocks on a full pipe; only its last lines are kept.
 
 use crate::real::SharedFleet;
 use crate::{operator_command, platform};
@@ -23,35 +24,42 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Lines of a proxy's log that are kept, and the bytes of each.
-const LINES: usize = 40;
-const LINE: u64 = 400;
-/// Where the proxies are a fleet.
-const VOTERS: usize = 3;
+/// Last lines kept of a proxy's output.
+const MAX_LOG_LINES: usize = 40;
+/// Longest line kept, in bytes; a longer one is split.
+const MAX_LOG_LINE_BYTES: u64 = 400;
+/// Number of proxies that vote when the proxies form a fleet.
+const VOTER_COUNT: usize = 3;
 
-/// Where proxies listen: so many ports from the first on, and how far apart programs begin.
+/// Lowest port that proxies listen on.
 const FIRST_PORT: u16 = 10_000;
-const PORTS: u16 = 20_000;
+/// Size of the port range.
+const PORT_COUNT: u16 = 20_000;
+/// Distance between the first ports of lab processes with consecutive process ids.
 const PORT_STRIDE: u32 = 997;
 
+/// Last lines of a proxy's output.
 type Log = Arc<Mutex<VecDeque<String>>>;
 
+/// One proxy and its child process, while it has one.
 struct Proxy {
     address: SocketAddr,
-    /// Where it takes links of replication, if it does.
-    replicates: Option<SocketAddr>,
-    /// Where it takes the fleet's links, if it votes.
-    votes: Option<SocketAddr>,
+    /// Address for replication links, where the scenario has replication.
+    replication_address: Option<SocketAddr>,
+    /// Address for the fleet's links, if this proxy is a voter.
+    voter_address: Option<SocketAddr>,
     config: PathBuf,
     child: Option<Child>,
     log: Log,
-    /// When it is to start again.
-    again: Option<Instant>,
-    life: u64,
+    /// When to start it again after a kill.
+    restart_at: Option<Instant>,
+    /// Number of starts so far.
+    starts: u64,
 }
 
+/// All proxy processes of a run. Dropping it kills them.
 pub struct Proxies {
-    day: Scenario,
+    scenario: Scenario,
     seed: u64,
     program: PathBuf,
     proxies: Vec<Proxy>,
@@ -60,89 +68,99 @@
 }
 
 impl Proxies {
-    /// Starts all, and waits until each answers.
+    /// Starts all proxies, waits until each answers, and founds the fleet where the scenario has one. Fails
+    /// when a process ends or does not answer in time.
     pub async fn start(
-        day: &Scenario,
+        scenario: &Scenario,
         seed: u64,
         program: Option<&PathBuf>,
         fleet: &SharedFleet,
     ) -> Result<Proxies> {
         let program = match program {
             Some(program) => program.clone(),
-            None => std::env::current_exe().context("this program's own path")?,
+            None => std::env::current_exe().context("cannot find the path of this executable")?,
         };
-        let folder = tempfile::tempdir().context("a folder for configurations")?;
+        let folder = tempfile::tempdir().context("cannot create a folder for configurations")?;
         let mut proxies = Vec::new();
-        for number in 0..day.proxies.count {
+        for number in 0..scenario.proxies.count {
             proxies.push(Proxy {
-                address: free()?,
-                replicates: day.proxies.replication.then(free).transpose()?,
-                votes: (day.proxies.fleet && number < VOTERS).then(free).transpose()?,
+                address: free_address()?,
+                replication_address: scenario.proxies.replication.then(free_address).transpose()?,
+                voter_address: (scenario.proxies.fleet && number < VOTER_COUNT)
+                    .then(free_address)
+                    .transpose()?,
                 config: folder.path().join(format!("p{}.json", number + 1)),
                 child: None,
                 log: Log::default(),
-                again: None,
-                life: 0,
+                restart_at: None,
+                starts: 0,
             });
         }
-        let mut all = Proxies { day: day.clone(), seed, program, proxies, notes: Vec::new(), folder };
-        for number in 0..day.proxies.count {
+        let mut all =
+            Proxies { scenario: scenario.clone(), seed, program, proxies, notes: Vec::new(), folder };
+        for number in 0..scenario.proxies.count {
             all.spawn(number, fleet)?;
         }
-        for number in 0..day.proxies.count {
-            all.ready(number).await?;
+        for number in 0..scenario.proxies.count {
+            all.wait_until_ready(number).await?;
         }
-        if day.proxies.fleet {
-            let within = Duration::from_secs_f64(day.proxies.ready_seconds);
+        if scenario.proxies.fleet {
+            let within = Duration::from_secs_f64(scenario.proxies.ready_seconds);
             operator_command::fleet(&all.program, &["found"], &all.proxies[0].config, within).await?;
         }
         Ok(all)
     }
 
+    /// Client addresses of the proxies, in order.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.proxies.iter().map(|proxy| proxy.address).collect()
     }
 
-    /// The section `fleet` of a proxy.
-    fn section(&self, number: usize) -> Json {
+    /// Section `fleet` of a proxy's configuration.
+    fn fleet_section(&self, number: usize) -> Json {
         let voters: serde_json::Map<_, _> = (1..)
             .zip(&self.proxies)
-            .filter_map(|(number, proxy)| Some((format!("p{number}"), json!(proxy.votes?.to_string()))))
+            .filter_map(|(number, proxy)| {
+                Some((format!("p{number}"), json!(proxy.voter_address?.to_string())))
+            })
             .collect();
         let folder = self.folder.path().join(format!("d{}", number + 1));
-        let mut section = json!({"name": "lab", "voters": voters, "folder": folder});
+        let mut fleet_section = json!({"name": "lab", "voters": voters, "folder": folder});
         let peers: serde_json::Map<_, _> = (1..)
             .zip(&self.proxies)
-            .filter_map(|(number, proxy)| Some((format!("p{number}"), json!(proxy.replicates?.to_string()))))
+            .filter_map(|(number, proxy)| {
+                Some((format!("p{number}"), json!(proxy.replication_address?.to_string())))
+            })
             .collect();
         if !peers.is_empty() {
-            section["replication"] = json!({"peers": peers, "folder": folder.join("replica")});
+            fleet_section["replication"] = json!({"peers": peers, "folder": folder.join("replica")});
         }
-        section
+        fleet_section
     }
 
+    /// Writes a proxy's configuration and starts its process.
     fn spawn(&mut self, number: usize, fleet: &SharedFleet) -> Result<()> {
-        fleet.restarted(number);
-        let section = self.day.proxies.fleet.then(|| self.section(number));
-        let this = &mut self.proxies[number];
-        this.life += 1;
-        let seed = splitmix64(self.seed ^ splitmix64(number as u64 ^ this.life << 32));
+        fleet.proxy_restarted(number);
+        let fleet_section = self.scenario.proxies.fleet.then(|| self.fleet_section(number));
+        let proxy = &mut self.proxies[number];
+        proxy.starts += 1;
+        let seed = splitmix64(self.seed ^ splitmix64(number as u64 ^ proxy.starts << 32));
         let mut config = json!({
             "name": format!("p{}", number + 1),
-            "listen": this.address.to_string(),
-            "discovery": fleet.discovery(number).context("discovery")?.to_string(),
+            "listen": proxy.address.to_string(),
+            "discovery": fleet.discovery(number).context("discovery has no address for this proxy")?.to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {"sockets": 4096, "memory_mb": 512},
             "known": fleet.list(number, None),
-            "settings": platform::settings(&self.day, number),
+            "settings": platform::settings(&self.scenario, number),
         });
-        if let Some(section) = section {
-            config["fleet"] = section;
+        if let Some(fleet_section) = fleet_section {
+            config["fleet"] = fleet_section;
         }
-        std::fs::write(&this.config, config.to_string())?;
+        std::fs::write(&proxy.config, config.to_string())?;
         let mut child = Command::new(&self.program)
             .args(["serve", "--config"])
-            .arg(&this.config)
+            .arg(&proxy.config)
             .env_remove("PROXY_NAME")
             .env_remove("PROXY_LISTEN")
             .env_remove("PROXY_DISCOVERY")
@@ -151,74 +169,77 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("p{}: {}", number + 1, self.program.display()))?;
+            .with_context(|| format!("p{}: cannot run {}", number + 1, self.program.display()))?;
         if let Some(stdout) = child.stdout.take() {
-            tokio::spawn(keep(stdout, this.log.clone()));
+            tokio::spawn(keep_last_lines(stdout, proxy.log.clone()));
         }
         if let Some(stderr) = child.stderr.take() {
-            tokio::spawn(keep(stderr, this.log.clone()));
+            tokio::spawn(keep_last_lines(stderr, proxy.log.clone()));
         }
-        this.child = Some(child);
-        this.again = None;
+        proxy.child = Some(child);
+        proxy.restart_at = None;
         Ok(())
     }
 
-    async fn ready(&mut self, number: usize) -> Result<()> {
+    /// Waits until a proxy answers `PING`. Fails when it ends first or the time limit passes.
+    async fn wait_until_ready(&mut self, number: usize) -> Result<()> {
         let name = format!("p{}", number + 1);
-        let patience = self.day.proxies.ready_seconds;
-        let until = Instant::now() + Duration::from_secs_f64(patience);
+        let time_limit = self.scenario.proxies.ready_seconds;
+        let until = Instant::now() + Duration::from_secs_f64(time_limit);
         while Instant::now() < until {
-            let this = &mut self.proxies[number];
-            if let Some(child) = &mut this.child
+            let proxy = &mut self.proxies[number];
+            if let Some(child) = &mut proxy.child
                 && let Some(status) = child.try_wait()?
             {
-                // What it said may still be on its way.
+                // Its last output may still be in the pipe.
                 sleep(Duration::from_millis(50)).await;
-                bail!("{name} did not start: {status}; it said:\n{}", last(&this.log));
+                bail!("{name} did not start: {status}; last output:\n{}", log_text(&proxy.log));
             }
-            if timeout(Duration::from_millis(500), pong(this.address)).await.unwrap_or(false) {
+            if timeout(Duration::from_millis(500), answers_ping(proxy.address)).await.unwrap_or(false) {
                 return Ok(());
             }
             sleep(Duration::from_millis(20)).await;
         }
-        let log = last(&self.proxies[number].log);
-        bail!("{name} did not answer within {patience} s; it said:\n{log}");
+        let log = log_text(&self.proxies[number].log);
+        bail!("{name} did not answer within {time_limit} s; last output:\n{log}");
     }
 
-    /// Kills it outright; it starts again as the scenario has it.
+    /// Kills a proxy with SIGKILL and schedules its restart.
     pub async fn kill(&mut self, number: usize, fleet: &SharedFleet) {
-        let this = &mut self.proxies[number];
-        if let Some(mut child) = this.child.take() {
+        let proxy = &mut self.proxies[number];
+        if let Some(mut child) = proxy.child.take() {
             let _ = child.kill().await;
         }
-        let wait = Duration::from_secs_f64(self.day.proxies.restart_seconds);
-        this.again = Some(Instant::now() + wait);
-        fleet.restarted(number);
+        let wait = Duration::from_secs_f64(self.scenario.proxies.restart_seconds);
+        proxy.restart_at = Some(Instant::now() + wait);
+        fleet.proxy_restarted(number);
     }
 
-    /// Starts those again that are due, and notices those that ended by themselves.
-    pub async fn look_after(&mut self, fleet: &SharedFleet) {
+    /// Restarts the proxies that are due, and notes those that ended by themselves.
+    pub async fn supervise(&mut self, fleet: &SharedFleet) {
         for number in 0..self.proxies.len() {
-            let this = &mut self.proxies[number];
-            let ended = this.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
+            let proxy = &mut self.proxies[number];
+            let ended = proxy.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = ended {
-                this.child = None;
-                let at = at(fleet.now());
-                let said = last(&this.log);
-                self.notes
-                    .push(format!("p{} ended by itself at {at}: {status}; it said:\n{said}", number + 1));
+                proxy.child = None;
+                let run_time = run_time(fleet.now());
+                let output = log_text(&proxy.log);
+                self.notes.push(format!(
+                    "p{} ended by itself at {run_time}: {status}; last output:\n{output}",
+                    number + 1
+                ));
             }
-            if self.proxies[number].again.is_some_and(|again| again <= Instant::now())
+            if self.proxies[number].restart_at.is_some_and(|restart_at| restart_at <= Instant::now())
                 && let Err(error) = self.spawn(number, fleet)
             {
-                self.proxies[number].again = None;
-                self.notes.push(format!("p{} did not start again: {error:#}", number + 1));
+                self.proxies[number].restart_at = None;
+                self.notes.push(format!("p{} did not restart: {error:#}", number + 1));
             }
         }
     }
 
-    /// Asks all to end, and sees that they do. Gives what was noticed; what begins with a proxy's name spoils
-    /// the day.
+    /// Sends SIGTERM to all proxies and kills those that do not end in time. Returns the notes of the run; a
+    /// note that begins with a proxy's name makes the run unusable.
     pub async fn stop(&mut self) -> Vec<String> {
         for proxy in &self.proxies {
             let id = proxy.child.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
@@ -226,31 +247,33 @@
                 let _ = kill(Pid::from_raw(id), Signal::SIGTERM);
             }
         }
-        let until = Instant::now() + Duration::from_secs_f64(self.day.proxies.shutdown_seconds);
+        let until = Instant::now() + Duration::from_secs_f64(self.scenario.proxies.shutdown_seconds);
         for (number, proxy) in self.proxies.iter_mut().enumerate() {
             let Some(mut child) = proxy.child.take() else { continue };
             if tokio::time::timeout_at(until, child.wait()).await.is_err() {
                 let _ = child.kill().await;
-                self.notes.push(format!("p{} hung: it did not end when asked to", number + 1));
+                self.notes.push(format!("p{} hung: it did not end after SIGTERM and was killed", number + 1));
             }
         }
         std::mem::take(&mut self.notes)
     }
 }
 
-fn at(now: Nanos) -> String {
+/// Time since the scenario began, as text in seconds.
+fn run_time(now: Nanos) -> String {
     format!("{:.1} s", now as f64 / 1e9)
 }
 
-/// An address that nobody listens at. It lies below the ports that the kernel gives to whoever names none: else a
-/// connection or listener of a stand-in could have it before the proxy does.
-fn free() -> Result<SocketAddr> {
+/// A loopback address that is free at the moment. Its port lies below the kernel's ephemeral range: otherwise
+/// a connection or listener of a stand-in could take it before the proxy binds it. Fails when no port is
+/// free.
+fn free_address() -> Result<SocketAddr> {
     static TAKEN: AtomicU16 = AtomicU16::new(0);
-    // Programs that run beside this one begin elsewhere.
-    let first = std::process::id().wrapping_mul(PORT_STRIDE) as u16 % PORTS;
-    for _ in 0..PORTS {
+    // Lab processes that run at the same time begin at different ports.
+    let first = std::process::id().wrapping_mul(PORT_STRIDE) as u16 % PORT_COUNT;
+    for _ in 0..PORT_COUNT {
         let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST_PORT + first.wrapping_add(taken) % PORTS;
+        let port = FIRST_PORT + first.wrapping_add(taken) % PORT_COUNT;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return Ok(listener.local_addr()?);
         }
@@ -258,28 +281,29 @@
     bail!("no free port from {FIRST_PORT} on")
 }
 
-async fn pong(address: SocketAddr) -> bool {
-    let asked = async {
+/// Whether the proxy at this address answers `PING`.
+async fn answers_ping(address: SocketAddr) -> bool {
+    let probe = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
         let mut answer = [0; 5];
         stream.read_exact(&mut answer).await?;
         std::io::Result::Ok(&answer == b"+PONG")
     };
-    asked.await.unwrap_or(false)
+    probe.await.unwrap_or(false)
 }
 
-/// Reads to the end and keeps the last lines, each cut to a length.
-async fn keep(from: impl tokio::io::AsyncRead + Unpin, log: Log) {
+/// Reads a process's output to its end and keeps the last lines, each at most `MAX_LOG_LINE_BYTES` long.
+async fn keep_last_lines(from: impl tokio::io::AsyncRead + Unpin, log: Log) {
     let mut from = BufReader::new(from);
     let mut line = Vec::new();
     loop {
         line.clear();
-        match (&mut from).take(LINE).read_until(b'\n', &mut line).await {
+        match (&mut from).take(MAX_LOG_LINE_BYTES).read_until(b'\n', &mut line).await {
             Ok(0) | Err(_) => return,
             Ok(_) => {
                 let mut log = log.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                if log.len() == LINES {
+                if log.len() == MAX_LOG_LINES {
                     log.pop_front();
                 }
                 log.push_back(String::from_utf8_lossy(&line).trim_end().to_string());
@@ -288,7 +312,8 @@
     }
 }
 
-fn last(log: &Log) -> String {
+/// The kept lines, indented.
+fn log_text(log: &Log) -> String {
     let log = log.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     log.iter().map(|line| format!("    {line}\n")).collect::<String>().trim_end().to_string()
 }
