--- a/crates/accord/src/message.rs
+++ b/crates/accord/src/message.rs
@@ -78,6 +78,7 @@
     /// not checked. An empty text removes the value.
     Put { name: Name, text: String, expected_version: Option<u64>, fence: Option<(Name, Token)> },
     /// Replaces a voter by another one, or by a new store under the same name.
+    #[serde(rename = "Seat")]
     ReplaceVoter { replaced: Name, voter: Member },
     /// Reads the whole record.
     Read,
--- a/crates/proxy/src/fleet/wire.rs
+++ b/crates/proxy/src/fleet/wire.rs
@@ -125,6 +125,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// Shows that the peer is alive; from a voter, with the current state of its disk.
+    #[serde(rename = "Beat")]
     Heartbeat(Option<DiskSummary>),
     /// A message between voters: the receiver's store, the sender's store and the message.
     VoterMessage(StoreId, StoreId, Message),
@@ -157,6 +158,7 @@
     /// Configuration changes for the control machine that publishes, with a number that the answer repeats.
     SubmitChanges(u64, Vec<Change>),
     /// The answer to `SubmitChanges` with this number.
+    #[serde(rename = "Offered")]
     ChangeOutcome(u64, ChangeOutcome),
     /// Asks a control machine for its carrier status.
     CarrierStatusRequest,
