--- a/crates/lab/src/rig/clients.rs
+++ b/crates/lab/src/rig/clients.rs
@@ -50,8 +50,8 @@
         let config =
             FleetConfig::parse(&section, "")?.context("the configuration has no section \"fleet\"")?;
         let name = format!("client{number}");
-        let asker = start_command(&LocalProcess::new(&name, config.into()), &mut actors);
-        tasks.spawn(run_client(asker, name, recorder.clone(), log.clone()));
+        let voter_client = start_command(&LocalProcess::new(&name, config.into()), &mut actors);
+        tasks.spawn(run_client(voter_client, name, recorder.clone(), log.clone()));
     }
     Ok(Clients { log, tasks, _actors: actors })
 }
@@ -70,7 +70,12 @@
 }
 
 /// Reads the value and then writes a new one that replaces the version it read, again and again.
-async fn run_client(asker: VoterClient, client: String, recorder: Recorder, log: Arc<Mutex<ClientLog>>) {
+async fn run_client(
+    voter_client: VoterClient,
+    client: String,
+    recorder: Recorder,
+    log: Arc<Mutex<ClientLog>>,
+) {
     for number in 0.. {
         let (mut began, mut value, mut expected_version) = (Instant::now(), String::new(), 0);
         let append =
@@ -91,7 +96,7 @@
                 }
                 log.operations.push(operation);
             };
-        match asker.submit(OperationKind::Read, ANSWER_TIMEOUT).await {
+        match voter_client.submit(OperationKind::Read, ANSWER_TIMEOUT).await {
             Reply::Record(record) => {
                 if let Some(entry) = record.0.values.get(VALUE_NAME) {
                     (value, expected_version) = (entry.text.clone(), entry.version);
@@ -108,7 +113,7 @@
             expected_version: Some(expected_version),
             fence: None,
         };
-        match asker.submit(operation, ANSWER_TIMEOUT).await {
+        match voter_client.submit(operation, ANSWER_TIMEOUT).await {
             Reply::Written(version) => append(true, began, &value, Some(version), expected_version),
             // Another client wrote first, so the version that was read is no longer current.
             Reply::Refused(_) => {}
--- a/crates/proxy/src/bans.rs
+++ b/crates/proxy/src/bans.rs
@@ -107,7 +107,7 @@
 /// processes one at a time.
 pub struct MaintenanceActor {
     /// The module, which is told of each change.
-    pub desk: ControlHandle,
+    pub control: ControlHandle,
     /// The proxy's private folder; without one the nodes are out of service for this process only.
     pub folder: Option<PathBuf>,
     /// The nodes that the module was told are out of service.
@@ -152,7 +152,7 @@
         out_of_service: bool,
         lease: Option<(String, Token)>,
     ) -> MaintenanceResult {
-        match self.desk.node_kind(uid.clone()).await {
+        match self.control.node_kind(uid.clone()).await {
             NodeKind::Cache => {}
             // A node that discovery has dropped since it was taken out can still be put back.
             NodeKind::Unknown if self.out.contains(&uid) => {}
@@ -233,7 +233,7 @@
         } else {
             self.out.remove(&uid);
         }
-        self.desk.set_maintenance(uid, out_of_service).await;
+        self.control.set_maintenance(uid, out_of_service).await;
     }
 
     fn save(&self, uid: &str, out_of_service: bool) -> std::io::Result<()> {
--- a/crates/proxy/src/dispatcher.rs
+++ b/crates/proxy/src/dispatcher.rs
@@ -67,7 +67,7 @@
     /// Attempts so far, which is also the number of the next one.
     attempts: usize,
     /// Cancels the last attempt unless its last byte has been sent.
-    recall: CancellationToken,
+    cancel: CancellationToken,
 }
 
 impl Dispatcher {
@@ -198,8 +198,8 @@
                 let client_timeout = request.deadline.saturating_sub(now);
                 self.balance.host.open_ids.insert(request.id.clone());
                 self.balance.host.shared.counters.exchanges_taken.add();
-                let recall = CancellationToken::new();
-                let open = OpenRequest { request, answer: Some(answer), attempts: 0, recall };
+                let cancel = CancellationToken::new();
+                let open = OpenRequest { request, answer: Some(answer), attempts: 0, cancel };
                 self.balance.host.open_requests.insert(request_id, open);
                 self.balance.request_arrived(now, request_id, RequestParams { client_timeout, ..ask });
             }
@@ -355,13 +355,13 @@
     }
 
     /// Starts an attempt or probe; false if the node is no longer known.
-    fn start_attempt(&mut self, node: Node, errand: NodeOperation) -> bool {
+    fn start_attempt(&mut self, node: Node, operation: NodeOperation) -> bool {
         let Some(known) = self.nodes.get_mut(node) else { return false };
         if !known.logged {
             known.log_number(node);
         }
         let target = Target { node, address: known.address, origin: known.origin };
-        attempt::spawn(&self.shared, target, errand);
+        attempt::spawn(&self.shared, target, operation);
         true
     }
 }
@@ -372,14 +372,14 @@
         let Some(open) = self.open_requests.get_mut(&request_id) else { return };
         let attempt_number = open.attempts;
         open.attempts += 1;
-        if open.recall.is_cancelled() {
-            open.recall = CancellationToken::new();
+        if open.cancel.is_cancelled() {
+            open.cancel = CancellationToken::new();
         }
-        let (request, recall) = (open.request.clone(), open.recall.clone());
-        let errand =
-            NodeOperation::Attempt { request_id, attempt_number, request, deadline: until, cancel: recall };
+        let (request, cancel) = (open.request.clone(), open.cancel.clone());
+        let operation =
+            NodeOperation::Attempt { request_id, attempt_number, request, deadline: until, cancel };
         // From `Leaving` on nothing is sent.
-        if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, errand) {
+        if self.shared.phase.current() >= Phase::Leaving || !self.start_attempt(node, operation) {
             self.unsent_attempts.push((request_id, attempt_number, node));
         } else {
             self.shared.counters.tries_sent.add();
@@ -393,7 +393,7 @@
     }
 
     fn cancel_unsent(&mut self, request_id: RequestId) {
-        self.open_requests.get(&request_id).into_iter().for_each(|open| open.recall.cancel());
+        self.open_requests.get(&request_id).into_iter().for_each(|open| open.cancel.cancel());
     }
 
     fn shed(&mut self, request_id: RequestId, pause: Nanos) {
--- a/crates/proxy/src/fleet/carrier/actor.rs
+++ b/crates/proxy/src/fleet/carrier/actor.rs
@@ -107,7 +107,7 @@
     /// Applies and checks resources in the serving process.
     pub applier: Applier,
     /// Sends operations to the voters; only on a control machine.
-    pub asker: Option<VoterClient>,
+    pub voter_client: Option<VoterClient>,
     /// Passes the newest snapshot to the disk task; `None` if there is no folder.
     pub snapshot_sender: Option<watch::Sender<Option<Snapshot>>>,
     /// Requests that the lease be given back.
@@ -370,10 +370,11 @@
         }
         self.node.set_root(now, self.root.as_deref(), &mut self.actions);
         self.stop_publisher();
-        if let (Some(held), Some(asker)) = (held, &self.context.asker) {
+        if let (Some(held), Some(voter_client)) = (held, &self.context.voter_client) {
             (self.publisher_count, self.publisher_since) = (self.publisher_count + 1, now);
             let handle = self.context.handle.clone();
-            let mut host = publish::RecordHost::new(asker.clone(), handle, self.publisher_count, held.token);
+            let mut host =
+                publish::RecordHost::new(voter_client.clone(), handle, self.publisher_count, held.token);
             let publisher = Publisher::start(now, &mut host);
             self.publisher = Some((publisher, host));
         }
--- a/crates/proxy/src/fleet/carrier/mod.rs
+++ b/crates/proxy/src/fleet/carrier/mod.rs
@@ -74,7 +74,7 @@
 pub fn start(
     me: &LocalProcess,
     config: Arc<CarrierConfig>,
-    asker: Option<VoterClient>,
+    voter_client: Option<VoterClient>,
     applier: Applier,
     snapshot: Option<Snapshot>,
     freshness_sender: watch::Sender<ConfigFreshness>,
@@ -90,14 +90,14 @@
     if let Some(address) = config.listen_address(&me.id.name) {
         actors.spawn(links::accept(me.clone(), handle.clone(), address, config.max_children));
     }
-    let asker = asker.filter(|_| config.role(&me.id.name) == config::TreeRole::Control);
-    if let Some(asker) = asker.clone() {
-        actors.spawn(publish::hold_lease(asker, handle.clone(), release_requests));
+    let voter_client = voter_client.filter(|_| config.role(&me.id.name) == config::TreeRole::Control);
+    if let Some(voter_client) = voter_client.clone() {
+        actors.spawn(publish::hold_lease(voter_client, handle.clone(), release_requests));
     }
     let context = ActorContext {
         handle: handle.clone(),
         applier,
-        asker,
+        voter_client,
         snapshot_sender,
         release_lease,
         freshness_sender,
--- a/crates/proxy/src/fleet/carrier/publish.rs
+++ b/crates/proxy/src/fleet/carrier/publish.rs
@@ -31,7 +31,7 @@
 
 /// The host of one publisher; it exists while the lease is held.
 pub struct RecordHost {
-    asker: VoterClient,
+    voter_client: VoterClient,
     handle: Handle,
     /// Identifies the publisher; answers to earlier publishers are ignored.
     pub number: u64,
@@ -47,9 +47,9 @@
 
 impl RecordHost {
     /// Creates the host of the publisher with this number, which holds the lease with this token.
-    pub fn new(asker: VoterClient, handle: Handle, number: u64, token: Token) -> RecordHost {
+    pub fn new(voter_client: VoterClient, handle: Handle, number: u64, token: Token) -> RecordHost {
         RecordHost {
-            asker,
+            voter_client,
             handle,
             number,
             token,
@@ -76,20 +76,20 @@
 
 impl PublisherHost for RecordHost {
     fn read_record(&mut self) {
-        let (asker, handle, number) = (self.asker.clone(), self.handle.clone(), self.number);
+        let (voter_client, handle, number) = (self.voter_client.clone(), self.handle.clone(), self.number);
         tokio::spawn(async move {
-            let reply = asker.submit(OperationKind::Read, RECORD_TIMEOUT).await;
+            let reply = voter_client.submit(OperationKind::Read, RECORD_TIMEOUT).await;
             handle.send(Event::RecordRead(number, reply)).await;
         });
     }
 
     fn write_record(&mut self, text: String, version: u64) {
-        let (asker, handle, number) = (self.asker.clone(), self.handle.clone(), self.number);
+        let (voter_client, handle, number) = (self.voter_client.clone(), self.handle.clone(), self.number);
         let fence = Some((LEASE_NAME.into(), self.token));
         let operation =
             OperationKind::Put { name: LEASE_NAME.into(), text, expected_version: Some(version), fence };
         tokio::spawn(async move {
-            let reply = asker.submit(operation, RECORD_TIMEOUT).await;
+            let reply = voter_client.submit(operation, RECORD_TIMEOUT).await;
             handle.send(Event::RecordWritten(number, reply)).await;
         });
     }
@@ -130,9 +130,9 @@
 
 /// Tries to hold the lease until the process ends, and reports each change of the holder. Each message in
 /// `release_requests` makes it give the lease back.
-pub async fn hold_lease(asker: VoterClient, handle: Handle, mut release_requests: mpsc::Receiver<()>) {
+pub async fn hold_lease(voter_client: VoterClient, handle: Handle, mut release_requests: mpsc::Receiver<()>) {
     loop {
-        let mut lease = LeaseHandle::acquire(asker.clone(), LEASE_NAME, LEASE_DURATION);
+        let mut lease = LeaseHandle::acquire(voter_client.clone(), LEASE_NAME, LEASE_DURATION);
         let (mut held, mut holder) = (lease.held.clone(), lease.other_holder.clone());
         let mut reported: Option<(Option<HeldLease>, Option<String>)> = None;
         loop {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -214,7 +214,7 @@
             }
             let fences = FencingTokens::default();
             actors.spawn(
-                MaintenanceActor { desk: control.clone(), folder, out, fences, replication }.run(calls),
+                MaintenanceActor { control: control.clone(), folder, out, fences, replication }.run(calls),
             );
             if let Some(listener) = operator {
                 let counters = shared.counters.clone();
@@ -231,9 +231,9 @@
         let fleet = me.as_ref().filter(|me| me.config.connects_to_voters(&config.name)).map(|me| {
             let (prober, probes) = fleet::probe_handle::channel();
             dispatcher.use_prober(prober);
-            let (asker, parts) = fleet::start(me, control.clone(), probes);
+            let (voter_client, parts) = fleet::start(me, control.clone(), probes);
             actors.spawn(parts);
-            asker
+            voter_client
         });
         let (layer, carrier_orders) = apply::channel();
         let carrier = me.as_ref().zip(carrier_status_sender).and_then(|(me, carrier_status_sender)| {
--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -24,7 +24,7 @@
 
 /// The running processes of a fleet by name, and the folder that has one subfolder for each.
 struct Fleet {
-    worlds: BTreeMap<&'static str, TestEnvironment>,
+    environments: BTreeMap<&'static str, TestEnvironment>,
     section: Json,
     folder: Folder,
     file: File,
@@ -58,7 +58,7 @@
         });
         let folder = Folder::new(&format!("carrier-{test}"));
         let file = File::new(&format!("carrier-{test}"), &json!({"fleet": section}).to_string());
-        let mut fleet = Fleet { worlds: BTreeMap::new(), section, folder, file };
+        let mut fleet = Fleet { environments: BTreeMap::new(), section, folder, file };
         for name in VOTERS.iter().chain(&CONTROL).chain(relays).chain(leaves) {
             fleet.start_process(name, &[]).await;
         }
@@ -80,16 +80,16 @@
         section["carrier"]["folder"] = json!(folder.join("carrier"));
         let own = [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0"))];
         let set: Vec<(&str, Json)> = own.into_iter().chain(set.iter().cloned()).collect();
-        let world = TestEnvironment::start(&set).await;
-        self.worlds.insert(name, world);
+        let env = TestEnvironment::start(&set).await;
+        self.environments.insert(name, env);
     }
 
     /// Simulates the kill of a process: its links, listeners and pending work are gone.
     async fn kill(&mut self, name: &str) -> TestEnvironment {
-        let mut world = self.worlds.remove(name).unwrap();
-        world.proxy_task.abort();
-        let _ = (&mut world.proxy_task).await;
-        world
+        let mut env = self.environments.remove(name).unwrap();
+        env.proxy_task.abort();
+        let _ = (&mut env.proxy_task).await;
+        env
     }
 
     /// Runs `pumicebay fleet` with these arguments. Returns the exit code and the whole output.
@@ -136,9 +136,9 @@
     /// Sends a request of this class to each process, and returns the replies.
     async fn request_at_each(&self, class: &str) -> String {
         let mut trace = String::new();
-        for (name, world) in &self.worlds {
+        for (name, env) in &self.environments {
             let labels = format!("c={class},t=acme,d=3000,size=9,k=x");
-            let reply = world.client().await.execute(&["C.GET", "hit", name, &labels]).await;
+            let reply = env.client().await.execute(&["C.GET", "hit", name, &labels]).await;
             trace += &format!("{name} {reply}");
         }
         trace
@@ -147,7 +147,7 @@
 
 /// A patch that adds a route with this name.
 fn with_route(fleet: &Fleet, name: &str) -> Json {
-    let json = &fleet.worlds.values().next().unwrap().config_json;
+    let json = &fleet.environments.values().next().unwrap().config_json;
     let mut routes = json["settings"]["routes"].clone();
     let mut route = routes[0].clone();
     route["name"] = json!(name);
@@ -254,7 +254,7 @@
     "#]]
     .assert_eq(&fleet.request_at_each("fresh").await);
     // Once the file of l2 is corrected and reloaded, l2 is no longer listed as an exception.
-    let l2 = &fleet.worlds["l2"];
+    let l2 = &fleet.environments["l2"];
     let mut corrected = l2.config_json.clone();
     corrected["settings"]["rules"]["cold-us"] = json!(24_000_000);
     l2.configs.send(parse(&corrected)).await.unwrap();
@@ -319,7 +319,7 @@
     "#]]
     .assert_eq(&fleet.request_at_each("fresh").await);
     assert_eq!(fleet.request_at_each("read").await.matches("value of").count(), 5);
-    let status = call(fleet.worlds["l1"].operator_address.unwrap(), "GET", "/status", "").await;
+    let status = call(fleet.environments["l1"].operator_address.unwrap(), "GET", "/status", "").await;
     assert!(
         status.starts_with("200 serving, carrier: version ") && status.contains("nothing heard"),
         "{status}"
--- a/crates/proxy/tests/proxy/list.rs
+++ b/crates/proxy/tests/proxy/list.rs
@@ -18,18 +18,18 @@
 /// changes since the last version that was received.
 #[tokio::test]
 async fn the_watch_continues_from_the_known_version_after_failures() {
-    let world = TestEnvironment::start(&[]).await;
-    let send_answer = |text: String| world.discovery_replies.send(text);
+    let env = TestEnvironment::start(&[]).await;
+    let send_answer = |text: String| env.discovery_replies.send(text);
     send_answer(json!({"rev": 42, "all": false, "targets": []}).to_string()).await.unwrap();
     send_answer("{not json".into()).await.unwrap();
     send_answer("close".into()).await.unwrap();
-    let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
+    let leaving = target("s-cache", &env.cache_address.to_string(), "node", "leaving");
     send_answer(json!({"rev": 43, "all": false, "targets": [leaving, {"uid": 7}]}).to_string())
         .await
         .unwrap();
-    world.discovery.wait_for("index=43").await;
+    env.discovery.wait_for("index=43").await;
     // A node that drains gets no new request, so the origin answers.
-    let reply = world.client().await.get("hit").await;
+    let reply = env.client().await.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
         GET /registry/instances?index=42&wait=2000 HTTP/1.1
@@ -38,24 +38,24 @@
         GET /registry/instances?index=43&wait=2000 HTTP/1.1
         hit: origin's id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}{}", world.discovery.log(), world.cache.log()));
+    .assert_eq(&format!("{}{reply}{}", env.discovery.log(), env.cache.log()));
 }
 
 /// A call that discovery never answers is abandoned and repeated; meanwhile requests go to the nodes of the
 /// old list.
 #[tokio::test]
 async fn a_silent_watch_is_restarted_and_the_old_list_stays_in_use() {
-    let world = TestEnvironment::start(&[]).await;
-    world.discovery.wait_for("index=41").await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start(&[]).await;
+    env.discovery.wait_for("index=41").await;
+    let mut client = env.client().await;
     let mut reply = client.get("hit").await;
-    world.wait_for_counter("list_failures 1").await;
+    env.wait_for_counter("list_failures 1").await;
     // The stand-in gives the first answer to the abandoned call.
     for version in [42, 43] {
         let answer = json!({"rev": version, "all": false, "targets": []}).to_string();
-        world.discovery_replies.send(answer).await.unwrap();
+        env.discovery_replies.send(answer).await.unwrap();
     }
-    world.discovery.wait_for("index=43").await;
+    env.discovery.wait_for("index=43").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -64,24 +64,24 @@
         hit: value of id-hit
         hit: value of id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.log()));
+    .assert_eq(&format!("{}{reply}", env.discovery.log()));
 }
 
 /// An answer of which only a part arrives must have no effect; the next call asks for changes since the
 /// version before it.
 #[tokio::test]
 async fn a_watch_that_stalls_within_an_answer_is_restarted() {
-    let world = TestEnvironment::start(&[]).await;
-    let leaving = target("s-cache", &world.cache_address.to_string(), "node", "leaving");
+    let env = TestEnvironment::start(&[]).await;
+    let leaving = target("s-cache", &env.cache_address.to_string(), "node", "leaving");
     let answer = json!({"rev": 42, "all": false, "targets": [leaving]}).to_string();
     let start = Instant::now();
-    world.discovery_replies.send(format!("half {answer}")).await.unwrap();
-    world.wait_for_counter("list_failures 1").await;
+    env.discovery_replies.send(format!("half {answer}")).await.unwrap();
+    env.wait_for_counter("list_failures 1").await;
     assert!(start.elapsed() < Duration::from_secs(5));
-    let mut client = world.client().await;
+    let mut client = env.client().await;
     let mut reply = client.get("hit").await;
-    world.discovery_replies.send(answer).await.unwrap();
-    world.discovery.wait_for("index=42").await;
+    env.discovery_replies.send(answer).await.unwrap();
+    env.discovery.wait_for("index=42").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -90,27 +90,27 @@
         hit: value of id-hit
         hit: origin's id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.log()));
+    .assert_eq(&format!("{}{reply}", env.discovery.log()));
 }
 
 /// An outdated whole list, such as one from a cache, must not bring a draining node back into use. The proxy
 /// fetches the whole list again and accepts that answer whatever its version.
 #[tokio::test]
 async fn a_whole_list_older_than_the_known_version_is_fetched_again() {
-    let world = TestEnvironment::start(&[]).await;
-    let send_answer = |text: String| world.discovery_replies.send(text);
+    let env = TestEnvironment::start(&[]).await;
+    let send_answer = |text: String| env.discovery_replies.send(text);
     let list = |version: u64, state| {
-        let cache = target("s-cache", &world.cache_address.to_string(), "node", state);
-        json!({"rev": version, "all": true, "targets": [cache, world.config_json["known"]["targets"][1]]})
+        let cache = target("s-cache", &env.cache_address.to_string(), "node", state);
+        json!({"rev": version, "all": true, "targets": [cache, env.config_json["known"]["targets"][1]]})
             .to_string()
     };
     send_answer(list(43, "leaving")).await.unwrap();
     send_answer(list(42, "active")).await.unwrap();
-    world.wait_for_counter("list_failures 1").await;
-    let mut client = world.client().await;
+    env.wait_for_counter("list_failures 1").await;
+    let mut client = env.client().await;
     let mut reply = client.get("hit").await;
     send_answer(list(42, "active")).await.unwrap();
-    world.discovery.wait_for("index=42").await;
+    env.discovery.wait_for("index=42").await;
     reply += &client.get("hit").await;
     expect![[r#"
         GET /registry/instances?index=41&wait=2000 HTTP/1.1
@@ -120,7 +120,7 @@
         hit: origin's id-hit
         hit: value of id-hit
     "#]]
-    .assert_eq(&format!("{}{reply}", world.discovery.log()));
+    .assert_eq(&format!("{}{reply}", env.discovery.log()));
 }
 
 /// After a reload, discovery at its new address is asked for the whole list at once, though a call still
@@ -128,24 +128,24 @@
 #[tokio::test]
 async fn a_reload_moves_discovery_to_its_new_address() {
     for mode in ["push", "ask"] {
-        let mut world = TestEnvironment::start(&[("/settings/discovery", json!(mode))]).await;
-        world.discovery.wait_for("index=41").await;
-        world.configs.send(Err(anyhow::anyhow!("discovery: missing"))).await.unwrap();
-        world.wait_for_counter("reloads_failed 1").await;
-        let (new_discovery, tell) = world.move_discovery().await;
+        let mut env = TestEnvironment::start(&[("/settings/discovery", json!(mode))]).await;
+        env.discovery.wait_for("index=41").await;
+        env.configs.send(Err(anyhow::anyhow!("discovery: missing"))).await.unwrap();
+        env.wait_for_counter("reloads_failed 1").await;
+        let (new_discovery, tell) = env.move_discovery().await;
         new_discovery.wait_for("instances HTTP").await;
-        let origin = world.config_json["known"]["targets"][1].clone();
+        let origin = env.config_json["known"]["targets"][1].clone();
         tell.send(json!({"rev": 7, "all": true, "targets": [origin]}).to_string()).await.unwrap();
         new_discovery.wait_for("index=7").await;
         // The new list no longer contains the cache node.
-        let reply = world.client().await.get("hit").await;
+        let reply = env.client().await.get("hit").await;
         expect![[r#"
             GET /registry/instances?index=41&wait=2000 HTTP/1.1
             GET /registry/instances HTTP/1.1
             GET /registry/instances?index=7&wait=2000 HTTP/1.1
             hit: origin's id-hit
         "#]]
-        .assert_eq(&format!("{}{}{reply}", world.discovery.log(), new_discovery.log()));
+        .assert_eq(&format!("{}{}{reply}", env.discovery.log(), new_discovery.log()));
     }
 }
 
@@ -153,26 +153,22 @@
 /// gets connections of its own.
 #[tokio::test]
 async fn a_removed_node_is_forgotten_with_its_connections() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let mut replies = client.get("hit-1").await;
     let (old, origin) =
-        (world.config_json["known"]["targets"][0].clone(), world.config_json["known"]["targets"][1].clone());
+        (env.config_json["known"]["targets"][0].clone(), env.config_json["known"]["targets"][1].clone());
     let unknown_node = target("s-9", "127.0.0.1:9", "node", "left");
     let whole = json!({"rev": 42, "all": true, "targets": [origin, unknown_node]});
-    world.discovery_replies.send(whole.to_string()).await.unwrap();
-    world.discovery.wait_for("index=42").await;
+    env.discovery_replies.send(whole.to_string()).await.unwrap();
+    env.discovery.wait_for("index=42").await;
     replies += &client.get("hit-2").await;
-    world.wait_for_counter("nodes_dismissed 1").await;
+    env.wait_for_counter("nodes_dismissed 1").await;
     let new = target("s-new", old["endpoint"].as_str().unwrap(), "node", "active");
-    world
-        .discovery_replies
-        .send(json!({"rev": 43, "all": false, "targets": [new]}).to_string())
-        .await
-        .unwrap();
-    world.discovery.wait_for("index=43").await;
-    replies += &(client.get("hit-3").await + &world.counter_lines("nodes_"));
-    world.assert_traffic(
+    env.discovery_replies.send(json!({"rev": 43, "all": false, "targets": [new]}).to_string()).await.unwrap();
+    env.discovery.wait_for("index=43").await;
+    replies += &(client.get("hit-3").await + &env.counter_lines("nodes_"));
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
@@ -193,13 +189,13 @@
 /// In pull mode the core decides when discovery is called again; this must happen after failed calls as well.
 #[tokio::test]
 async fn discovery_in_pull_mode_is_called_again_after_a_failure() {
-    let world = TestEnvironment::start(&[("/settings/discovery", json!("ask"))]).await;
+    let env = TestEnvironment::start(&[("/settings/discovery", json!("ask"))]).await;
     for answer in ["close", "{}", r#"{"rev": 50, "all": false, "targets": []}"#] {
-        world.discovery_replies.send(answer.into()).await.unwrap();
+        env.discovery_replies.send(answer.into()).await.unwrap();
     }
-    world.discovery.wait_for("index=50").await;
-    world.wait_for_counter("list_failures 2").await;
-    world.wait_for_counter("list_answers 1").await;
+    env.discovery.wait_for("index=50").await;
+    env.wait_for_counter("list_failures 2").await;
+    env.wait_for_counter("list_answers 1").await;
 }
 
 /// The proxy must have a change within this time of the moment when discovery has it and can be reached.
@@ -265,16 +261,16 @@
                 cases.spawn(async move {
                     let (socket, settings) = (refusing_socket(), [("/settings/discovery", json!(mode))]);
                     let address = socket.local_addr().unwrap();
-                    let world =
+                    let env =
                         TestEnvironment::start_with(&settings, |config| config.discovery = address).await;
-                    world.wait_for_counter("list_failures 1").await;
+                    env.wait_for_counter("list_failures 1").await;
                     let mut calls =
                         scripted_discovery(socket, ["close", "500", "close", hang, failure, CHANGE]);
                     for _ in 0..3 {
                         calls.recv().await.unwrap();
                     }
                     let change_available = calls.recv().await.unwrap();
-                    world.wait_for_counter("list_answers 1").await;
+                    env.wait_for_counter("list_answers 1").await;
                     (change_available.elapsed(), format!("{mode}, {hang}, then {failure}"))
                 });
             }
@@ -291,12 +287,12 @@
 async fn a_change_arrives_in_time_after_a_long_discovery_outage() {
     let (socket, settings) = (refusing_socket(), [("/settings/discovery", json!("ask"))]);
     let (address, start) = (socket.local_addr().unwrap(), Instant::now());
-    let world = TestEnvironment::start_with(&settings, |config| config.discovery = address).await;
-    world.wait_for_counter("list_failures 6").await;
+    let env = TestEnvironment::start_with(&settings, |config| config.discovery = address).await;
+    env.wait_for_counter("list_failures 6").await;
     let change_available = Instant::now();
     assert!(change_available - start > Duration::from_secs(1), "{:?}", change_available - start);
     let _calls = scripted_discovery(socket, ["500", CHANGE]);
-    world.wait_for_counter("list_answers 1").await;
+    env.wait_for_counter("list_answers 1").await;
     let took = change_available.elapsed();
     assert!(took < MAX_CHANGE_DELAY, "{took:?}");
 }
@@ -309,16 +305,16 @@
         (refusing_socket(), refusing_socket(), [("/settings/discovery", json!("ask"))]);
     let address = old.local_addr().unwrap();
     let mut calls = scripted_discovery(old, ["close", "close", "close", "close", "silence"]);
-    let mut world = TestEnvironment::start_with(&settings, |config| config.discovery = address).await;
+    let mut env = TestEnvironment::start_with(&settings, |config| config.discovery = address).await;
     for _ in 0..4 {
         calls.recv().await.unwrap();
     }
     let change_available = calls.recv().await.unwrap();
     sleep(Duration::from_secs(3)).await;
-    world.config_json["discovery"] = json!(new.local_addr().unwrap().to_string());
+    env.config_json["discovery"] = json!(new.local_addr().unwrap().to_string());
     let _calls = scripted_discovery(new, ["500", CHANGE]);
-    world.configs.send(config::parse(&world.config_json)).await.unwrap();
-    world.wait_for_counter("list_answers 1").await;
+    env.configs.send(config::parse(&env.config_json)).await.unwrap();
+    env.wait_for_counter("list_answers 1").await;
     let took = change_available.elapsed();
     assert!(took < MAX_CHANGE_DELAY, "{took:?}");
 }
--- a/crates/proxy/tests/proxy/migrate.rs
+++ b/crates/proxy/tests/proxy/migrate.rs
@@ -157,7 +157,7 @@
 
 #[tokio::test]
 async fn a_migrated_configuration_serves_a_hit_and_a_miss() {
-    let world = TestEnvironment::start_with(&[], |config| {
+    let env = TestEnvironment::start_with(&[], |config| {
         let mut json = pool_configuration();
         json["known"] = serde_json::from_str(&config.known.take().unwrap()).unwrap();
         json["discovery"] = json!(config.discovery.to_string());
@@ -165,9 +165,9 @@
         *config = config::parse(&migration.json).unwrap();
     })
     .await;
-    let mut client = world.client().await;
+    let mut client = env.client().await;
     let replies = client.get("hit-1").await + &client.get("miss-1").await;
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
--- a/crates/proxy/tests/proxy/nodes.rs
+++ b/crates/proxy/tests/proxy/nodes.rs
@@ -15,8 +15,8 @@
 /// answer.
 #[tokio::test]
 async fn each_outcome_of_an_attempt_is_counted_and_its_request_answered_once() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start(&[]).await;
+    let mut client = env.client().await;
     let mut replies = String::new();
     for key in [
         "hit",
@@ -40,10 +40,10 @@
     replies += &client.execute(&["C.SET", "hit/é", "w1", "c=put,t=acme,d=3000,size=5", "bytes"]).await;
     replies += &client.execute(&["C.SET", "x-error", "w2", "c=put,d=3000", "bytes"]).await;
     replies += &client.execute(&["C.SET", "x-away", "w3", "c=put,d=3000", "bytes"]).await;
-    let counted = world.counter_lines("tries");
+    let counted = env.counter_lines("tries");
     let attempts: Vec<&str> = counted.lines().filter(|line| !line.ends_with(" 0")).collect();
     replies += &format!("{}\n", attempts.join(", "));
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
             hit: value of id-hit
@@ -118,9 +118,9 @@
 /// client had stated at first, in place of the time that was left after the attempt at the cache node.
 #[tokio::test]
 async fn a_further_attempt_states_no_more_time_than_its_client_has_left() {
-    let world = TestEnvironment::start(&[]).await;
-    assert_eq!(world.client().await.get("late").await, "late: origin's id-late\n");
-    let origin = world.origin.log();
+    let env = TestEnvironment::start(&[]).await;
+    assert_eq!(env.client().await.get("late").await, "late: origin's id-late\n");
+    let origin = env.origin.log();
     let remaining_ms = origin.split("d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap();
     let remaining_ms: u64 = remaining_ms.parse().unwrap();
     assert!((1..=2700).contains(&remaining_ms), "{remaining_ms} ms stated, of 3000 ms less a miss of 300 ms");
@@ -146,16 +146,16 @@
 /// connections must go on.
 #[tokio::test]
 async fn a_cancelled_attempt_closes_only_its_own_connection() {
-    let world = TestEnvironment::start(&[]).await;
-    let (mut one, mut other) = (world.client().await, world.client().await);
+    let env = TestEnvironment::start(&[]).await;
+    let (mut one, mut other) = (env.client().await, env.client().await);
     one.send(&["C.GET", "hang", "id-1", "c=quick,d=150"]).await;
-    world.cache.wait_for("hang").await;
+    env.cache.wait_for("hang").await;
     other.send(&["C.GET", "slow", "id-2", "c=read,d=3000"]).await;
     let mut replies = one.reply().await;
-    world.cache.wait_for("1: closed").await;
+    env.cache.wait_for("1: closed").await;
     replies += &other.reply().await;
     replies += &other.get("hit").await;
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
             origin's id-1
@@ -176,12 +176,12 @@
 /// could be sent on a connection that the node is just closing.
 #[tokio::test]
 async fn idle_connections_are_reused_and_closed_before_the_nodes_idle_timeout() {
-    let world = TestEnvironment::start(&[("/settings/permissions/conn-idle-us", json!(3_000_000))]).await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start(&[("/settings/permissions/conn-idle-us", json!(3_000_000))]).await;
+    let mut client = env.client().await;
     let mut replies = client.get("hit-1").await + &client.get("hit-2").await;
-    world.cache.wait_for("1: closed").await;
+    env.cache.wait_for("1: closed").await;
     replies += &client.get("hit-3").await;
-    world.assert_traffic(
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit-1: value of id-hit-1
@@ -200,17 +200,16 @@
 /// The cache node is listed at an address to which no connection opens: the attempt was never sent, so the
 /// origin is asked.
 async fn check_origin_answers_without_the_cache_at(endpoint: &str) {
-    let world = TestEnvironment::start(&[]).await;
+    let env = TestEnvironment::start(&[]).await;
     let moved_node = crate::target("s-cache", endpoint, "node", "active");
-    world
-        .discovery_replies
+    env.discovery_replies
         .send(json!({"rev": 42, "all": false, "targets": [moved_node]}).to_string())
         .await
         .unwrap();
-    world.discovery.wait_for("index=42").await;
-    let reply = world.client().await.get("miss").await;
-    world.wait_for_counter("tries_unreachable 1").await;
-    world.assert_traffic(
+    env.discovery.wait_for("index=42").await;
+    let reply = env.client().await.get("miss").await;
+    env.wait_for_counter("tries_unreachable 1").await;
+    env.assert_traffic(
         &reply,
         expect![[r#"
         miss: origin's id-miss
@@ -242,15 +241,15 @@
 /// retry later.
 #[tokio::test]
 async fn an_attempt_is_not_sent_at_the_connection_limit() {
-    let world = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
-    let (mut one, mut other) = (world.client().await, world.client().await);
+    let env = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
+    let (mut one, mut other) = (env.client().await, env.client().await);
     one.send(&["C.GET", "hang", "id-1", "c=read,d=1000"]).await;
-    world.cache.wait_for("hang").await;
+    env.cache.wait_for("hang").await;
     let mut replies = other.get("hit").await + &one.reply().await;
-    world.cache.wait_for("1: closed").await;
+    env.cache.wait_for("1: closed").await;
     replies += &other.get("hit").await;
-    world.wait_for_counter("tries_unsent 1").await;
-    world.assert_traffic(
+    env.wait_for_counter("tries_unsent 1").await;
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit: -BUSY 250
@@ -267,13 +266,13 @@
 
 #[tokio::test]
 async fn at_the_connection_limit_an_idle_connection_is_closed_for_another_node() {
-    let world = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start_with(&[], |config| config.max_node_connections = 1).await;
+    let mut client = env.client().await;
     let mut replies = client.get("hit").await + &client.get("miss").await;
-    world.wait_for_counter("connections_closed_for_room 1").await;
+    env.wait_for_counter("connections_closed_for_room 1").await;
     replies += &client.get("hit").await;
-    world.origin.wait_for("1: closed").await;
-    world.assert_traffic(
+    env.origin.wait_for("1: closed").await;
+    env.assert_traffic(
         &replies,
         expect![[r#"
         hit: value of id-hit
@@ -294,16 +293,16 @@
 /// The answer to an attempt whose client has left is read all the same, so that the connection can be reused.
 #[tokio::test]
 async fn a_client_that_leaves_does_not_close_the_node_connection() {
-    let world = TestEnvironment::start(&[]).await;
-    let mut leaving_client = world.client().await;
+    let env = TestEnvironment::start(&[]).await;
+    let mut leaving_client = env.client().await;
     leaving_client.send(&["C.GET", "slow", "id-1", "c=read,d=3000"]).await;
-    world.cache.wait_for("slow").await;
+    env.cache.wait_for("slow").await;
     drop(leaving_client);
-    world.wait_for_counter("exchanges_dropped 1").await;
-    world.wait_for_counter("tries_completed 1").await;
+    env.wait_for_counter("exchanges_dropped 1").await;
+    env.wait_for_counter("tries_completed 1").await;
     sleep(Duration::from_millis(20)).await;
-    let reply = world.client().await.get("hit").await;
-    world.assert_traffic(
+    let reply = env.client().await.get("hit").await;
+    env.assert_traffic(
         &reply,
         expect![[r#"
         hit: value of id-hit
--- a/crates/proxy/tests/proxy/operations.rs
+++ b/crates/proxy/tests/proxy/operations.rs
@@ -65,8 +65,8 @@
 
 #[tokio::test]
 async fn each_call_is_answered_with_a_status_and_a_reason() {
-    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let operator = world.operator_address.expect("an operator listener");
+    let env = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let operator = env.operator_address.expect("an operator listener");
     let mut trace = call(operator, "GET", "/status", "").await;
     for (method, path, body) in [
         ("POST", "/status", ""),
@@ -120,8 +120,8 @@
 /// time. Others must still get their answers in time, also while clients send requests.
 #[tokio::test]
 async fn silent_callers_do_not_block_other_calls() {
-    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let operator = world.operator_address.expect("an operator listener");
+    let env = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let operator = env.operator_address.expect("an operator listener");
     let mut silent = Vec::new();
     for at in 0..60 {
         let mut stream = TcpStream::connect(operator).await.unwrap();
@@ -135,7 +135,7 @@
     }
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
-        (0..5).map(|at| tokio::spawn(send_requests_until(world.address, stop.clone(), at))).collect();
+        (0..5).map(|at| tokio::spawn(send_requests_until(env.address, stop.clone(), at))).collect();
     // `call` panics if an answer takes longer than one second.
     for _ in 0..10 {
         assert_eq!(call(operator, "GET", "/status", "").await, "200 serving\n");
@@ -153,11 +153,11 @@
     let folder = Folder::new("bans");
     let with_folder = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
     let settings = [("/operator", json!("127.0.0.1:0"))];
-    let world = TestEnvironment::start_with(&settings, with_folder).await;
-    let mut client = world.client().await;
+    let env = TestEnvironment::start_with(&settings, with_folder).await;
+    let mut client = env.client().await;
     let mut trace = client.get("hit-1").await;
     for action in ["enter", "enter"] {
-        trace += &maintain(world.operator_address.unwrap(), action, "s-cache").await;
+        trace += &maintain(env.operator_address.unwrap(), action, "s-cache").await;
     }
     trace += &client.get("hit-2").await;
     // A process started later on the same folder keeps the node out. When it puts the node back, the first
@@ -167,11 +167,11 @@
     assert_eq!(successor.cache.log(), "");
     trace += &maintain(successor.operator_address.unwrap(), "exit", "s-cache").await;
     let got_request = |trace: &StubState| trace.log().contains("hit-back");
-    while !got_request(&world.cache) {
+    while !got_request(&env.cache) {
         client.get("hit-back").await;
         sleep(Duration::from_millis(20)).await;
     }
-    trace += &world.cache.log();
+    trace += &env.cache.log();
     expect![[r#"
         hit-1: value of id-hit-1
         200 s-cache gets nothing more
@@ -195,7 +195,7 @@
     let folder = Folder::new("fences");
     let with_folder = |config: &mut pumicebay::config::Config| config.folder = Some(folder.0.clone());
     let settings = [("/operator", json!("127.0.0.1:0"))];
-    let world = TestEnvironment::start_with(&settings, with_folder).await;
+    let env = TestEnvironment::start_with(&settings, with_folder).await;
     let mut trace = String::new();
     let leased_call = |action: &str, lease: Json, token: Json| {
         let body = json!({"who": "s-cache", "lease": lease, "token": token}).to_string();
@@ -213,11 +213,11 @@
         ("exit", json!("nodes"), json!(8)),
     ] {
         let (path, body) = leased_call(action, lease, token);
-        let answer = call(world.operator_address.unwrap(), "POST", &path, &body).await;
+        let answer = call(env.operator_address.unwrap(), "POST", &path, &body).await;
         trace += &answer.replace(&"x".repeat(101), "x...");
     }
     // A call without a lease comes from an operator directly and is not checked against tokens.
-    trace += &maintain(world.operator_address.unwrap(), "exit", "s-cache").await;
+    trace += &maintain(env.operator_address.unwrap(), "exit", "s-cache").await;
     let successor = TestEnvironment::start_with(&settings, with_folder).await;
     for (token, lease) in [(9, "nodes"), (1, "others")] {
         let (path, body) = leased_call("enter", json!(lease), json!(token));
@@ -243,22 +243,21 @@
 /// Only an operator puts a node back: no state that discovery reports may do so.
 #[tokio::test]
 async fn a_node_out_of_service_stays_out_whatever_discovery_reports() {
-    let world = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
-    let (operator, mut client) = (world.operator_address.unwrap(), world.client().await);
+    let env = TestEnvironment::start(&[("/operator", json!("127.0.0.1:0"))]).await;
+    let (operator, mut client) = (env.operator_address.unwrap(), env.client().await);
     let mut trace = maintain(operator, "enter", "s-cache").await;
-    let node = target("s-cache", &world.cache_address.to_string(), "node", "active");
+    let node = target("s-cache", &env.cache_address.to_string(), "node", "active");
     for (at, state) in ["leaving", "left", "active"].into_iter().enumerate() {
         let mut node = node.clone();
         (node["state"], node["boot_ms"]) = (json!(state), json!(at));
-        world
-            .discovery_replies
+        env.discovery_replies
             .send(json!({"rev": 50 + at, "all": false, "targets": [node]}).to_string())
             .await
             .unwrap();
-        world.wait_for_counter(&format!("list_answers {}", at + 1)).await;
+        env.wait_for_counter(&format!("list_answers {}", at + 1)).await;
         trace += &client.get(&format!("hit-{state}")).await;
     }
-    trace += &world.cache.log();
+    trace += &env.cache.log();
     expect![[r#"
         200 s-cache gets nothing more
         hit-leaving: origin's id-hit-leaving
@@ -269,8 +268,8 @@
 }
 
 /// A copy of the configuration's first route under another name.
-fn route(world: &TestEnvironment, name: &str) -> Json {
-    let mut route = world.config_json["settings"]["routes"][0].clone();
+fn route(env: &TestEnvironment, name: &str) -> Json {
+    let mut route = env.config_json["settings"]["routes"][0].clone();
     route["name"] = json!(name);
     route
 }
@@ -279,18 +278,18 @@
 /// open.
 #[tokio::test]
 async fn routes_are_added_and_removed_while_requests_are_open() {
-    let mut world = TestEnvironment::start(&[]).await;
-    let (mut open_client, mut client) = (world.client().await, world.client().await);
+    let mut env = TestEnvironment::start(&[]).await;
+    let (mut open_client, mut client) = (env.client().await, env.client().await);
     open_client.send(&["C.GET", "slow", "id-open", "c=read,d=3000"]).await;
-    world.cache.wait_for("slow").await;
+    env.cache.wait_for("slow").await;
     let mut trace = client.execute(&["C.GET", "hit", "id-1", "c=map,d=3000"]).await;
     // The first route is replaced by another at the same place in the list, and all routes get fewer
     // attempts.
-    let map = route(&world, "map");
-    world.config_json["settings"]["routes"][0] = map;
-    world.config_json["settings"]["permissions"]["most-upstream-tries"] = json!(1);
-    world.configs.send(parse(&world.config_json)).await.unwrap();
-    world.wait_for_counter("reloads 1").await;
+    let map = route(&env, "map");
+    env.config_json["settings"]["routes"][0] = map;
+    env.config_json["settings"]["permissions"]["most-upstream-tries"] = json!(1);
+    env.configs.send(parse(&env.config_json)).await.unwrap();
+    env.wait_for_counter("reloads 1").await;
     for (id, labels) in [("2", "c=map,d=3000"), ("3", "c=read,d=3000"), ("4", "c=put,d=3000")] {
         trace += &client.execute(&["C.GET", "hit", id, labels]).await;
     }
@@ -311,11 +310,11 @@
 /// that no part of it takes effect.
 #[tokio::test]
 async fn an_invalid_configuration_file_changes_nothing() {
-    let mut world = TestEnvironment::start(&[]).await;
-    let valid = world.config_json.clone();
-    let mut client = world.client().await;
+    let mut env = TestEnvironment::start(&[]).await;
+    let valid = env.config_json.clone();
+    let mut client = env.client().await;
     let mut trace = String::new();
-    let map = route(&world, "map");
+    let map = route(&env, "map");
     for (at, (pointer, value)) in [
         ("/settings/permissions/most-upstream-tries", json!(0)),
         ("/settings/permissions/most-upstream-tries", json!(-2)),
@@ -335,7 +334,7 @@
         let mut json = valid.clone();
         json["settings"]["routes"].as_array_mut().unwrap().push(map.clone());
         *json.pointer_mut(pointer).unwrap() = value;
-        trace += &reload_error(&world, &json, at as u64 + 1).await;
+        trace += &reload_error(&env, &json, at as u64 + 1).await;
     }
     for (at, pointer) in [
         "/discovery",
@@ -351,15 +350,15 @@
         let mut json = valid.clone();
         let (parent, key) = pointer.rsplit_once('/').unwrap();
         json.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key);
-        trace += &reload_error(&world, &json, at as u64 + 12).await;
+        trace += &reload_error(&env, &json, at as u64 + 12).await;
     }
     let mut json = valid.clone();
     json["settings"]["routes"].as_array_mut().unwrap().push(map);
     json["settings"]["routes"][3].as_object_mut().unwrap().remove("payoff");
-    trace += &reload_error(&world, &json, 18).await;
+    trace += &reload_error(&env, &json, 18).await;
     trace += &client.execute(&["C.GET", "hit", "1", "c=map,d=3000"]).await;
     trace += &client.get("hit").await;
-    world.config_json = valid;
+    env.config_json = valid;
     expect![[r#"
         settings.permissions.most-upstream-tries: expected 1 or more, found 0
         settings.permissions.most-upstream-tries: expected a whole number, found -2
@@ -387,21 +386,21 @@
 
 /// Reloads an invalid configuration, waits until the counter of failed reloads has this value, and returns
 /// the error.
-async fn reload_error(world: &TestEnvironment, json: &Json, failures: u64) -> String {
+async fn reload_error(env: &TestEnvironment, json: &Json, failures: u64) -> String {
     let parsed = parse(json);
     let parse_result = parsed.as_ref().map_err(|error| format!("{error:#}"));
     let checked = parse_result.and_then(|parsed| {
-        check_nothing_removed(&world.config_json, &parsed.json).map_err(|error| format!("{error:#}"))
+        check_nothing_removed(&env.config_json, &parsed.json).map_err(|error| format!("{error:#}"))
     });
-    world.configs.send(parsed).await.unwrap();
-    world.wait_for_counter(&format!("reloads_failed {failures}")).await;
+    env.configs.send(parsed).await.unwrap();
+    env.wait_for_counter(&format!("reloads_failed {failures}")).await;
     format!("{}\n", checked.expect_err("the configuration was accepted"))
 }
 
 /// Starts a process that accepts clients from the test's listening socket, as the platform does it. `list` is
 /// discovery's first answer; without one discovery is silent. Returns the process and its operators' address.
 pub async fn start_process(
-    world: &TestEnvironment,
+    env: &TestEnvironment,
     socket: &std::net::TcpListener,
     folder: &Folder,
     name: &str,
@@ -409,7 +408,7 @@
 ) -> (RunningProxy, SocketAddr) {
     let operator = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (tell, discovery) = crate::start_discovery(StubState::default()).await;
-    let mut json = world.config_json.clone();
+    let mut json = env.config_json.clone();
     json["discovery"] = json!(discovery.to_string());
     let file = File::new(name, &json.to_string());
     let mut command = program(&["serve", "--config", file.path()]);
@@ -446,13 +445,13 @@
 /// the successor either.
 #[tokio::test]
 async fn upgrades_under_load_lose_no_request_and_keep_nodes_out_of_service() {
-    let world = TestEnvironment::start(&[]).await;
+    let env = TestEnvironment::start(&[]).await;
     let folder = Folder::new("upgrade");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let list = || Some(world.config_json["known"].clone());
+    let list = || Some(env.config_json["known"].clone());
     let proxy_folder = folder.0.join(format!("pumicebay-{:016x}", stable_hash("n0")));
-    let (mut old, mut operator) = start_process(&world, &socket, &folder, "upgrade-0", list()).await;
+    let (mut old, mut operator) = start_process(&env, &socket, &folder, "upgrade-0", list()).await;
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
         (0..5).map(|at| tokio::spawn(send_requests_until(address, stop.clone(), at))).collect();
@@ -461,11 +460,11 @@
     for round in 1..3 {
         trace += &maintain(operator, if round == 1 { "enter" } else { "exit" }, "s-cache").await;
         let (new, next_operator) =
-            start_process(&world, &socket, &folder, &format!("upgrade-{round}"), list()).await;
+            start_process(&env, &socket, &folder, &format!("upgrade-{round}"), list()).await;
         let (code, log) = tokio::task::spawn_blocking(move || old.stop()).await.unwrap();
         trace += &format!("{code:?}, takes over: {}\n", log.contains("another process takes over: 5 client"));
         trace += &format!("passed on: {}\n", log.contains("clients_passed_on 5"));
-        let sent = || world.cache.log().lines().count();
+        let sent = || env.cache.log().lines().count();
         let before = sent();
         if round == 1 {
             sleep(Duration::from_millis(300)).await;
@@ -505,17 +504,17 @@
 /// successor that gets no answer from discovery must not send new work to that node.
 #[tokio::test]
 async fn a_successor_keeps_a_drain_while_discovery_is_silent() {
-    let world = TestEnvironment::start(&[]).await;
+    let env = TestEnvironment::start(&[]).await;
     let folder = Folder::new("drain");
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut list = world.config_json["known"].clone();
+    let mut list = env.config_json["known"].clone();
     list["targets"][0]["state"] = json!("leaving");
-    let (_old, _) = start_process(&world, &socket, &folder, "drain-0", Some(list)).await;
-    let (mut new, _) = start_process(&world, &socket, &folder, "drain-1", None).await;
+    let (_old, _) = start_process(&env, &socket, &folder, "drain-0", Some(list)).await;
+    let (mut new, _) = start_process(&env, &socket, &folder, "drain-1", None).await;
     drop(_old);
     let stream = TcpStream::connect(socket.local_addr().unwrap()).await.unwrap();
     let reply = Client(Framed::new(stream, ReplyCodec)).get("hit").await;
-    assert_eq!((&*reply, &*world.cache.log()), ("hit: origin's id-hit\n", ""));
+    assert_eq!((&*reply, &*env.cache.log()), ("hit: origin's id-hit\n", ""));
     tokio::task::spawn_blocking(move || new.stop()).await.unwrap();
 }
 
@@ -529,21 +528,21 @@
         ("/settings/routes/0/overall-timeout-us", json!(15_000_000)),
         ("/settings/rules/turn-gap-us", json!(100_000)),
     ];
-    let world = TestEnvironment::start(&settings).await;
+    let env = TestEnvironment::start(&settings).await;
     let mut clients = Vec::new();
     for id in ["1", "2", "3"] {
-        let mut client = world.client().await;
+        let mut client = env.client().await;
         client.send(&["C.GET", "slow", id, "c=read,d=9000"]).await;
-        world.wait_for_counter(&format!("exchanges_taken {id}")).await;
+        env.wait_for_counter(&format!("exchanges_taken {id}")).await;
         clients.push(client);
     }
-    let mut trace = world.client().await.get("hit").await;
-    trace += &world.cache.log();
+    let mut trace = env.client().await.get("hit").await;
+    trace += &env.cache.log();
     let (mut first, leaving, mut third) = (clients.remove(0), clients.remove(0), clients.remove(0));
     drop(leaving);
     trace += &first.reply().await;
     trace += &third.reply().await;
-    trace += &world.cache.log();
+    trace += &env.cache.log();
     expect![[r#"
         hit: value of id-hit
         1: C.GET slow 1 c=read,d=LEFT
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -22,7 +22,7 @@
 
 /// The running proxies of a group by name, and the folder that has one subfolder for each.
 struct Group {
-    worlds: BTreeMap<&'static str, TestEnvironment>,
+    environments: BTreeMap<&'static str, TestEnvironment>,
     section: Json,
     folder: Folder,
     file: File,
@@ -41,7 +41,7 @@
         });
         let folder = Folder::new(&format!("replication-{test}"));
         let file = File::new(&format!("replication-{test}"), &json!({"fleet": section}).to_string());
-        let mut group = Group { worlds: BTreeMap::new(), section, folder, file };
+        let mut group = Group { environments: BTreeMap::new(), section, folder, file };
         for name in NAMES {
             group.start_process(name).await;
         }
@@ -59,8 +59,8 @@
         let no_warm_up = ("/settings/rules/cold-us", json!(1000));
         let own =
             [("/name", json!(name)), ("/fleet", section), ("/operator", json!("127.0.0.1:0")), no_warm_up];
-        let world = TestEnvironment::start(&own).await;
-        self.worlds.insert(name, world);
+        let env = TestEnvironment::start(&own).await;
+        self.environments.insert(name, env);
     }
 
     /// Waits until all proxies accept links and have equal copies.
@@ -76,9 +76,9 @@
 
     /// Simulates the kill of a process: its links, listeners and pending work are gone.
     async fn kill(&mut self, name: &str) {
-        let mut world = self.worlds.remove(name).unwrap();
-        world.proxy_task.abort();
-        let _ = (&mut world.proxy_task).await;
+        let mut env = self.environments.remove(name).unwrap();
+        env.proxy_task.abort();
+        let _ = (&mut env.proxy_task).await;
     }
 
     /// Runs `pumicebay fleet` with these arguments under this lease. Returns the exit code, and the output
@@ -112,8 +112,8 @@
     /// where the cache node is out of service.
     async fn serving_sources(&self) -> String {
         let mut trace = String::new();
-        for (name, world) in &self.worlds {
-            let reply = world.client().await.execute(&["C.GET", "hit", name, "c=read,d=3000"]).await;
+        for (name, env) in &self.environments {
+            let reply = env.client().await.execute(&["C.GET", "hit", name, "c=read,d=3000"]).await;
             trace += if reply.contains("origin's") { "o" } else { "c" };
         }
         trace
@@ -132,7 +132,7 @@
 
     /// Sends an operator's call to this proxy.
     async fn call(&self, name: &str, path: &str, body: Json) -> String {
-        call(self.worlds[name].operator_address.unwrap(), "POST", path, &body.to_string()).await
+        call(self.environments[name].operator_address.unwrap(), "POST", path, &body.to_string()).await
     }
 }
 
@@ -186,7 +186,7 @@
     .assert_eq(&(back + &leased + &late));
     let mut status = String::new();
     for _ in 0..200 {
-        status = call(group.worlds["p2"].operator_address.unwrap(), "GET", "/status", "").await;
+        status = call(group.environments["p2"].operator_address.unwrap(), "GET", "/status", "").await;
         if status.trim_end().ends_with(", 0 nodes out, 3 peers linked, 0 differ") {
             break;
         }
