--- a/crates/proxy/tests/proxy/carrier.rs
+++ b/crates/proxy/tests/proxy/carrier.rs
@@ -93,14 +93,14 @@
     }
 
     /// Runs `pumicebay fleet` with these arguments. Returns the exit code and the whole output.
-    async fn run_command(&self, words: &[&str]) -> (i32, String) {
+    async fn run_command(&self, arguments: &[&str]) -> (i32, String) {
         let path = self.file.path().to_string();
-        let mut words: Vec<String> = words.iter().map(|word| word.to_string()).collect();
-        words.insert(0, "fleet".into());
-        words.extend(["--config".into(), path]);
+        let mut arguments: Vec<String> = arguments.iter().map(|word| word.to_string()).collect();
+        arguments.insert(0, "fleet".into());
+        arguments.extend(["--config".into(), path]);
         let output = tokio::task::spawn_blocking(move || {
-            let words: Vec<&str> = words.iter().map(String::as_str).collect();
-            program(&words).output().unwrap()
+            let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+            program(&arguments).output().unwrap()
         });
         let output = output.await.unwrap();
         let text =
@@ -115,12 +115,12 @@
         let (code, text) = self.run_command(&["set", scope, name, patch.path(), "--wait", wait]).await;
         // A version begins with the time at which the record was founded, which differs in each run.
         let digits = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-        let hidden = |word: &str| {
+        let without_version = |word: &str| {
             let bare = word.trim_end_matches([' ', ',', ':', '\n']);
             let version = bare.split_once('.').is_some_and(|(one, two)| digits(one) && digits(two));
             if version { word.replace(bare, "VERSION") } else { word.into() }
         };
-        (code, text.split_inclusive([' ', '\n']).map(hidden).collect())
+        (code, text.split_inclusive([' ', '\n']).map(without_version).collect())
     }
 
     /// Sets a resource, and asserts that it is in force everywhere.
@@ -445,10 +445,10 @@
     }
     let start = |name: &str| Running::start(program(&["serve", "--config", files[name].path()]));
     let mut running: BTreeMap<&str, Running> = files.keys().map(|name| (*name, start(name))).collect();
-    let run_command = |words: &[&str]| {
-        let words: Vec<&str> =
-            ["fleet"].iter().chain(words).chain(&["--config", files["l1"].path()]).copied().collect();
-        let output = program(&words).output().unwrap();
+    let run_command = |arguments: &[&str]| {
+        let arguments: Vec<&str> =
+            ["fleet"].iter().chain(arguments).chain(&["--config", files["l1"].path()]).copied().collect();
+        let output = program(&arguments).output().unwrap();
         let text =
             format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
         (output.status.code().unwrap_or(-1), text)
--- a/crates/proxy/tests/proxy/replication.rs
+++ b/crates/proxy/tests/proxy/replication.rs
@@ -83,15 +83,15 @@
 
     /// Runs `pumicebay fleet` with these arguments under this lease. Returns the exit code, and the output
     /// without stamps.
-    async fn run_command(&self, words: &[&str], lease: Option<(&str, u64)>) -> String {
+    async fn run_command(&self, arguments: &[&str], lease: Option<(&str, u64)>) -> String {
         let path = self.file.path().to_string();
-        let mut words: Vec<String> = words.iter().map(|word| word.to_string()).collect();
-        words.insert(0, "fleet".into());
-        words.extend(["--config".into(), path]);
+        let mut arguments: Vec<String> = arguments.iter().map(|word| word.to_string()).collect();
+        arguments.insert(0, "fleet".into());
+        arguments.extend(["--config".into(), path]);
         let lease = lease.map(|(name, token)| (name.to_string(), token.to_string()));
         let output = tokio::task::spawn_blocking(move || {
-            let words: Vec<&str> = words.iter().map(String::as_str).collect();
-            let mut command = program(&words);
+            let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+            let mut command = program(&arguments);
             if let Some((name, token)) = lease {
                 command.env("PUMICEBAY_LEASE", name).env("PUMICEBAY_TOKEN", token);
             }
@@ -101,7 +101,7 @@
         let text =
             format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
         let without_stamp = |line: &str| match line.split_once('.') {
-            Some((words, _)) if line.starts_with("out ") || line.starts_with("back ") => format!("{words}\n"),
+            Some((order, _)) if line.starts_with("out ") || line.starts_with("back ") => format!("{order}\n"),
             _ => format!("{line}\n"),
         };
         let lines: String = text.lines().map(without_stamp).collect();
@@ -140,7 +140,7 @@
 async fn order_applies_at_all_proxies_and_can_be_reverted() {
     let group = Group::start("hold").await;
     let mut trace = String::new();
-    for (words, lease) in [
+    for (arguments, lease) in [
         (vec!["drain", "s-cache", "--wait", "10"], None),
         (vec!["undrain", "s-cache", "--wait", "10"], None),
         (vec!["drain", "s-nobody"], None),
@@ -149,7 +149,7 @@
         (vec!["undrain", "s-cache"], None),
         (vec!["undrain", "s-cache"], Some(("repair", 4))),
     ] {
-        trace += &group.run_command(&words, lease).await;
+        trace += &group.run_command(&arguments, lease).await;
         trace += &format!("{}\n", group.serving_sources().await);
     }
     expect![[r#"
